--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -22,8 +22,14 @@
   STATE_RPS,
   settingsOf,
 } from "./settings.js";
+import type { WireCall, WireObserver, WireReply } from "./wire.js";
 
-const over = (v: unknown): unknown => (v === undefined ? undefined : decode(encode(v)));
+const bytesOf = (v: unknown): Buffer | undefined => (v === undefined ? undefined : encode(v));
+const decoded = (bytes: Buffer | undefined): unknown =>
+  bytes === undefined ? undefined : decode(bytes);
+
+/** A call as its caller sends it, before it has its number. */
+type Sent = Omit<WireCall, "number">;
 
 interface UserJob {
   readonly spec: Body;
@@ -128,6 +134,9 @@
   readonly taskNames = new Set<string>();
   /** Calls of the whole day by kind, for bounding work by counts. */
   readonly calls = { state: 0, workers: 0, heartbeats: 0 };
+  /** Is told what crosses the wire; to be set before the day, which goes on as it does without. */
+  observer: WireObserver | undefined;
+  #sent = 0;
 
   constructor(
     seed: number,
@@ -306,9 +315,12 @@
 
   /** A call over the network: its answer may be lost, and what it asked may be done late. */
   async #call(
+    sent: Sent,
     run: () => Out | undefined | Promise<Out | undefined>,
     timeoutMs: number,
   ): Promise<Reply> {
+    const call: WireCall = { ...sent, number: ++this.#sent };
+    this.observer?.sent(this.clock.now, call);
     await this.clock.sleep(this.clock.between(0.3, 3));
     if (this.clock.random() < this.trouble.lost) {
       const fate = this.clock.random();
@@ -316,12 +328,24 @@
       if (fate < 0.4) await Promise.race([run(), this.clock.sleep(timeoutMs)]);
       else if (fate < 0.8) this.clock.after(this.clock.between(500, 60_000), () => void run());
       await this.clock.sleep(timeoutMs);
-      return { kind: "lost" };
+      return this.#lost(call);
     }
     const out = await Promise.race([run(), this.clock.sleep(timeoutMs).then(() => undefined)]);
     await this.clock.sleep(this.clock.between(0.3, 3));
-    if (out === undefined) return { kind: "lost" };
-    return { kind: "answer", status: out.status, body: over(out.body) };
+    if (out === undefined) return this.#lost(call);
+    const { status } = out;
+    const body = bytesOf(out.body);
+    this.#replied(call, { kind: "answer", status, body });
+    return { kind: "answer", status, body: decoded(body) };
+  }
+
+  #replied(call: WireCall, reply: WireReply): void {
+    this.observer?.replied(this.clock.now, call, reply);
+  }
+
+  #lost(call: WireCall): Reply {
+    this.#replied(call, { kind: "lost" });
+    return { kind: "lost" };
   }
 
   /** One kind of way out of a node; a dead node's calls never come back to it. */
@@ -335,22 +359,34 @@
       body: Body | undefined,
     ) => Out | undefined | Promise<Out | undefined>,
   ): Calls {
-    const go = async (address: string, method: string, path: string, sent: unknown, ms: number) => {
+    const caller = String(n);
+    const go = async (
+      target: string,
+      method: string,
+      path: string,
+      value: unknown,
+      bytes: Uint8Array | undefined,
+      ms: number,
+    ) => {
       await this.#thawed(n);
-      const body = sent as Body | undefined;
+      const body = value as Body | undefined;
+      const sent = { caller, target, method, path, body: bytes };
       const again = this.trouble.repeats === true && method !== "GET" && this.clock.random() < 0.05;
-      const r = await this.#call(() => run(address, method, path, body), ms);
+      const r = await this.#call(sent, () => run(target, method, path, body), ms);
       if (again)
         this.clock.after(this.clock.between(2000, 90_000), () => {
-          void run(address, method, path, body);
+          void run(target, method, path, body);
         });
       await this.#thawed(n);
       // A dead node's calls never come back to it.
       return isAlive() ? r : new Promise<Reply>(() => {});
     };
     return {
-      call: (address, method, path, body, ms) => go(address, method, path, over(body), ms),
-      raw: go,
+      call: (address, method, path, body, ms) => {
+        const bytes = bytesOf(body);
+        return go(address, method, path, decoded(bytes), bytes, ms);
+      },
+      raw: (address, method, path, payload, ms) => go(address, method, path, payload, payload, ms),
       close: () => undefined,
     };
   }
@@ -515,21 +551,27 @@
     body?: Body,
   ): Promise<Out | undefined> {
     const n = this.#labels.indexOf(label);
-    const r = await this.#call(async () => {
-      const slot = this.#nodes[n];
-      if (slot === undefined) return undefined;
-      if (path === "/agent/beat") {
-        const w = this.#workers.get(String(body?.loom));
-        if (w?.mute === true || (w !== undefined && this.#behind(n, w))) return undefined;
-        if (this.#noWorkers.has(n) || (w !== undefined && this.#apart(w))) return undefined;
-      } else if (this.#cutTogether || (this.#zoneApart && n === 0)) return undefined;
-      await this.#thawed(n);
-      if (path.endsWith("/withdraw") && this.sabotage === "cancels")
-        return { status: 200, body: { stage: "cancelled" } };
-      const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
-      const a: Answer = await slot.node.front({ method, path, bytes });
-      return slot.alive ? { status: a.status, body: a.body } : undefined;
-    }, 4000);
+    const caller = path === "/agent/beat" ? `worker ${body?.loom}` : "user";
+    const sent = { caller, target: label, method, path, body: bytesOf(body) };
+    const r = await this.#call(
+      sent,
+      async () => {
+        const slot = this.#nodes[n];
+        if (slot === undefined) return undefined;
+        if (path === "/agent/beat") {
+          const w = this.#workers.get(String(body?.loom));
+          if (w?.mute === true || (w !== undefined && this.#behind(n, w))) return undefined;
+          if (this.#noWorkers.has(n) || (w !== undefined && this.#apart(w))) return undefined;
+        } else if (this.#cutTogether || (this.#zoneApart && n === 0)) return undefined;
+        await this.#thawed(n);
+        if (path.endsWith("/withdraw") && this.sabotage === "cancels")
+          return { status: 200, body: { stage: "cancelled" } };
+        const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
+        const a: Answer = await slot.node.front({ method, path, bytes });
+        return slot.alive ? { status: a.status, body: a.body } : undefined;
+      },
+      4000,
+    );
     return r.kind === "answer" ? r : undefined;
   }
 
