--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -21,8 +21,8 @@
 /** Loaded on first use only, and large: they stay files of their own. */
 const EXTERNAL = ["hcl2-parser", "hdr-histogram-js"];
 
-const { checkPackages } = await import("../target/cli/packages.js");
-const { parseHcl } = await import("../target/cli/hcl.js");
+const { checkPackages } = await import("../target/config/packages.js");
+const { parseHcl } = await import("../target/config/hcl.js");
 
 /** Reading HCL takes half a second of processor time: a start reads what the build made of it. */
 const compilePackagesFile = async () => {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -2,15 +2,15 @@
 import path from "node:path";
 import { Command } from "commander";
 import * as Effect from "effect/Effect";
-import { makeLogger, parseLevel } from "../observability/log.js";
-import { defaultOperators, type Operators, parseOperators } from "./operators.js";
+import { defaultOperators, type Operators, parseOperators } from "../config/operators.js";
 import {
   checkAgainstShards,
   defaultPackages,
   type PackageSettings,
   parsePackages,
-} from "./packages.js";
-import { type Checked, parseSettings, type Settings } from "./settings.js";
+} from "../config/packages.js";
+import { type Checked, parseSettings, type Settings } from "../config/settings.js";
+import { makeLogger, parseLevel } from "../observability/log.js";
 
 const readText = (path: string): Checked<string> => {
   try {
@@ -84,7 +84,7 @@
   // Last resort: a fault in one request or pass must not end what serves all others.
   process.on("uncaughtException", (e) => log.error("uncaught", { error: String(e.stack ?? e) }));
   process.on("unhandledRejection", (e) => log.error("unhandled", { error: String(e) }));
-  const { runController } = await import("../service/controller.js");
+  const { runController } = await import("../service/run-controller.js");
   await Effect.runPromise(Effect.scoped(runController(settings, operators, packages, log))).catch(
     (e) => {
       log.error("can't run", { error: String(e) });
--- a/src/cli/operators.ts
+++ b/src/config/operators.ts
@@ -1,5 +1,5 @@
+import { Reader } from "./field-reader.js";
 import { parseHcl } from "./hcl.js";
-import { Reader } from "./reader.js";
 import type { Checked } from "./settings.js";
 
 /** What operators may set beyond the platform's file. docs/operations.md tells each one's effect. */
--- a/src/cli/packages.ts
+++ b/src/config/packages.ts
@@ -1,6 +1,6 @@
 import type { LoadSpreadSettings } from "@umberfold/load-spread";
+import { Reader } from "./field-reader.js";
 import { parseHcl } from "./hcl.js";
-import { Reader } from "./reader.js";
 import type { Checked } from "./settings.js";
 
 /** Which packages are switched on, and their settings. A package without a block is off. */
--- a/src/cli/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,7 @@
 import { type ControllerLabel, controllerLabel, type TeamName, teamName } from "@umberfold/ids";
 import { parse } from "smol-toml";
 import { leastSockets } from "../transport/sockets.js";
-import { Reader } from "./reader.js";
+import { Reader } from "./field-reader.js";
 
 export interface Team {
   readonly name: TeamName;
--- a/src/coordination/cancels.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -7,16 +7,16 @@
   type TaskId,
   taskId,
 } from "@umberfold/ids";
-import { MAX_RETURN, returnBody } from "../protocol/cloud.js";
-import { type CancelNotice, EMPTY_MESSAGE, encodePeer } from "../protocol/peer.js";
-import { ordersBody, parseReport, type Report } from "../protocol/workers.js";
-import { keys, liveValue, type OpenAttempt } from "../storage/records.js";
-import type { Calls } from "../transport/client.js";
-import { sleep, steadyNow, timeOfDay } from "../transport/clock.js";
-import { addressOf, type Context } from "./context.js";
-import type { Membership } from "./membership.js";
-import { findAttempt } from "./session.js";
-import type { ShardOwner } from "./shard-owner.js";
+import { MAX_RETURN, returnBody } from "../../protocol/cloud.js";
+import { type CancelNotice, EMPTY_MESSAGE, encodePeer } from "../../protocol/peer.js";
+import { ordersBody, parseReport, type Report } from "../../protocol/workers.js";
+import { keys, liveValue, type OpenAttempt } from "../../storage/records.js";
+import type { Calls } from "../../transport/client.js";
+import { sleep, steadyNow, timeOfDay } from "../../transport/clock.js";
+import { addressOf, type Context } from "../context.js";
+import type { Membership } from "../membership/membership.js";
+import { findAttempt } from "../ownership/worker-session.js";
+import type { ShardOwner } from "../rounds/shard-owner.js";
 
 /** How long a confirmation may wait for the watch and for the owner; then the user asks again. */
 const CONFIRM_MS = 900;
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,16 +1,16 @@
 import type { ControllerLabel, Revision, TeamName } from "@umberfold/ids";
-import type { Operators } from "../cli/operators.js";
-import type { Settings, Team } from "../cli/settings.js";
+import type { Operators } from "../config/operators.js";
+import type { Settings, Team } from "../config/settings.js";
 import type { Logger } from "../observability/log.js";
 import type { Metrics } from "../observability/metrics.js";
 import type { Op } from "../protocol/store.js";
 import type { ControllerId } from "../storage/records.js";
 import type { Replica } from "../storage/replica.js";
-import type { Store } from "../storage/store.js";
+import type { Store } from "../storage/state-store.js";
 import type { LoadSpreadHooks } from "./load-spread/hooks.js";
-import type { LoopLag } from "./loop-lag.js";
-import type { PauseDetector } from "./pause-detector.js";
-import type { Quotas } from "./quotas.js";
+import type { LoopLag } from "./membership/event-loop-lag.js";
+import type { PauseDetector } from "./membership/pause-detector.js";
+import type { Quotas } from "./sharding/shard-quotas.js";
 
 /** What all parts of one controller share. */
 export interface Context {
--- a/src/coordination/fleet/cloud.ts
+++ b/src/coordination/fleet/cloud-client.ts
@@ -1,4 +1,4 @@
-import { Budget } from "../../storage/budget.js";
+import { Budget } from "../../storage/token-bucket.js";
 import type { Calls, Reply } from "../../transport/client.js";
 import { steadyNow } from "../../transport/clock.js";
 
--- a/src/coordination/fleet/failing-jobs.ts
+++ b/src/coordination/fleet/failing-jobs.ts
@@ -5,7 +5,7 @@
 import type { Calls } from "../../transport/client.js";
 import { steadyNow } from "../../transport/clock.js";
 import { addressOf, type Context } from "../context.js";
-import type { ShardOwner } from "../shard-owner.js";
+import type { ShardOwner } from "../rounds/shard-owner.js";
 
 /** How long an owner's notice that a job fails stands. */
 const STANDS_MS = 8000;
--- a/src/coordination/fleet/planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -9,17 +9,17 @@
   type FleetPlan,
   idleMoves,
   planFleet,
-} from "../../scheduling/fleet.js";
+} from "../../scheduling/fleet-plan.js";
 import { NOTHING, plus } from "../../scheduling/resources.js";
 import { type MachineRecord, waitingCount } from "../../storage/records.js";
 import { steadyNow, timeOfDay } from "../../transport/clock.js";
 import type { Context } from "../context.js";
-import type { ShardOwner } from "../shard-owner.js";
+import type { ShardOwner } from "../rounds/shard-owner.js";
 import type { FailingJobs } from "./failing-jobs.js";
+import type { FleetRecords } from "./fleet-records.js";
 import type { MachineTypes } from "./machine-types.js";
-import { overloadedShards } from "./overload.js";
+import { overloadedShards } from "./overloaded-shards.js";
 import type { OwnerRequests } from "./owner-requests.js";
-import type { FleetRecords } from "./records.js";
 import type { Rentals } from "./rentals.js";
 
 /** How long a machine may take to be drained before another is asked for. */
--- a/src/coordination/fleet/records.ts
+++ b/src/coordination/fleet/fleet-records.ts
@@ -2,7 +2,7 @@
 import type { Condition, Op } from "../../protocol/store.js";
 import { fleetPageValue, MACHINE_BYTES } from "../../storage/pages.js";
 import { keys, type MachineRecord } from "../../storage/records.js";
-import { pageLimit } from "../batch.js";
+import { pageLimit } from "../../storage/transaction-batch.js";
 import { LeaderRecords } from "./leader-records.js";
 
 /** Machines returned lately, whose late reports must not have them adopted again. */
--- a/src/coordination/fleet/leader-records.ts
+++ b/src/coordination/fleet/leader-records.ts
@@ -1,7 +1,7 @@
 import type { Txn } from "../../protocol/store.js";
 import { keys } from "../../storage/records.js";
 import { absorb, type Context, refresh } from "../context.js";
-import type { Membership } from "../membership.js";
+import type { Membership } from "../membership/membership.js";
 
 /**
  * The records that only the leader writes. Each write is conditional on its leadership, so that one
--- a/src/coordination/leader.ts
+++ b/src/coordination/fleet/leader.ts
@@ -1,19 +1,19 @@
 import type { JobId } from "@umberfold/ids";
-import type { MoveRequest } from "../protocol/peer.js";
-import type { Report } from "../protocol/workers.js";
-import type { Calls } from "../transport/client.js";
-import type { Context } from "./context.js";
-import { Cloud } from "./fleet/cloud.js";
-import { FailingJobs } from "./fleet/failing-jobs.js";
-import { MachineTypes } from "./fleet/machine-types.js";
-import { OwnerRequests } from "./fleet/owner-requests.js";
-import { FleetPlanner } from "./fleet/planner.js";
-import { FleetRecords } from "./fleet/records.js";
-import { Rentals } from "./fleet/rentals.js";
-import { Returns } from "./fleet/returns.js";
-import { UnknownMachines } from "./fleet/unknown-machines.js";
-import type { Membership } from "./membership.js";
-import type { ShardOwner } from "./shard-owner.js";
+import type { MoveRequest } from "../../protocol/peer.js";
+import type { Report } from "../../protocol/workers.js";
+import type { Calls } from "../../transport/client.js";
+import type { Context } from "../context.js";
+import type { Membership } from "../membership/membership.js";
+import type { ShardOwner } from "../rounds/shard-owner.js";
+import { Cloud } from "./cloud-client.js";
+import { FailingJobs } from "./failing-jobs.js";
+import { FleetPlanner } from "./fleet-planner.js";
+import { FleetRecords } from "./fleet-records.js";
+import { MachineTypes } from "./machine-types.js";
+import { OwnerRequests } from "./owner-requests.js";
+import { Rentals } from "./rentals.js";
+import { Returns } from "./returns.js";
+import { UnknownMachines } from "./unknown-machines.js";
 
 /** The leader's work: all calls of the cloud, and which shard a free machine serves. */
 export class Leader {
--- a/src/coordination/fleet/machine-types.ts
+++ b/src/coordination/fleet/machine-types.ts
@@ -4,8 +4,8 @@
 import { keys } from "../../storage/records.js";
 import { steadyNow } from "../../transport/clock.js";
 import type { Context } from "../context.js";
-import type { Cloud } from "./cloud.js";
-import type { FleetRecords } from "./records.js";
+import type { Cloud } from "./cloud-client.js";
+import type { FleetRecords } from "./fleet-records.js";
 
 const READ_EVERY_MS = 60_000;
 
--- a/src/coordination/fleet/owner-requests.ts
+++ b/src/coordination/fleet/owner-requests.ts
@@ -2,8 +2,8 @@
 import { EMPTY_MESSAGE, encodePeer, type MoveRequest } from "../../protocol/peer.js";
 import type { Calls } from "../../transport/client.js";
 import { addressOf, type Context } from "../context.js";
-import type { Membership } from "../membership.js";
-import type { ShardOwner } from "../shard-owner.js";
+import type { Membership } from "../membership/membership.js";
+import type { ShardOwner } from "../rounds/shard-owner.js";
 
 const PEER_MS = 1000;
 
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -1,12 +1,12 @@
 import { ABSENT, type MachineId, type Mono, mono, type Revision, shardId } from "@umberfold/ids";
 import { MAX_RENT, parseRented, rentBody } from "../../protocol/cloud.js";
-import { offerKey, type Rent } from "../../scheduling/fleet.js";
+import { offerKey, type Rent } from "../../scheduling/fleet-plan.js";
 import { keys, type RentalIntent, rentalIntentValue } from "../../storage/records.js";
 import type { Versioned } from "../../storage/versioned.js";
 import { steadyNow, timeOfDay } from "../../transport/clock.js";
 import type { Context } from "../context.js";
-import type { Cloud, CloudAnswer } from "./cloud.js";
-import type { FleetRecords } from "./records.js";
+import type { Cloud, CloudAnswer } from "./cloud-client.js";
+import type { FleetRecords } from "./fleet-records.js";
 
 /** Most intents written at a time. */
 const MOST_INTENTS = 8;
--- a/src/coordination/fleet/returns.ts
+++ b/src/coordination/fleet/returns.ts
@@ -3,8 +3,8 @@
 import { goneValue, keys } from "../../storage/records.js";
 import { timeOfDay } from "../../transport/clock.js";
 import type { Context } from "../context.js";
-import { CLOUD_CALL_MS, type Cloud } from "./cloud.js";
-import type { FleetRecords } from "./records.js";
+import { CLOUD_CALL_MS, type Cloud } from "./cloud-client.js";
+import type { FleetRecords } from "./fleet-records.js";
 
 /** Returns machines whose owners have let go of them, and keeps the proof until all have used it. */
 export class Returns {
--- a/src/coordination/fleet/unknown-machines.ts
+++ b/src/coordination/fleet/unknown-machines.ts
@@ -11,9 +11,9 @@
 import type { Calls } from "../../transport/client.js";
 import { steadyNow, timeOfDay } from "../../transport/clock.js";
 import type { Context } from "../context.js";
-import { CLOUD_CALL_MS, type Cloud } from "./cloud.js";
+import { CLOUD_CALL_MS, type Cloud } from "./cloud-client.js";
+import type { FleetRecords, NewMachine } from "./fleet-records.js";
 import type { MachineTypes } from "./machine-types.js";
-import type { FleetRecords, NewMachine } from "./records.js";
 
 const LIST_EVERY_MS = 15_000;
 /** Machines asked at a time, and how long they have to answer. */
--- a/src/coordination/load-spread/team-loads.ts
+++ b/src/coordination/load-spread/team-loads.ts
@@ -1,7 +1,7 @@
 import type { ShardId, TeamName } from "@umberfold/ids";
 import type { OwnerLoad, ShardLoad, TeamLoad } from "@umberfold/load-spread";
 import { type Share, share, WHOLE } from "@umberfold/spans";
-import type { Team } from "../../cli/settings.js";
+import type { Team } from "../../config/settings.js";
 import type { Resources } from "../../protocol/jobs.js";
 import type { JobIndex } from "../../storage/job-index.js";
 import { waitingCount } from "../../storage/records.js";
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -7,13 +7,18 @@
   type ShardId,
   shardId,
 } from "@umberfold/ids";
-import type { Txn } from "../protocol/store.js";
-import { teamsValue } from "../storage/cluster-records.js";
-import { type ControllerId, controllerIdValue, keys, sameController } from "../storage/records.js";
-import { steadyNow } from "../transport/clock.js";
-import { absorb, type Context, refresh } from "./context.js";
-import { HEALTHY, type Health, type Standing, stepHealth } from "./health.js";
-import { assignTeams, planShards } from "./shards.js";
+import type { Txn } from "../../protocol/store.js";
+import { teamsValue } from "../../storage/cluster-records.js";
+import {
+  type ControllerId,
+  controllerIdValue,
+  keys,
+  sameController,
+} from "../../storage/records.js";
+import { steadyNow } from "../../transport/clock.js";
+import { absorb, type Context, refresh } from "../context.js";
+import { assignTeams, planShards } from "../sharding/shard-assignment.js";
+import { HEALTHY, type Health, type Standing, stepHealth } from "./store-availability.js";
 
 /** A controller that can't reach its machines stays away for this long before it tries again. */
 const RESIGNED_MS = 4000;
--- a/src/coordination/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -9,11 +9,11 @@
   type Token,
   token,
 } from "@umberfold/ids";
-import type { JobSpec } from "../protocol/jobs.js";
-import type { LiveJob, MachineRecord } from "../storage/records.js";
-import { steadyNow } from "../transport/clock.js";
-import type { Context } from "./context.js";
-import type { Membership } from "./membership.js";
+import type { JobSpec } from "../../protocol/jobs.js";
+import type { LiveJob, MachineRecord } from "../../storage/records.js";
+import { steadyNow } from "../../transport/clock.js";
+import type { Context } from "../context.js";
+import type { Membership } from "../membership/membership.js";
 import {
   type AttemptNote,
   type JobNote,
@@ -21,8 +21,8 @@
   newJobNote,
   newMachineNote,
   type StopReason,
-} from "./notes.js";
-import { newSession, type Session, type SessionEvent, stepSession } from "./session.js";
+} from "./soft-state.js";
+import { newSession, type Session, type SessionEvent, stepSession } from "./worker-session.js";
 
 /** A job that failed on so many machines is at fault itself, for all that is known. */
 export const MANY_MACHINES = 3;
--- a/src/coordination/session.ts
+++ b/src/coordination/ownership/worker-session.ts
@@ -1,5 +1,5 @@
 import { type AttemptNo, attemptKey, type Mono, type TaskId, type Token } from "@umberfold/ids";
-import type { Order, Report, TaskReport } from "../protocol/workers.js";
+import type { Order, Report, TaskReport } from "../../protocol/workers.js";
 
 /**
  * What a shard's owner knows of one machine it holds.
--- a/src/coordination/closing.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -8,13 +8,13 @@
   type TaskId,
   taskId,
 } from "@umberfold/ids";
-import type { TaskReport } from "../protocol/workers.js";
-import { rangesAdd, rangesCount } from "../storage/ranges.js";
-import { type LiveJob, NO_PROGRESS, type Progress } from "../storage/records.js";
-import type { OpenOn } from "../storage/shard-jobs.js";
-import type { Batch } from "./batch.js";
-import { findAttempt } from "./session.js";
-import { MANY_MACHINES, type ShardState } from "./shard-state.js";
+import type { TaskReport } from "../../protocol/workers.js";
+import { rangesAdd, rangesCount } from "../../storage/ranges.js";
+import { type LiveJob, NO_PROGRESS, type Progress } from "../../storage/records.js";
+import type { OpenOn } from "../../storage/shard-jobs.js";
+import type { Batch } from "../../storage/transaction-batch.js";
+import { MANY_MACHINES, type ShardState } from "../ownership/shard-state.js";
+import { findAttempt } from "../ownership/worker-session.js";
 
 /**
  * What part of a transaction the ends of jobs may fill: each takes two changes of its own. (In a flood
--- a/src/coordination/places.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -1,11 +1,11 @@
 import { type MachineId, type ShardId, splitTask, type TaskId } from "@umberfold/ids";
-import type { Resources } from "../protocol/jobs.js";
-import { contenders, distinctNeeds, occupy, type Place } from "../scheduling/placement.js";
-import { ENDLESS, lesser, NOTHING, plus } from "../scheduling/resources.js";
-import type { LiveJob, MachineRecord } from "../storage/records.js";
-import type { ShardJobs } from "../storage/shard-jobs.js";
-import { steadyNow } from "../transport/clock.js";
-import type { ShardState } from "./shard-state.js";
+import type { Resources } from "../../protocol/jobs.js";
+import { contenders, distinctNeeds, occupy, type Place } from "../../scheduling/placement.js";
+import { ENDLESS, lesser, NOTHING, plus } from "../../scheduling/resources.js";
+import type { LiveJob, MachineRecord } from "../../storage/records.js";
+import type { ShardJobs } from "../../storage/shard-jobs.js";
+import { steadyNow } from "../../transport/clock.js";
+import type { ShardState } from "../ownership/shard-state.js";
 
 /** How long a place is kept for a task that moves. */
 export const RESERVATION_MS = 10_000;
--- a/src/coordination/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -1,5 +1,5 @@
 import type { Mono } from "@umberfold/ids";
-import type { ShardState } from "./shard-state.js";
+import type { ShardState } from "../ownership/shard-state.js";
 
 /** The cloud takes a machine away: what can't end in time is saved, or started elsewhere now. */
 export const handleSpotNotices = (owned: ShardState, now: Mono): void => {
--- a/src/coordination/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -1,10 +1,10 @@
 import type { TeamName } from "@umberfold/ids";
 import type { FairTurn, FairTurnInput } from "@umberfold/load-spread";
-import { type Resources, rankOrder } from "../protocol/jobs.js";
-import type { Queued } from "../scheduling/order.js";
-import type { Place } from "../scheduling/placement.js";
-import { NOTHING, plus } from "../scheduling/resources.js";
-import { waitingCount } from "../storage/records.js";
+import { type Resources, rankOrder } from "../../protocol/jobs.js";
+import type { Place } from "../../scheduling/placement.js";
+import type { Queued } from "../../scheduling/queue-order.js";
+import { NOTHING, plus } from "../../scheduling/resources.js";
+import { waitingCount } from "../../storage/records.js";
 
 /** A job's turn in a round, with the most tasks that it may start in it. */
 export interface QueueStep extends Queued {
--- a/src/coordination/machine-records.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -1,11 +1,11 @@
 import type { MachineId, Mono, Revision } from "@umberfold/ids";
-import type { FleetPage } from "../storage/fleet-index.js";
-import { MACHINE_BYTES } from "../storage/pages.js";
-import { keys, type MachineRecord } from "../storage/records.js";
-import { pageLimit } from "./batch.js";
-import type { ShardRound } from "./closing.js";
-import { inTheWay, needsBump, type Session, worthBump } from "./session.js";
-import type { ShardState } from "./shard-state.js";
+import type { FleetPage } from "../../storage/fleet-index.js";
+import { MACHINE_BYTES } from "../../storage/pages.js";
+import { keys, type MachineRecord } from "../../storage/records.js";
+import { pageLimit } from "../../storage/transaction-batch.js";
+import type { ShardState } from "../ownership/shard-state.js";
+import { inTheWay, needsBump, type Session, worthBump } from "../ownership/worker-session.js";
+import type { ShardRound } from "./attempt-termination.js";
 
 /** What is to become of a machine's record. */
 type Change =
--- a/src/coordination/machine-sweep.ts
+++ b/src/coordination/rounds/machine-sweep.ts
@@ -1,5 +1,5 @@
 import { type MachineId, type Mono, mono } from "@umberfold/ids";
-import type { ShardState } from "./shard-state.js";
+import type { ShardState } from "../ownership/shard-state.js";
 
 /** How often, and how many machines at a time, are looked at though nothing was heard of them. */
 const SWEEP_MS = 1000;
--- a/src/coordination/placement-round.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -8,29 +8,29 @@
   type TeamName,
   taskId,
 } from "@umberfold/ids";
-import type { Team } from "../cli/settings.js";
-import type { JobSpec, Resources } from "../protocol/jobs.js";
-import { hurryS, targetsOf } from "../scheduling/objectives.js";
-import { type Queued, queueOrder, type Waiting } from "../scheduling/order.js";
+import type { Team } from "../../config/settings.js";
+import type { JobSpec, Resources } from "../../protocol/jobs.js";
+import { hurryS, targetsOf } from "../../scheduling/objectives.js";
 import {
   occupy,
   type Place,
   PlaceSelector,
   permitted,
   placementGroup,
-} from "../scheduling/placement.js";
-import type { PreemptionSearch } from "../scheduling/preemption.js";
-import { fitsBeside, minus, NOTHING, plus, times } from "../scheduling/resources.js";
-import { machineNameBytes, openBytes, progressBytes } from "../storage/pages.js";
-import { rangesMissing } from "../storage/ranges.js";
-import { type LiveJob, type OpenAttempt, waitingCount } from "../storage/records.js";
-import { timeOfDay } from "../transport/clock.js";
-import { pageLimit } from "./batch.js";
-import type { ShardRound } from "./closing.js";
+} from "../../scheduling/placement.js";
+import type { PreemptionSearch } from "../../scheduling/preemption.js";
+import { type Queued, queueOrder, type Waiting } from "../../scheduling/queue-order.js";
+import { fitsBeside, minus, NOTHING, plus, times } from "../../scheduling/resources.js";
+import { machineNameBytes, openBytes, progressBytes } from "../../storage/pages.js";
+import { rangesMissing } from "../../storage/ranges.js";
+import { type LiveJob, type OpenAttempt, waitingCount } from "../../storage/records.js";
+import { pageLimit } from "../../storage/transaction-batch.js";
+import { timeOfDay } from "../../transport/clock.js";
+import type { ShardState } from "../ownership/shard-state.js";
+import type { ShardRound } from "./attempt-termination.js";
+import { placesOf, zoneCounts } from "./candidate-machines.js";
 import { fairQueue, type QueueStep } from "./fair-queue.js";
-import { placesOf, zoneCounts } from "./places.js";
-import { PreemptionRound } from "./preemption-round.js";
-import type { ShardState } from "./shard-state.js";
+import { PreemptionRound } from "./preemption-phase.js";
 
 /** How much of a page the open attempts of one job may fill. */
 const PAGE_PART = 0.9;
--- a/src/coordination/preemption-round.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -1,7 +1,6 @@
 import type { JobId, MachineId, TaskId } from "@umberfold/ids";
-import { type JobSpec, rankOrder } from "../protocol/jobs.js";
-import { slackS, targetsOf } from "../scheduling/objectives.js";
-import type { Queued } from "../scheduling/order.js";
+import { type JobSpec, rankOrder } from "../../protocol/jobs.js";
+import { slackS, targetsOf } from "../../scheduling/objectives.js";
 import {
   bindsZones,
   occupy,
@@ -9,7 +8,7 @@
   permitted,
   placementGroup,
   type ZoneCounts,
-} from "../scheduling/placement.js";
+} from "../../scheduling/placement.js";
 import {
   mayPreempt,
   type PreemptionCandidate,
@@ -17,13 +16,14 @@
   type PreemptionSource,
   type Standing,
   type Victim,
-} from "../scheduling/preemption.js";
-import { fits, minus, plus } from "../scheduling/resources.js";
-import type { LiveJob } from "../storage/records.js";
-import { timeOfDay } from "../transport/clock.js";
-import type { ShardRound } from "./closing.js";
-import { RESERVATION_MS } from "./places.js";
-import type { ShardState } from "./shard-state.js";
+} from "../../scheduling/preemption.js";
+import type { Queued } from "../../scheduling/queue-order.js";
+import { fits, minus, plus } from "../../scheduling/resources.js";
+import type { LiveJob } from "../../storage/records.js";
+import { timeOfDay } from "../../transport/clock.js";
+import type { ShardState } from "../ownership/shard-state.js";
+import type { ShardRound } from "./attempt-termination.js";
+import { RESERVATION_MS } from "./candidate-machines.js";
 
 /** Most tasks a round makes room for. */
 const MOST_A_ROUND = 24;
--- a/src/coordination/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -1,22 +1,22 @@
 import { type MachineId, type Mono, mono, revision } from "@umberfold/ids";
-import type { MoveRequest } from "../protocol/peer.js";
-import type { Txn } from "../protocol/store.js";
-import type { Report } from "../protocol/workers.js";
-import { classify } from "../storage/records.js";
-import type { Calls } from "../transport/client.js";
-import { steadyNow } from "../transport/clock.js";
-import type { Answer } from "../transport/server.js";
-import { Batch } from "./batch.js";
-import { closeAttempts, endDueJobs, newShardRound } from "./closing.js";
-import { absorb, type Context, refresh } from "./context.js";
+import type { MoveRequest } from "../../protocol/peer.js";
+import type { Txn } from "../../protocol/store.js";
+import type { Report } from "../../protocol/workers.js";
+import { classify } from "../../storage/records.js";
+import { Batch } from "../../storage/transaction-batch.js";
+import type { Calls } from "../../transport/client.js";
+import { steadyNow } from "../../transport/clock.js";
+import type { Answer } from "../../transport/server.js";
+import { absorb, type Context, refresh } from "../context.js";
+import type { Membership } from "../membership/membership.js";
+import { ShardState } from "../ownership/shard-state.js";
+import { WorkerChannel } from "../workers/worker-channel.js";
+import { closeAttempts, endDueJobs, newShardRound } from "./attempt-termination.js";
 import { drainRequested, handleSpotNotices } from "./evictions.js";
-import { MachineRecords } from "./machine-records.js";
+import { MachineRecords } from "./machine-record-phase.js";
 import { MachineSweep } from "./machine-sweep.js";
-import type { Membership } from "./membership.js";
-import { PlacementRound } from "./placement-round.js";
-import { ShardState } from "./shard-state.js";
-import { swarmPeriod } from "./swarm-period.js";
-import { WorkerChannel } from "./worker-channel.js";
+import { PlacementRound } from "./placement-phase.js";
+import { swarmPeriod } from "./swarm-phase.js";
 
 /** How long a request of the leader's stands. */
 const MOVE_MS = 10_000;
--- a/src/coordination/swarm-period.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -1,10 +1,10 @@
 import type { MachineId, Mono, ShardId } from "@umberfold/ids";
-import { bindsZones, type Place, permitted, placementGroup } from "../scheduling/placement.js";
-import { fits, minus } from "../scheduling/resources.js";
-import { type SwarmMachine, type SwarmTask, swarmRound } from "../scheduling/swarm.js";
-import type { LiveJob } from "../storage/records.js";
-import { placesOf, RESERVATION_MS, zoneCounts } from "./places.js";
-import type { ShardState } from "./shard-state.js";
+import { bindsZones, type Place, permitted, placementGroup } from "../../scheduling/placement.js";
+import { fits, minus } from "../../scheduling/resources.js";
+import { type SwarmMachine, type SwarmTask, swarmRound } from "../../scheduling/swarm.js";
+import type { LiveJob } from "../../storage/records.js";
+import type { ShardState } from "../ownership/shard-state.js";
+import { placesOf, RESERVATION_MS, zoneCounts } from "./candidate-machines.js";
 
 /** One job of each group of waiting jobs that are alike for placement. */
 const waitingKinds = (waiting: Iterable<LiveJob>): readonly LiveJob[] => {
--- a/src/coordination/shards.ts
+++ b/src/coordination/sharding/shard-assignment.ts
@@ -1,5 +1,5 @@
 import { type ControllerLabel, type ShardId, shardId, type TeamName } from "@umberfold/ids";
-import type { ControllerId } from "../storage/records.js";
+import type { ControllerId } from "../../storage/records.js";
 
 const byLabel = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
--- a/src/coordination/quotas.ts
+++ b/src/coordination/sharding/shard-quotas.ts
@@ -1,8 +1,8 @@
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { usableShare, WHOLE } from "@umberfold/spans";
-import type { Team } from "../cli/settings.js";
-import type { Resources } from "../protocol/jobs.js";
-import type { Replica } from "../storage/replica.js";
+import type { Team } from "../../config/settings.js";
+import type { Resources } from "../../protocol/jobs.js";
+import type { Replica } from "../../storage/replica.js";
 
 /** Sums of decimals drift, and shares of a limit are rounded: by less than any task needs. */
 const LIMIT_TOLERANCE = 1e-9;
--- a/src/coordination/machine-silence.ts
+++ b/src/coordination/workers/failure-detection.ts
@@ -1,5 +1,5 @@
 import type { Mono } from "@umberfold/ids";
-import type { MachineNote } from "./notes.js";
+import type { MachineNote } from "../ownership/soft-state.js";
 
 /** Calls in a row without an answer that make a machine silent, or unreachable though it reports. */
 export const SILENT_CALLS = 2;
--- a/src/coordination/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -7,19 +7,25 @@
   type Report,
   redirectBody,
   type TaskReport,
-} from "../protocol/workers.js";
-import type { MachineRecord } from "../storage/records.js";
-import { keys } from "../storage/records.js";
-import type { Calls, Reply } from "../transport/client.js";
-import { steadyNow, timeOfDay } from "../transport/clock.js";
-import type { Answer } from "../transport/server.js";
-import { socketParts } from "../transport/sockets.js";
+} from "../../protocol/workers.js";
+import type { MachineRecord } from "../../storage/records.js";
+import { keys } from "../../storage/records.js";
+import type { Calls, Reply } from "../../transport/client.js";
+import { steadyNow, timeOfDay } from "../../transport/clock.js";
+import type { Answer } from "../../transport/server.js";
+import { socketParts } from "../../transport/sockets.js";
+import { refresh } from "../context.js";
+import type { ShardState } from "../ownership/shard-state.js";
+import { type MachineNote, resetSuspicion, useImage } from "../ownership/soft-state.js";
+import {
+  newSession,
+  ordersFor,
+  quietLine,
+  type Session,
+  type Wanted,
+} from "../ownership/worker-session.js";
 import { type Connectivity, judgeConnectivity } from "./connectivity.js";
-import { refresh } from "./context.js";
-import { reasonLost, SILENT_CALLS } from "./machine-silence.js";
-import { type MachineNote, resetSuspicion, useImage } from "./notes.js";
-import { newSession, ordersFor, quietLine, type Session, type Wanted } from "./session.js";
-import type { ShardState } from "./shard-state.js";
+import { reasonLost, SILENT_CALLS } from "./failure-detection.js";
 
 /** How long a direct call to a worker may take. */
 const DIRECT_MS = 1200;
--- a/src/scheduling/demand.ts
+++ b/src/scheduling/demand.ts
@@ -1,9 +1,9 @@
 import type { JobId, ShardId, TeamName, Wall } from "@umberfold/ids";
-import type { Objective, Team } from "../cli/settings.js";
+import type { Objective, Team } from "../config/settings.js";
 import type { MachineType } from "../protocol/cloud.js";
 import { type JobSpec, type Resources, rankOrder } from "../protocol/jobs.js";
 import { type LiveJob, waitingCount } from "../storage/records.js";
-import { type DemandGroup, follow } from "./fleet.js";
+import { type DemandGroup, follow } from "./fleet-plan.js";
 import { patienceS, targetsOf, windowS } from "./objectives.js";
 import { fits } from "./resources.js";
 
--- a/src/scheduling/objectives.ts
+++ b/src/scheduling/objectives.ts
@@ -1,4 +1,4 @@
-import type { Objective } from "../cli/settings.js";
+import type { Objective } from "../config/settings.js";
 import type { JobSpec } from "../protocol/jobs.js";
 
 /** Points in a job's life, in seconds after its submission, at which an objective is decided. */
--- a/src/scheduling/order.ts
+++ b/src/scheduling/queue-order.ts
@@ -1,5 +1,5 @@
 import type { JobId } from "@umberfold/ids";
-import type { Objective } from "../cli/settings.js";
+import type { Objective } from "../config/settings.js";
 import { rankOrder } from "../protocol/jobs.js";
 import { type LiveJob, waitingCount } from "../storage/records.js";
 import { slackS, targetsOf } from "./objectives.js";
--- a/src/scheduling/shard-assigner.ts
+++ b/src/scheduling/shard-assigner.ts
@@ -1,9 +1,17 @@
 import { type ShardId, shardId } from "@umberfold/ids";
-import type { FleetInput } from "./fleet.js";
+import type { MachineType } from "../protocol/cloud.js";
+
+/** What of the fleet decides where new machines go. */
+interface AssignmentInput {
+  readonly size: number;
+  /** Shards that are given no more machines. */
+  readonly overloaded: ReadonlySet<ShardId>;
+  readonly machines: Iterable<{ readonly shard: ShardId; readonly type: MachineType }>;
+}
 
 /** New machines go to the shard that lacks most, and else to the one that has least. */
 export const shardAssigner = (
-  input: FleetInput,
+  input: AssignmentInput,
   short: ReadonlyMap<ShardId, number>,
 ): ((cpus: number, slots: number) => ShardId) => {
   const lacks = new Map(short);
--- a/src/service/standing-watch.ts
+++ b/src/service/availability-monitor.ts
@@ -1,6 +1,10 @@
 import type { Context } from "../coordination/context.js";
-import { type Membership, NO_ANSWERS, type PeerAnswers } from "../coordination/membership.js";
-import type { ShardOwner } from "../coordination/shard-owner.js";
+import {
+  type Membership,
+  NO_ANSWERS,
+  type PeerAnswers,
+} from "../coordination/membership/membership.js";
+import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
 import type { Calls } from "../transport/client.js";
 import { steadyNow } from "../transport/clock.js";
 import { HEARTBEATS_PATH, SERVED_PATH } from "./routes.js";
--- a/src/service/load-spread-switch.ts
+++ b/src/service/load-spread-loader.ts
@@ -1,9 +1,9 @@
 import type { LoadSpreadSettings } from "@umberfold/load-spread";
 import type { Context } from "../coordination/context.js";
-import type { Leader } from "../coordination/leader.js";
+import type { Leader } from "../coordination/fleet/leader.js";
 import type { LoadSpread } from "../coordination/load-spread/load-spread.js";
-import type { Membership } from "../coordination/membership.js";
-import type { ShardOwner } from "../coordination/shard-owner.js";
+import type { Membership } from "../coordination/membership/membership.js";
+import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
 import type { MoveRequest } from "../protocol/peer.js";
 
 /**
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../coordination/context.js";
-import type { Membership } from "../coordination/membership.js";
+import type { Membership } from "../coordination/membership/membership.js";
 import { classify, NOW } from "../storage/records.js";
 import { sleep } from "../transport/clock.js";
 
--- a/src/service/round-loop.ts
+++ b/src/service/round-loop.ts
@@ -1,4 +1,4 @@
-import type { Next } from "../coordination/shard-owner.js";
+import type { Next } from "../coordination/rounds/shard-owner.js";
 import { sleep, steadyNow } from "../transport/clock.js";
 
 /**
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -1,11 +1,11 @@
-import type { Cancellations } from "../coordination/cancels.js";
+import type { Cancellations } from "../coordination/cancellation/cancellations.js";
 import type { Context } from "../coordination/context.js";
-import type { Leader } from "../coordination/leader.js";
-import type { Membership } from "../coordination/membership.js";
-import type { ShardOwner } from "../coordination/shard-owner.js";
+import type { Leader } from "../coordination/fleet/leader.js";
+import type { Membership } from "../coordination/membership/membership.js";
+import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
 import { decodePeer, type PeerMessage } from "../protocol/peer.js";
 import { type Answer, decodeBody, type Handler, type Request } from "../transport/server.js";
-import type { Users } from "./users.js";
+import type { Users } from "./user-api.js";
 
 /** Whether the state service serves the controller that is asked. */
 export const SERVED_PATH = "/served";
--- a/src/service/users.ts
+++ b/src/service/user-api.ts
@@ -1,6 +1,6 @@
 import { ABSENT, type JobId, jobId } from "@umberfold/ids";
 import { absorb, type Context } from "../coordination/context.js";
-import type { Membership } from "../coordination/membership.js";
+import type { Membership } from "../coordination/membership/membership.js";
 import {
   isJobId,
   type JobSpec,
--- a/src/storage/group-commit.ts
+++ b/src/storage/group-commit.ts
@@ -1,5 +1,5 @@
 import type { Op, Txn } from "../protocol/store.js";
-import type { Store, TxnResult } from "./store.js";
+import type { Store, TxnResult } from "./state-store.js";
 
 /** Transactions in flight at a time: one without an answer must not hold all others up. */
 const MOST_IN_FLIGHT = 2;
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -3,7 +3,7 @@
 import { sleep, steadyNow } from "../transport/clock.js";
 import { type Accepted, type FinalJob, keys, parseFinal, parseLive } from "./records.js";
 import type { Replica } from "./replica.js";
-import type { Store } from "./store.js";
+import type { Store } from "./state-store.js";
 
 /** What the state service holds of a job. */
 export type FoundJob =
--- a/src/storage/store.ts
+++ b/src/storage/state-store.ts
@@ -17,7 +17,7 @@
 } from "../protocol/store.js";
 import type { Calls, Reply } from "../transport/client.js";
 import { sleep, steadyNow } from "../transport/clock.js";
-import { Budget } from "./budget.js";
+import { Budget } from "./token-bucket.js";
 
 export type TxnResult =
   | { readonly kind: "applied"; readonly rev: Revision }
--- a/src/coordination/batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -1,14 +1,8 @@
 import { ABSENT, type JobId, type MachineId, type Revision, type ShardId } from "@umberfold/ids";
 import { CONDITIONS_PER_OP, type Condition, type Op, type Txn } from "../protocol/store.js";
-import { fleetPageValue, MACHINE_BYTES, progressBytes, workPageValue } from "../storage/pages.js";
-import {
-  type FinalJob,
-  finalValue,
-  keys,
-  type MachineRecord,
-  type Progress,
-} from "../storage/records.js";
-import type { Replica } from "../storage/replica.js";
+import { fleetPageValue, MACHINE_BYTES, progressBytes, workPageValue } from "./pages.js";
+import { type FinalJob, finalValue, keys, type MachineRecord, type Progress } from "./records.js";
+import type { Replica } from "./replica.js";
 
 /** Bytes of a transaction that are left for keys, versions and names. */
 const TXN_BYTES = 58 * 1024;
--- a/test/loop-lag.test.ts
+++ b/test/coordination/membership/event-loop-lag.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { mono } from "@umberfold/ids";
-import { LoopLag } from "../src/coordination/loop-lag.js";
+import { LoopLag } from "../../../src/coordination/membership/event-loop-lag.js";
 
 /**
  * A controller short of processor time found reports unread for seconds, and gave up the machines
--- a/test/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, mono, revision, shardId, wall } from "@umberfold/ids";
-import type { Context } from "../src/coordination/context.js";
-import { LoopLag } from "../src/coordination/loop-lag.js";
-import type { Membership } from "../src/coordination/membership.js";
-import { ShardState } from "../src/coordination/shard-state.js";
-import { fleetPageValue } from "../src/storage/pages.js";
-import { keys } from "../src/storage/records.js";
-import { Replica } from "../src/storage/replica.js";
+import type { Context } from "../../../src/coordination/context.js";
+import { LoopLag } from "../../../src/coordination/membership/event-loop-lag.js";
+import type { Membership } from "../../../src/coordination/membership/membership.js";
+import { ShardState } from "../../../src/coordination/ownership/shard-state.js";
+import { fleetPageValue } from "../../../src/storage/pages.js";
+import { keys } from "../../../src/storage/records.js";
+import { Replica } from "../../../src/storage/replica.js";
 
 const ID = machineId("m-000001");
 const page = (name: string): string => keys.fleet(shardId(0), name);
--- a/test/fair-queue.test.ts
+++ b/test/coordination/rounds/fair-queue.test.ts
@@ -2,11 +2,11 @@
 import test from "node:test";
 import { jobId, shardId, teamName, wall } from "@umberfold/ids";
 import { fairTurns } from "@umberfold/load-spread";
-import { fairQueue } from "../src/coordination/fair-queue.js";
-import type { JobSpec } from "../src/protocol/jobs.js";
-import type { Queued } from "../src/scheduling/order.js";
-import type { Place } from "../src/scheduling/placement.js";
-import { newJob } from "../src/storage/records.js";
+import { fairQueue } from "../../../src/coordination/rounds/fair-queue.js";
+import type { JobSpec } from "../../../src/protocol/jobs.js";
+import type { Place } from "../../../src/scheduling/placement.js";
+import type { Queued } from "../../../src/scheduling/queue-order.js";
+import { newJob } from "../../../src/storage/records.js";
 
 const CAPACITY = { cpus: 100, gpus: 0, ramGb: 400 };
 
--- a/test/quotas.test.ts
+++ b/test/coordination/sharding/shard-quotas.test.ts
@@ -2,10 +2,10 @@
 import test from "node:test";
 import { revision, shardId, teamName } from "@umberfold/ids";
 import { WHOLE } from "@umberfold/spans";
-import { Quotas } from "../src/coordination/quotas.js";
-import { teamsValue } from "../src/storage/cluster-records.js";
-import { keys } from "../src/storage/records.js";
-import { Replica } from "../src/storage/replica.js";
+import { Quotas } from "../../../src/coordination/sharding/shard-quotas.js";
+import { teamsValue } from "../../../src/storage/cluster-records.js";
+import { keys } from "../../../src/storage/records.js";
+import { Replica } from "../../../src/storage/replica.js";
 
 const TEAM = teamName("ops one");
 const HOME = shardId(0);
--- a/test/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { runCluster } from "./loopback/cluster.js";
+import { runCluster } from "./cluster.js";
 
 /**
  * A short run with real processes and sockets: counts and the order of events, never times. How long
--- a/test/measure/planner.ts
+++ b/test/measure/planner.ts
@@ -13,7 +13,7 @@
 import { build } from "hdr-histogram-js";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { defaultPackages } from "../../src/cli/packages.js";
+import { defaultPackages } from "../../src/config/packages.js";
 
 /** Solver and proportional plan on the same random inputs: what each costs, and how long it takes. */
 const RUNS = 200;
--- a/test/known-red.test.ts
+++ b/test/runner/known-red.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { judgeRun, parseKnownRed } from "./runner/known-red.js";
+import { judgeRun, parseKnownRed } from "./known-red.js";
 
 const RED = "a | the cause | issue 14";
 
--- a/test/meetings.test.ts
+++ b/test/scenarios/combined-faults.test.ts
@@ -1,8 +1,12 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { type CancelStep, type CancelView, judgeCancel } from "../src/coordination/cancels.js";
-import type { Gap, Sabotage, Trouble } from "./sim/faults.js";
-import { World } from "./sim/world.js";
+import {
+  type CancelStep,
+  type CancelView,
+  judgeCancel,
+} from "../../src/coordination/cancellation/cancellations.js";
+import type { Gap, Sabotage, Trouble } from "../sim/faults.js";
+import { World } from "../sim/world.js";
 
 /** Days on which two troubles meet. Each asserts that the meeting came about. */
 const calm: Trouble = { lost: 0, crashes: false, outages: false, deaths: false };
--- a/test/floods.test.ts
+++ b/test/scenarios/floods.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import type { Sabotage, Scale, Trouble } from "./sim/faults.js";
-import { World } from "./sim/world.js";
+import type { Sabotage, Scale, Trouble } from "../sim/faults.js";
+import { World } from "../sim/world.js";
 
 /**
  * Days with many times as many questions, a guest team's masses of jobs, jobs with a mistake, and
--- a/test/load-spread-days.test.ts
+++ b/test/scenarios/load-spread.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { parseSpan, type Span, WHOLE } from "@umberfold/spans";
-import { type Burst, scheduleBurst } from "./sim/burst.js";
-import type { Scale, Trouble } from "./sim/faults.js";
-import { World } from "./sim/world.js";
+import { type Burst, scheduleBurst } from "../sim/burst.js";
+import type { Scale, Trouble } from "../sim/faults.js";
+import { World } from "../sim/world.js";
 
 /**
  * Simulated days with load spreading on: bursts of one team or two, alone and beside troubles. The
--- a/test/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -12,22 +12,26 @@
   teamName,
   wall,
 } from "@umberfold/ids";
-import { defaultOperators } from "../src/cli/operators.js";
-import { Batch } from "../src/coordination/batch.js";
-import { closeAttempts, endDueJobs, newShardRound } from "../src/coordination/closing.js";
-import type { Context } from "../src/coordination/context.js";
-import { LoopLag } from "../src/coordination/loop-lag.js";
-import { MachineRecords } from "../src/coordination/machine-records.js";
-import type { Membership } from "../src/coordination/membership.js";
-import { PlacementRound } from "../src/coordination/placement-round.js";
-import { Quotas } from "../src/coordination/quotas.js";
-import { ShardState } from "../src/coordination/shard-state.js";
-import type { JobSpec } from "../src/protocol/jobs.js";
-import { teamsValue, typesValue } from "../src/storage/cluster-records.js";
-import { fleetPageValue, workPageValue } from "../src/storage/pages.js";
-import { keys, type Progress } from "../src/storage/records.js";
-import { Replica } from "../src/storage/replica.js";
-import { SimClock } from "./sim/clock.js";
+import { defaultOperators } from "../../src/config/operators.js";
+import type { Context } from "../../src/coordination/context.js";
+import { LoopLag } from "../../src/coordination/membership/event-loop-lag.js";
+import type { Membership } from "../../src/coordination/membership/membership.js";
+import { ShardState } from "../../src/coordination/ownership/shard-state.js";
+import {
+  closeAttempts,
+  endDueJobs,
+  newShardRound,
+} from "../../src/coordination/rounds/attempt-termination.js";
+import { MachineRecords } from "../../src/coordination/rounds/machine-record-phase.js";
+import { PlacementRound } from "../../src/coordination/rounds/placement-phase.js";
+import { Quotas } from "../../src/coordination/sharding/shard-quotas.js";
+import type { JobSpec } from "../../src/protocol/jobs.js";
+import { teamsValue, typesValue } from "../../src/storage/cluster-records.js";
+import { fleetPageValue, workPageValue } from "../../src/storage/pages.js";
+import { keys, type Progress } from "../../src/storage/records.js";
+import { Replica } from "../../src/storage/replica.js";
+import { Batch } from "../../src/storage/transaction-batch.js";
+import { SimClock } from "../sim/clock.js";
 
 /**
  * A round costs what waits and what changed. Steps are counted, not time: reads of what jobs ask
--- a/test/safety.test.ts
+++ b/test/scenarios/safety.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import type { Sabotage, Trouble } from "./sim/faults.js";
-import { World } from "./sim/world.js";
+import type { Sabotage, Trouble } from "../sim/faults.js";
+import { World } from "../sim/world.js";
 
 const calm: Trouble = { lost: 0, crashes: false, outages: false, deaths: false };
 
--- a/test/swarm.test.ts
+++ b/test/scheduling/swarm.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, type TaskId } from "@umberfold/ids";
-import type { Resources } from "../src/protocol/jobs.js";
-import { apartLimit, permitted } from "../src/scheduling/placement.js";
-import { pheromone, type SwarmMachine, swarmRound } from "../src/scheduling/swarm.js";
+import type { Resources } from "../../src/protocol/jobs.js";
+import { apartLimit, permitted } from "../../src/scheduling/placement.js";
+import { pheromone, type SwarmMachine, swarmRound } from "../../src/scheduling/swarm.js";
 
 const r = (cpus: number, ramGb: number, gpus = 0): Resources => ({ cpus, gpus, ramGb });
 
--- a/test/periodic-task.test.ts
+++ b/test/service/periodic-task.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { periodicTask, rested, startPeriodic } from "../src/service/periodic-task.js";
-import { SimClock } from "./sim/clock.js";
+import { periodicTask, rested, startPeriodic } from "../../src/service/periodic-task.js";
+import { SimClock } from "../sim/clock.js";
 
 /** How long a decision that took so long rests, at five times as long. */
 const cases: readonly (readonly [string, number, number])[] = [
--- a/test/sim/settings.ts
+++ b/test/sim/settings.ts
@@ -1,4 +1,4 @@
-import { parseSettings, type Settings } from "../../src/cli/settings.js";
+import { parseSettings, type Settings } from "../../src/config/settings.js";
 
 /** The settings and the machine types of a simulated deployment. */
 export const LEASE_MS = 21_000;
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -1,9 +1,9 @@
 import { incarnation } from "@umberfold/ids";
-import { defaultOperators } from "../../src/cli/operators.js";
-import { defaultPackages, type PackageSettings } from "../../src/cli/packages.js";
+import { defaultOperators } from "../../src/config/operators.js";
+import { defaultPackages, type PackageSettings } from "../../src/config/packages.js";
 import { makeLogger } from "../../src/observability/log.js";
 import { decode, encode } from "../../src/protocol/cbor.js";
-import { makeNode, type Node } from "../../src/service/node.js";
+import { makeNode, type Node } from "../../src/service/controller.js";
 import type { PeriodicTask } from "../../src/service/periodic-task.js";
 import type { Calls, Reply } from "../../src/transport/client.js";
 import type { Answer } from "../../src/transport/server.js";
--- a/test/group-commit.test.ts
+++ b/test/storage/group-commit.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { ABSENT, revision } from "@umberfold/ids";
-import type { Txn } from "../src/protocol/store.js";
-import { GroupCommit } from "../src/storage/group-commit.js";
-import { Store, type TxnResult } from "../src/storage/store.js";
-import type { Calls, Reply } from "../src/transport/client.js";
-import { SimClock } from "./sim/clock.js";
-import { FakeStateStore } from "./sim/fakes/state-store.js";
+import type { Txn } from "../../src/protocol/store.js";
+import { GroupCommit } from "../../src/storage/group-commit.js";
+import { Store, type TxnResult } from "../../src/storage/state-store.js";
+import type { Calls, Reply } from "../../src/transport/client.js";
+import { SimClock } from "../sim/clock.js";
+import { FakeStateStore } from "../sim/fakes/state-store.js";
 
 /** Accepts in masses share transactions, and what befalls one of them is no other's answer. */
 type Fate = "applied" | "lost" | "names_none" | "refused";
--- a/test/job-reader.test.ts
+++ b/test/storage/job-reader.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { jobId, revision, teamName, wall } from "@umberfold/ids";
-import type { JobSpec } from "../src/protocol/jobs.js";
-import { type FoundJob, JobReader } from "../src/storage/job-reader.js";
-import { finalValue, keys, liveValue } from "../src/storage/records.js";
-import { Replica } from "../src/storage/replica.js";
-import { Store } from "../src/storage/store.js";
-import type { Calls, Reply } from "../src/transport/client.js";
-import { SimClock } from "./sim/clock.js";
-import { FakeStateStore } from "./sim/fakes/state-store.js";
+import type { JobSpec } from "../../src/protocol/jobs.js";
+import { type FoundJob, JobReader } from "../../src/storage/job-reader.js";
+import { finalValue, keys, liveValue } from "../../src/storage/records.js";
+import { Replica } from "../../src/storage/replica.js";
+import { Store } from "../../src/storage/state-store.js";
+import type { Calls, Reply } from "../../src/transport/client.js";
+import { SimClock } from "../sim/clock.js";
+import { FakeStateStore } from "../sim/fakes/state-store.js";
 
 /**
  * Many questions cost few requests, and none is answered older than the state service was when it
--- a/test/transport.test.ts
+++ b/test/transport/transport.test.ts
@@ -2,8 +2,8 @@
 import http from "node:http";
 import net, { type AddressInfo } from "node:net";
 import test from "node:test";
-import { Caller } from "../src/transport/client.js";
-import { MAX_BODY, makeServer, type Request } from "../src/transport/server.js";
+import { Caller } from "../../src/transport/client.js";
+import { MAX_BODY, makeServer, type Request } from "../../src/transport/server.js";
 
 const listen = async (handler: http.RequestListener): Promise<[http.Server, string]> => {
   const server = http.createServer(handler);
