--- a/packages/ids/src/index.ts
+++ b/packages/ids/src/index.ts
@@ -14,13 +14,13 @@
 /** A revision of the state service: it only rises, over all keys together. */
 export type Revision = Branded<number, "Revision">;
 /** Who may command a machine: a state-service revision, so a later owner's is always higher. */
-export type Token = Branded<number, "Token">;
-export type AttemptNo = Branded<number, "AttemptNo">;
+export type FencingToken = Branded<number, "Token">;
+export type AttemptNumber = Branded<number, "AttemptNo">;
 export type LeaseId = Branded<number, "LeaseId">;
 /** Milliseconds of this process's steady clock. */
-export type Mono = Branded<number, "Mono">;
+export type MonotonicMs = Branded<number, "Mono">;
 /** Milliseconds of the time of day, right within `skew_ms`. */
-export type Wall = Branded<number, "Wall">;
+export type WallClockMs = Branded<number, "Wall">;
 
 export const jobId = (s: string): JobId => s as JobId;
 export const machineId = (s: string): MachineId => s as MachineId;
@@ -29,19 +29,19 @@
 export const teamName = (s: string): TeamName => s as TeamName;
 export const shardId = (n: number): ShardId => n as ShardId;
 export const revision = (n: number): Revision => n as Revision;
-export const token = (n: number): Token => n as Token;
-export const attemptNo = (n: number): AttemptNo => n as AttemptNo;
+export const fencingToken = (n: number): FencingToken => n as FencingToken;
+export const attemptNumber = (n: number): AttemptNumber => n as AttemptNumber;
 export const leaseId = (n: number): LeaseId => n as LeaseId;
-export const mono = (n: number): Mono => n as Mono;
-export const wall = (n: number): Wall => n as Wall;
+export const monotonicMs = (n: number): MonotonicMs => n as MonotonicMs;
+export const wallClockMs = (n: number): WallClockMs => n as WallClockMs;
 
 /** The version of a key that does not exist. */
-export const ABSENT = revision(0);
+export const KEY_ABSENT = revision(0);
 
 export const taskId = (job: JobId, index: number): TaskId => `${job}/${index}` as TaskId;
 
 /** Names one attempt of one task. */
-export const attemptKey = (task: TaskId, attempt: AttemptNo): string => `${task}#${attempt}`;
+export const attemptKey = (task: TaskId, attempt: AttemptNumber): string => `${task}#${attempt}`;
 
 export const splitTask = (task: TaskId): { job: JobId; index: number } => {
   const slash = task.lastIndexOf("/");
--- a/packages/spans/src/codec.ts
+++ b/packages/spans/src/codec.ts
@@ -5,7 +5,7 @@
 const FORMAT = 1;
 const STATES: readonly EntryState[] = ["active", "draining"];
 
-export const spanValue = (span: Span): unknown => ({
+export const encodeSpan = (span: Span): unknown => ({
   f: FORMAT,
   h: span.home,
   e: span.entries.map((e) => [e.shard, STATES.indexOf(e.state), e.share, e.target, e.weight]),
--- a/packages/spans/src/index.ts
+++ b/packages/spans/src/index.ts
@@ -2,7 +2,7 @@
  * A team that spans several shards. Its quota (limit and guarantee) is held in escrow: each shard of
  * the span has a share of it, and opens attempts within that share alone, without asking anybody.
  */
-export { parseSpan, spanValue } from "./codec.js";
+export { encodeSpan as spanValue, parseSpan } from "./codec.js";
 export {
   type EntryState,
   homeSpan,
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -57,7 +57,9 @@
     if (!switches.ok) faults.push(...switches.faults.map((f) => `${packages}: ${f}`));
     else if (settings.ok)
       faults.push(
-        ...checkAgainstShards(switches.value, settings.value.size).map((f) => `${packages}: ${f}`),
+        ...checkAgainstShards(switches.value, settings.value.shardCount).map(
+          (f) => `${packages}: ${f}`,
+        ),
       );
   }
   if (!settings.ok || !knobs.ok || !switches.ok || faults.length > 0) return { ok: false, faults };
@@ -80,7 +82,7 @@
   }
   const { settings, operators, packages } = loaded.value;
   const log = makeLogger(parseLevel(process.env.LOG_LEVEL), { node: settings.label });
-  for (const what of settings.passedOver) log.info("objective passed over", { what });
+  for (const what of settings.ignoredObjectives) log.info("objective passed over", { what });
   // Last resort: a fault in one request or pass must not end what serves all others.
   process.on("uncaughtException", (e) => log.error("uncaught", { error: String(e.stack ?? e) }));
   process.on("unhandledRejection", (e) => log.error("unhandled", { error: String(e) }));
--- a/src/config/field-reader.ts
+++ b/src/config/field-reader.ts
@@ -1,7 +1,7 @@
 import { isMap } from "../protocol/cbor.js";
 
 /** Reads fields of an untrusted map and gathers every fault instead of stopping at the first. */
-export class Reader {
+export class FieldReader {
   constructor(
     private readonly source: Readonly<Record<string, unknown>>,
     readonly where: string,
@@ -13,8 +13,8 @@
   }
 
   /** The same fields, with faults gathered apart. */
-  apart(faults: string[]): Reader {
-    return new Reader(this.source, this.where, faults);
+  apart(faults: string[]): FieldReader {
+    return new FieldReader(this.source, this.where, faults);
   }
 
   has(name: string): boolean {
@@ -60,14 +60,14 @@
     return fallback;
   }
 
-  section(name: string): Reader {
+  section(name: string): FieldReader {
     const v = this.source[name];
-    if (isMap(v)) return new Reader(v, this.#at(name), this.faults);
+    if (isMap(v)) return new FieldReader(v, this.#at(name), this.faults);
     this.faults.push(`${this.#at(name)}: section is missing`);
-    return new Reader({}, this.#at(name), []);
+    return new FieldReader({}, this.#at(name), []);
   }
 
-  rows(name: string): readonly Reader[] {
+  rows(name: string): readonly FieldReader[] {
     const v = this.source[name];
     if (v === undefined) return [];
     if (!Array.isArray(v)) {
@@ -76,9 +76,9 @@
     }
     return v.map((row, i) => {
       const at = `${this.#at(name)}[${i}]`;
-      if (isMap(row)) return new Reader(row, at, this.faults);
+      if (isMap(row)) return new FieldReader(row, at, this.faults);
       this.faults.push(`${at}: must be a table`);
-      return new Reader({}, at, []);
+      return new FieldReader({}, at, []);
     });
   }
 
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -1,4 +1,4 @@
-import { Reader } from "./field-reader.js";
+import { FieldReader } from "./field-reader.js";
 import { parseHcl } from "./hcl.js";
 import type { Checked } from "./settings.js";
 
@@ -84,13 +84,13 @@
 export const checkOperators = (raw: Readonly<Record<string, unknown>>): Checked<Operators> => {
   const faults: string[] = [];
   const sections = [...new Set(OPERATOR_SETTINGS.map((k) => k.section))];
-  new Reader(raw, "", faults).only(sections);
+  new FieldReader(raw, "", faults).only(sections);
   const out: Record<string, number> = {};
   for (const section of sections) {
     const block = raw[section];
     const body = Array.isArray(block) ? block[0] : block;
     if (Array.isArray(block) && block.length > 1) faults.push(`${section}: block appears twice`);
-    const reader = new Reader(
+    const reader = new FieldReader(
       typeof body === "object" && body !== null ? { ...body } : {},
       section,
       faults,
--- a/src/config/packages.ts
+++ b/src/config/packages.ts
@@ -1,5 +1,5 @@
 import type { LoadSpreadSettings } from "@umberfold/load-spread";
-import { Reader } from "./field-reader.js";
+import { FieldReader } from "./field-reader.js";
 import { parseHcl } from "./hcl.js";
 import type { Checked } from "./settings.js";
 
@@ -38,7 +38,7 @@
   { name: "period_ms", key: "periodMs", least: 50, most: 60_000, fallback: 1000 },
 ];
 
-const loadSpread = (reader: Reader): LoadSpreadSettings => {
+const loadSpread = (reader: FieldReader): LoadSpreadSettings => {
   reader.only([
     "enabled",
     "fair_shares",
@@ -65,14 +65,14 @@
 /** `raw` is the file as a map: HCL blocks arrive as lists of one map, JSON objects as they are. */
 export const checkPackages = (raw: Readonly<Record<string, unknown>>): Checked<PackageSettings> => {
   const faults: string[] = [];
-  new Reader(raw, "", faults).only([LOAD_SPREAD]);
+  new FieldReader(raw, "", faults).only([LOAD_SPREAD]);
   const block = raw[LOAD_SPREAD];
   if (Array.isArray(block) && block.length > 1) faults.push(`${LOAD_SPREAD}: block appears twice`);
   const body = Array.isArray(block) ? block[0] : block;
   if (body !== undefined && (typeof body !== "object" || body === null))
     faults.push(`${LOAD_SPREAD}: must be a block`);
   const fields = typeof body === "object" && body !== null ? { ...body } : {};
-  const value = { loadSpread: loadSpread(new Reader(fields, LOAD_SPREAD, faults)) };
+  const value = { loadSpread: loadSpread(new FieldReader(fields, LOAD_SPREAD, faults)) };
   return faults.length > 0 ? { ok: false, faults } : { ok: true, value };
 };
 
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,7 @@
 import { type ControllerLabel, controllerLabel, type TeamName, teamName } from "@umberfold/ids";
 import { parse } from "smol-toml";
 import { leastSockets } from "../transport/sockets.js";
-import { Reader } from "./field-reader.js";
+import { FieldReader } from "./field-reader.js";
 
 export interface Team {
   readonly name: TeamName;
@@ -30,7 +30,7 @@
 ];
 
 /** An aim that can't be read is no reason not to start: it is passed over, and logged. */
-const objective = (r: Reader, passedOver: string[]): Objective | undefined => {
+const objective = (r: FieldReader, passedOver: string[]): Objective | undefined => {
   const faults: string[] = [];
   const row = r.apart(faults);
   const kind = row.text("kind");
@@ -57,18 +57,18 @@
 export interface Settings {
   readonly label: ControllerLabel;
   readonly zone: string;
-  readonly front: string;
-  readonly internal: string;
+  readonly frontAddress: string;
+  readonly internalAddress: string;
   readonly seeds: readonly Seed[];
   readonly cloudAddress: string;
   readonly stateAddress: string;
-  readonly size: number;
+  readonly shardCount: number;
   readonly zones: readonly string[];
   readonly skewMs: number;
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
   /** Objectives that could not be read, a line each. */
-  readonly passedOver: readonly string[];
+  readonly ignoredObjectives: readonly string[];
   readonly workers: {
     readonly reportS: number;
     readonly leaseS: number;
@@ -104,8 +104,8 @@
     return { ok: false, faults: [`not TOML: ${String((e as Error).message).split("\n")[0]}`] };
   }
   const faults: string[] = [];
-  const passedOver: string[] = [];
-  const top = new Reader({ ...(raw as object) }, "", faults);
+  const ignoredObjectives: string[] = [];
+  const top = new FieldReader({ ...(raw as object) }, "", faults);
   const services = top.section("services");
   const params = top.section("params");
   const workers = params.section("workers");
@@ -116,15 +116,15 @@
   const value: Settings = {
     label: controllerLabel(top.text("label")),
     zone: top.text("area"),
-    front: top.address("front"),
-    internal: top.address("internal_addr"),
+    frontAddress: top.address("front"),
+    internalAddress: top.address("internal_addr"),
     seeds: top.rows("seeds").map((r) => ({
       label: controllerLabel(r.text("label")),
       address: r.address("address"),
     })),
     cloudAddress: services.address("cloud"),
     stateAddress: services.address("state"),
-    size: params.whole("size", 1, 1000),
+    shardCount: params.whole("size", 1, 1000),
     zones: params.texts("zones"),
     skewMs: params.number("skew_ms", 0, ANY, 0),
     teams: params.rows("teams").map((r) => ({
@@ -134,8 +134,8 @@
       cpusMax: limit(r.number("cpus_max", 0, ANY, 0)),
       gpusMax: limit(r.number("gpus_max", 0, ANY, 0)),
     })),
-    objectives: params.rows("objectives").flatMap((r) => objective(r, passedOver) ?? []),
-    passedOver,
+    objectives: params.rows("objectives").flatMap((r) => objective(r, ignoredObjectives) ?? []),
+    ignoredObjectives,
     workers: {
       reportS: workers.number("report_s", 0.01, ANY),
       leaseS: workers.number("lease_s", 0.1, ANY),
--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -3,19 +3,23 @@
   type ControllerLabel,
   type JobId,
   type MachineId,
-  type Mono,
+  type MonotonicMs,
   type TaskId,
   taskId,
 } from "@umberfold/ids";
-import { MAX_RETURN, returnBody } from "../../protocol/cloud.js";
-import { type CancelNotice, EMPTY_MESSAGE, encodePeer } from "../../protocol/peer.js";
-import { ordersBody, parseReport, type Report } from "../../protocol/workers.js";
-import { keys, liveValue, type OpenAttempt } from "../../storage/records.js";
-import type { Calls } from "../../transport/client.js";
-import { sleep, steadyNow, timeOfDay } from "../../transport/clock.js";
-import { addressOf, type Context } from "../context.js";
+import { MAX_RETURNS_PER_CALL, returnBody } from "../../protocol/cloud.js";
+import {
+  type CancellationNotice,
+  EMPTY_PEER_MESSAGE,
+  encodePeerMessage,
+} from "../../protocol/peer.js";
+import { commandsBody, parseWorkerStatus, type WorkerStatus } from "../../protocol/workers.js";
+import { encodeAcceptedJob, keys, type OpenAttempt } from "../../storage/records.js";
+import type { HttpClient } from "../../transport/client.js";
+import { monotonicNow, sleep, wallClockNow } from "../../transport/clock.js";
+import { type ControllerContext, peerAddress } from "../context.js";
 import type { Membership } from "../membership/membership.js";
-import { findAttempt } from "../ownership/worker-session.js";
+import { observeAttempt } from "../ownership/worker-session.js";
 import type { ShardOwner } from "../rounds/shard-owner.js";
 
 /** How long a confirmation may wait for the watch and for the owner; then the user asks again. */
@@ -47,9 +51,9 @@
 const SHOW_MS = 4000;
 const LAST_PART = 0.85;
 
-export type CancelStep = "rest" | "stop" | "retire" | "force_return";
+export type CancellationAction = "none" | "stop" | "decommission" | "force_return";
 
-export interface CancelView {
+export interface CancellationView {
   /** It is proved that the task is not on the machine and can't start there any more. */
   readonly gone: boolean;
   readonly ageMs: number;
@@ -61,21 +65,21 @@
 }
 
 /** What an open attempt of a cancelled job calls for. */
-export const judgeCancel = (v: CancelView): CancelStep => {
-  if (v.gone) return "rest";
+export const decideCancellationAction = (v: CancellationView): CancellationAction => {
+  if (v.gone) return "none";
   const part = v.ageMs / v.cancelMs;
   if (part < RETIRE_PART) return "stop";
   // The owner before may have ended all of it; the machine tells as soon as it is asked.
   const hurry = part >= LAST_PART && part < 1;
   if (v.unshownMs !== null && v.unshownMs < SHOW_MS && !hurry) return "stop";
-  return v.failing || part >= FORCE_RETURN_PART ? "force_return" : "retire";
+  return v.failing || part >= FORCE_RETURN_PART ? "force_return" : "decommission";
 };
 
 /** PeerAnswers on their way to one other controller: one message at a time, all that waits in the next. */
 interface Outbox {
   readonly waiting: Map<
     JobId,
-    { readonly notice: CancelNotice; readonly done: ((ok: boolean) => void)[] }
+    { readonly notice: CancellationNotice; readonly done: ((ok: boolean) => void)[] }
   >;
   sending: boolean;
 }
@@ -96,7 +100,7 @@
   #taking = false;
   #seeing = false;
   /** When a owner last answered for a job's tasks. */
-  readonly #answeredFor = new Map<JobId, Mono>();
+  readonly #answeredFor = new Map<JobId, MonotonicMs>();
   readonly counters = {
     confirmed: 0,
     unconfirmed: 0,
@@ -106,12 +110,12 @@
   };
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     private readonly owner: ShardOwner,
-    private readonly cloud: Calls,
-    private readonly peers: Calls,
-    private readonly workers: Calls,
+    private readonly cloud: HttpClient,
+    private readonly peers: HttpClient,
+    private readonly workers: HttpClient,
   ) {}
 
   // ---- Telling the user ---------------------------------------------------------------------
@@ -120,7 +124,7 @@
    * Whether a user may be told that the job is cancelled, as its record at `rev` says. False: not
    * yet, the user asks again.
    */
-  confirm(notice: CancelNotice): Promise<boolean> {
+  confirm(notice: CancellationNotice): Promise<boolean> {
     if (this.#told.has(notice.job)) return Promise.resolve(true);
     const known = this.#asking.get(notice.job);
     if (known !== undefined) return known;
@@ -129,24 +133,24 @@
     return asked;
   }
 
-  async #confirm(notice: CancelNotice): Promise<boolean> {
-    const { settings, replica, me } = this.ctx;
-    const until = steadyNow() + CONFIRM_MS;
-    this.heard([notice]);
+  async #confirm(notice: CancellationNotice): Promise<boolean> {
+    const { settings, replica, self } = this.ctx;
+    const until = monotonicNow() + CONFIRM_MS;
+    this.receiveNotices([notice]);
     // All are told, so that whoever is left looks after it; the owner's acknowledgment is what counts.
     const acks = new Map(
       settings.seeds.map((s) => [s.label, this.#tell(s.label, notice)] as const),
     );
     // Whoever takes the shard after this revision has read the record before it acts on it. Who
     // took it before is known here once the watch has come to it.
-    while (replica.position < notice.rev) {
-      if (steadyNow() >= until) return this.#count(false);
+    while (replica.syncedRevision < notice.rev) {
+      if (monotonicNow() >= until) return this.#count(false);
       await sleep(POSITION_MS);
     }
     const shard = replica.shardOf(notice.job);
     const label = shard === undefined ? undefined : this.membership.ownerOf(shard)?.label;
     if (label === undefined) return this.#count(false);
-    const sure = label === me.label || (await (acks.get(label) ?? false));
+    const sure = label === self.label || (await (acks.get(label) ?? false));
     if (sure) this.#remember(notice.job);
     return this.#count(sure);
   }
@@ -165,7 +169,7 @@
   // ---- Notices between controllers -----------------------------------------------------------
 
   /** True once the other controller has acknowledged it; false if it didn't in a short time. */
-  #tell(to: ControllerLabel, notice: CancelNotice): Promise<boolean> {
+  #tell(to: ControllerLabel, notice: CancellationNotice): Promise<boolean> {
     let box = this.#outboxes.get(to);
     if (box === undefined) {
       box = { waiting: new Map(), sending: false };
@@ -181,17 +185,21 @@
   async #send(to: ControllerLabel, box: Outbox): Promise<void> {
     if (box.sending) return;
     box.sending = true;
-    const address = addressOf(this.ctx.settings, to);
+    const address = peerAddress(this.ctx.settings, to);
     while (box.waiting.size > 0) {
       const rows = [...box.waiting.values()].slice(0, NOTICES_A_MESSAGE);
       for (const r of rows) box.waiting.delete(r.notice.job);
       const cancelled = rows.map((r) => r.notice);
-      const payload = encodePeer({ ...EMPTY_MESSAGE, from: this.ctx.me.label, cancelled });
+      const payload = encodePeerMessage({
+        ...EMPTY_PEER_MESSAGE,
+        from: this.ctx.self.label,
+        cancelled,
+      });
       this.counters.notices += rows.length;
       const r =
         address === undefined
           ? undefined
-          : await this.peers.raw(address, "POST", "/peer", payload, NOTICE_MS);
+          : await this.peers.callRaw(address, "POST", "/peer", payload, NOTICE_MS);
       const ok = r?.kind === "answer" && r.status === 204;
       for (const row of rows) for (const done of row.done) done(ok);
     }
@@ -203,24 +211,24 @@
    * that needs no write. A notice of a job that is not known changes nothing: nothing of it can have
    * been started from here, and what starts it later must name its record's revision.
    */
-  heard(notices: readonly CancelNotice[]): void {
+  receiveNotices(notices: readonly CancellationNotice[]): void {
     const { replica } = this.ctx;
     for (const w of notices) {
       const a = replica.accepted.get(w.job);
       if (a === undefined) continue;
       if (a.rev < w.rev && a.value.cancelledAt === null) {
-        const value = liveValue({ ...a.value, cancelledAt: w.at });
+        const value = encodeAcceptedJob({ ...a.value, cancelledAt: w.at });
         replica.apply({ kind: "put", key: keys.live(w.job), value, rev: w.rev });
       }
       this.#stop(w.job);
     }
-    if (notices.length > 0) this.owner.owned.wake();
+    if (notices.length > 0) this.owner.state.wake();
   }
 
   #stop(id: JobId): void {
-    const { owned, channel } = this.owner;
+    const { state, channel } = this.owner;
     for (const o of this.ctx.replica.job(id)?.open ?? [])
-      if (owned.sessions.has(o.machine)) channel.callMachine(o.machine, true);
+      if (state.sessions.has(o.machine)) channel.callMachine(o.machine, true);
   }
 
   // ---- Until nothing is left ----------------------------------------------------------------
@@ -231,13 +239,13 @@
     if (!ctx.synced) return;
     const cancelMs = ctx.settings.workers.cancelS * 1000;
     const away = new Set<MachineId>();
-    const others: { id: JobId; notice: CancelNotice; ageMs: number }[] = [];
+    const others: { id: JobId; notice: CancellationNotice; ageMs: number }[] = [];
     for (const [id, { value: a, rev }] of ctx.replica.accepted) {
       if (a.cancelledAt === null) continue;
-      const ageMs = timeOfDay() - a.cancelledAt;
+      const ageMs = wallClockNow() - a.cancelledAt;
       const shard = ctx.replica.shardOf(id);
-      if (shard !== undefined && this.membership.holds(shard)) this.#tendOwn(id, ageMs, away);
-      else if (ctx.store.failing() && ageMs >= cancelMs * OTHERS_PART)
+      if (shard !== undefined && this.membership.ownsShard(shard)) this.#tendOwn(id, ageMs, away);
+      else if (ctx.store.isFailing() && ageMs >= cancelMs * OTHERS_PART)
         others.push({ id, notice: { job: id, rev, at: a.cancelledAt }, ageMs });
     }
     if (others.length > 0) void this.#seeThrough(others);
@@ -245,30 +253,30 @@
   }
 
   #tendOwn(id: JobId, ageMs: number, away: Set<MachineId>): void {
-    const { owned, channel } = this.owner;
+    const { state, channel } = this.owner;
     const { replica, settings, store } = this.ctx;
-    const now = steadyNow();
+    const now = monotonicNow();
     for (const o of replica.job(id)?.open ?? []) {
-      const s = owned.sessions.get(o.machine);
+      const s = state.sessions.get(o.machine);
       if (s === undefined || replica.isGone(o.machine) || this.#forceReturned.has(o.machine))
         continue;
-      const found = findAttempt(s, taskId(id, o.index), o.attempt);
-      const step = judgeCancel({
+      const found = observeAttempt(s, taskId(id, o.index), o.attempt);
+      const step = decideCancellationAction({
         gone:
-          found.kind === "absent" || (found.kind === "present" && found.report.stage === "ended"),
+          found.kind === "absent" || (found.kind === "present" && found.report.phase === "ended"),
         ageMs,
         cancelMs: settings.workers.cancelS * 1000,
-        failing: store.failing(),
-        unshownMs: s.state === "unheard" || s.state === "claiming" ? now - s.heardAt : null,
+        failing: store.isFailing(),
+        unshownMs: s.state === "unknown" || s.state === "fencing" ? now - s.lastHeardAt : null,
       });
-      if (step === "rest") continue;
-      const note = owned.note(o.machine);
-      if (now - note.calledAt >= AGAIN_MS) channel.callMachine(o.machine, true);
+      if (step === "none") continue;
+      const note = state.machineState(o.machine);
+      if (now - note.lastCallAt >= AGAIN_MS) channel.callMachine(o.machine, true);
       if (step === "stop") continue;
-      if (note.retire?.force !== true) {
-        note.retire = { reason: "cancelled task stays", force: true };
-        owned.disturbed.add(o.machine);
-        owned.wake();
+      if (note.decommission?.force !== true) {
+        note.decommission = { reason: "cancelled task stays", force: true };
+        state.dirtyMachines.add(o.machine);
+        state.wake();
       }
       if (step === "force_return") away.add(o.machine);
     }
@@ -279,7 +287,7 @@
    * The 200 proves that they are gone; the records catch up by the ordinary way.
    */
   async #takeAway(all: readonly MachineId[]): Promise<void> {
-    const ids = all.filter((id) => !this.#forceReturned.has(id)).slice(0, MAX_RETURN);
+    const ids = all.filter((id) => !this.#forceReturned.has(id)).slice(0, MAX_RETURNS_PER_CALL);
     if (this.#taking || ids.length === 0) return;
     this.#taking = true;
     try {
@@ -310,12 +318,16 @@
    * owner's.
    */
   async #seeThrough(
-    rows: readonly { readonly id: JobId; readonly notice: CancelNotice; readonly ageMs: number }[],
+    rows: readonly {
+      readonly id: JobId;
+      readonly notice: CancellationNotice;
+      readonly ageMs: number;
+    }[],
   ): Promise<void> {
     if (this.#seeing) return;
     this.#seeing = true;
     try {
-      const now = steadyNow();
+      const now = monotonicNow();
       for (const id of this.#answeredFor.keys())
         if (!this.ctx.replica.accepted.has(id)) this.#answeredFor.delete(id);
       const asked = await Promise.all(
@@ -348,18 +360,18 @@
       };
       await Promise.all(Array.from({ length: MOST_ASKED }, work));
       // Still nobody else's to write about: had the state service come back, its records decide.
-      if (this.ctx.store.failing()) await this.#takeAway(away);
+      if (this.ctx.store.isFailing()) await this.#takeAway(away);
     } finally {
       this.#seeing = false;
     }
   }
 
-  async #ownerAnswers(notice: CancelNotice): Promise<boolean> {
+  async #ownerAnswers(notice: CancellationNotice): Promise<boolean> {
     const shard = this.ctx.replica.shardOf(notice.job);
     const label = shard === undefined ? undefined : this.membership.ownerOf(shard)?.label;
-    if (label === undefined || label === this.ctx.me.label) return false;
+    if (label === undefined || label === this.ctx.self.label) return false;
     const ok = await this.#tell(label, notice);
-    if (ok) this.#answeredFor.set(notice.job, steadyNow());
+    if (ok) this.#answeredFor.set(notice.job, monotonicNow());
     return ok;
   }
 
@@ -371,8 +383,8 @@
     const endpoint = this.ctx.replica.machines.get(id)?.endpoint ?? "";
     if (endpoint === "") return false;
     const wanted = new Set(tasks.map(([task, o]) => attemptKey(task, o.attempt)));
-    const left = (r: Report) =>
-      r.tasks.filter((t) => t.stage !== "ended" && wanted.has(attemptKey(t.task, t.attempt)));
+    const left = (r: WorkerStatus) =>
+      r.tasks.filter((t) => t.phase !== "ended" && wanted.has(attemptKey(t.task, t.attempt)));
     const asked = await this.#ask(id, endpoint, "GET", "/status");
     if (asked === undefined) return false;
     const there = left(asked);
@@ -380,7 +392,7 @@
     const stops = there.map(
       ({ task, attempt }) => ({ op: "stop", task, attempt, graceS: 0 }) as const,
     );
-    const body = ordersBody(asked.token, asked.session, stops);
+    const body = commandsBody(asked.token, asked.epoch, stops);
     const after = await this.#ask(id, endpoint, "POST", "/orders", body);
     if (after === undefined || left(after).length > 0) return false;
     this.counters.stoppedForOthers += there.length;
@@ -393,9 +405,9 @@
     method: string,
     path: string,
     body?: unknown,
-  ): Promise<Report | undefined> {
+  ): Promise<WorkerStatus | undefined> {
     const r = await this.workers.call(endpoint, method, path, body, CALL_MS);
-    const report = r.kind === "answer" ? parseReport(r.body) : undefined;
+    const report = r.kind === "answer" ? parseWorkerStatus(r.body) : undefined;
     return report?.machine === id ? report : undefined;
   }
 
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -3,30 +3,30 @@
 import type { Settings, Team } from "../config/settings.js";
 import type { Logger } from "../observability/log.js";
 import type { Metrics } from "../observability/metrics.js";
-import type { Op } from "../protocol/store.js";
+import type { WriteOperation } from "../protocol/store.js";
 import type { ControllerId } from "../storage/records.js";
 import type { Replica } from "../storage/replica.js";
-import type { Store } from "../storage/state-store.js";
+import type { StateStore } from "../storage/state-store.js";
 import type { LoadSpreadHooks } from "./load-spread/hooks.js";
-import type { LoopLag } from "./membership/event-loop-lag.js";
+import type { EventLoopLag } from "./membership/event-loop-lag.js";
 import type { PauseDetector } from "./membership/pause-detector.js";
-import type { Quotas } from "./sharding/shard-quotas.js";
+import type { ShardQuotas } from "./sharding/shard-quotas.js";
 
 /** What all parts of one controller share. */
-export interface Context {
+export interface ControllerContext {
   readonly settings: Settings;
   readonly teams: ReadonlyMap<TeamName, Team>;
   /** What of each team's limit and guarantee a shard may use. */
-  readonly quotas: Quotas;
+  readonly quotas: ShardQuotas;
   readonly operators: Operators;
-  readonly store: Store;
+  readonly store: StateStore;
   readonly replica: Replica;
-  readonly me: ControllerId;
+  readonly self: ControllerId;
   readonly log: Logger;
   readonly random: () => number;
   readonly metrics: Metrics;
   readonly pauses: PauseDetector;
-  readonly lag: LoopLag;
+  readonly loopLag: EventLoopLag;
   /** Decisions of the load-spread package; absent while it is off. */
   loadSpread?: LoadSpreadHooks;
   /** False until the first scan is in. */
@@ -35,7 +35,11 @@
 }
 
 /** Takes an applied transaction into the replica at once, ahead of the watch. */
-export const absorb = (replica: Replica, ops: readonly Op[], rev: Revision): void => {
+export const applyCommitted = (
+  replica: Replica,
+  ops: readonly WriteOperation[],
+  rev: Revision,
+): void => {
   for (const op of ops)
     replica.apply(
       op.kind === "put"
@@ -45,7 +49,10 @@
 };
 
 /** Reads keys again whose revision was not what we thought. True if all could be read. */
-export const refresh = async (ctx: Context, names: Iterable<string>): Promise<boolean> => {
+export const rereadKeys = async (
+  ctx: ControllerContext,
+  names: Iterable<string>,
+): Promise<boolean> => {
   const read = await Promise.all(
     [...new Set(names)]
       .filter((key) => key !== "")
@@ -59,5 +66,5 @@
   return read.every((ok) => ok);
 };
 
-export const addressOf = (settings: Settings, label: ControllerLabel): string | undefined =>
+export const peerAddress = (settings: Settings, label: ControllerLabel): string | undefined =>
   settings.seeds.find((s) => s.label === label)?.address;
--- a/src/coordination/fleet/cloud-client.ts
+++ b/src/coordination/fleet/cloud-client.ts
@@ -1,6 +1,6 @@
-import { Budget } from "../../storage/token-bucket.js";
-import type { Calls, Reply } from "../../transport/client.js";
-import { steadyNow } from "../../transport/clock.js";
+import { TokenBucket } from "../../storage/token-bucket.js";
+import type { CallResult, HttpClient } from "../../transport/client.js";
+import { monotonicNow } from "../../transport/clock.js";
 
 /** How long a call of the cloud may take. */
 export const CLOUD_CALL_MS = 5000;
@@ -8,26 +8,26 @@
 const USABLE = 0.9;
 const BURST = 1.35;
 
-export type CloudAnswer = Extract<Reply, { kind: "answer" }>;
+export type CloudResponse = Extract<CallResult, { kind: "answer" }>;
 
 /** Calls of the cloud within its limit of requests. */
-export class Cloud {
-  readonly #budget: Budget;
+export class CloudClient {
+  readonly #budget: TokenBucket;
 
   constructor(
-    private readonly calls: Calls,
+    private readonly calls: HttpClient,
     private readonly address: string,
     rps: number,
   ) {
-    this.#budget = new Budget(rps * USABLE, rps * BURST, steadyNow());
+    this.#budget = new TokenBucket(rps * USABLE, rps * BURST, monotonicNow());
   }
 
   /** Undefined if the limit stood in the way, or no answer came: the call may have been carried out. */
-  async call(method: string, path: string, body?: unknown): Promise<CloudAnswer | undefined> {
-    if (!this.#budget.take(1, steadyNow())) return undefined;
+  async call(method: string, path: string, body?: unknown): Promise<CloudResponse | undefined> {
+    if (!this.#budget.take(1, monotonicNow())) return undefined;
     const reply = await this.calls.call(this.address, method, path, body, CLOUD_CALL_MS);
     if (reply.kind !== "answer") return undefined;
-    if (reply.status === 429) this.#budget.drain(steadyNow());
+    if (reply.status === 429) this.#budget.drain(monotonicNow());
     return reply;
   }
 }
--- a/src/coordination/fleet/failing-jobs.ts
+++ b/src/coordination/fleet/failing-jobs.ts
@@ -1,10 +1,10 @@
-import { type JobId, type Mono, mono } from "@umberfold/ids";
+import { type JobId, type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
-import { EMPTY_MESSAGE, encodePeer } from "../../protocol/peer.js";
-import { doneCount, type LiveJob } from "../../storage/records.js";
-import type { Calls } from "../../transport/client.js";
-import { steadyNow } from "../../transport/clock.js";
-import { addressOf, type Context } from "../context.js";
+import { EMPTY_PEER_MESSAGE, encodePeerMessage } from "../../protocol/peer.js";
+import { completedTaskCount, type LiveJob } from "../../storage/records.js";
+import type { HttpClient } from "../../transport/client.js";
+import { monotonicNow } from "../../transport/clock.js";
+import { type ControllerContext, peerAddress } from "../context.js";
 import type { ShardOwner } from "../rounds/shard-owner.js";
 
 /** How long an owner's notice that a job fails stands. */
@@ -17,53 +17,57 @@
  * machines for its shard, and pull the fleet up.
  */
 export class FailingJobs {
-  readonly #until = new Map<JobId, Mono>();
+  readonly #until = new Map<JobId, MonotonicMs>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly owner: ShardOwner,
-    private readonly peers: Calls,
+    private readonly peers: HttpClient,
   ) {}
 
-  note(ids: Iterable<JobId>): void {
-    const until = mono(steadyNow() + STANDS_MS);
+  record(ids: Iterable<JobId>): void {
+    const until = monotonicMs(monotonicNow() + STANDS_MS);
     for (const id of ids) this.#until.set(id, until);
   }
 
   /** Tells the leader which jobs of the shards owned here fail; it may be this controller. */
-  async tell(): Promise<void> {
-    const { replica, settings, me } = this.ctx;
-    const failing = [...this.owner.owned.failing()];
+  async reportToLeader(): Promise<void> {
+    const { replica, settings, self } = this.ctx;
+    const failing = [...this.owner.state.failingJobs()];
     const leader = replica.leader?.value.label;
     if (failing.length === 0 || leader === undefined) return;
-    if (leader === me.label) {
-      this.note(failing);
+    if (leader === self.label) {
+      this.record(failing);
       return;
     }
-    const address = addressOf(settings, leader);
+    const address = peerAddress(settings, leader);
     if (address === undefined) return;
-    const payload = encodePeer({ ...EMPTY_MESSAGE, from: me.label, failing });
-    await this.peers.raw(address, "POST", "/peer", payload, PEER_MS);
+    const payload = encodePeerMessage({ ...EMPTY_PEER_MESSAGE, from: self.label, failing });
+    await this.peers.callRaw(address, "POST", "/peer", payload, PEER_MS);
   }
 
   /** How many tasks of a job demand counts with. */
-  tasksWanted(id: JobId, spec: JobSpec): number {
+  desiredTaskCount(id: JobId, spec: JobSpec): number {
     const until = this.#until.get(id);
-    if (until === undefined) return spec.tasks;
-    if (until <= steadyNow()) {
+    if (until === undefined) return spec.taskCount;
+    if (until <= monotonicNow()) {
       this.#until.delete(id);
-      return spec.tasks;
+      return spec.taskCount;
     }
     const job = this.ctx.replica.job(id);
     if (job === undefined) return 0;
-    return Math.min(spec.tasks, doneCount(job) + Math.max(1, job.open.length));
+    return Math.min(spec.taskCount, completedTaskCount(job) + Math.max(1, job.open.length));
   }
 
   /** The live jobs as demand sees them. */
-  *wanting(): Iterable<readonly [JobId, LiveJob]> {
+  *jobsWithDesiredTasks(): Iterable<readonly [JobId, LiveJob]> {
     for (const [id, job] of this.ctx.replica.allJobs()) {
-      const tasks = this.#until.has(id) ? this.tasksWanted(id, job.spec) : job.spec.tasks;
-      yield tasks === job.spec.tasks ? [id, job] : [id, { ...job, spec: { ...job.spec, tasks } }];
+      const taskCount = this.#until.has(id)
+        ? this.desiredTaskCount(id, job.spec)
+        : job.spec.taskCount;
+      yield taskCount === job.spec.taskCount
+        ? [id, job]
+        : [id, { ...job, spec: { ...job.spec, taskCount } }];
     }
   }
 }
--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -1,19 +1,25 @@
-import { type JobId, type MachineId, type Mono, mono, type ShardId } from "@umberfold/ids";
-import { MAX_RENT } from "../../protocol/cloud.js";
-import { rankOrder } from "../../protocol/jobs.js";
-import type { MoveRequest } from "../../protocol/peer.js";
-import { demandOf } from "../../scheduling/demand.js";
+import {
+  type JobId,
+  type MachineId,
+  type MonotonicMs,
+  monotonicMs,
+  type ShardId,
+} from "@umberfold/ids";
+import { MAX_RENTALS_PER_CALL } from "../../protocol/cloud.js";
+import { priorityOrder } from "../../protocol/jobs.js";
+import type { MachineTransferRequest } from "../../protocol/peer.js";
+import { computeDemand } from "../../scheduling/demand.js";
 import {
   type DemandGroup,
   type FleetMachine,
   type FleetPlan,
-  idleMoves,
   planFleet,
+  planIdleTransfers,
 } from "../../scheduling/fleet-plan.js";
-import { NOTHING, plus } from "../../scheduling/resources.js";
-import { type MachineRecord, waitingCount } from "../../storage/records.js";
-import { steadyNow, timeOfDay } from "../../transport/clock.js";
-import type { Context } from "../context.js";
+import { add, NO_RESOURCES } from "../../scheduling/resources.js";
+import { type MachineRecord, waitingTaskCount } from "../../storage/records.js";
+import { monotonicNow, wallClockNow } from "../../transport/clock.js";
+import type { ControllerContext } from "../context.js";
 import type { ShardOwner } from "../rounds/shard-owner.js";
 import type { FailingJobs } from "./failing-jobs.js";
 import type { FleetRecords } from "./fleet-records.js";
@@ -33,21 +39,21 @@
 
 interface Transfer {
   readonly to: ShardId;
-  readonly until: Mono;
+  readonly until: MonotonicMs;
 }
 
 /** Sizes the fleet to the demand of all shards, and moves free machines to shards whose tasks wait. */
 export class FleetPlanner {
-  readonly #idleSince = new Map<MachineId, Mono>();
+  readonly #idleSince = new Map<MachineId, MonotonicMs>();
   /** When each open attempt was first seen in the records. */
-  #openSince: ReadonlyMap<string, Mono> = new Map();
+  #openSince: ReadonlyMap<string, MonotonicMs> = new Map();
   /** Machines asked to be moved: they count as their new shard's until that has failed. */
   readonly #transfers = new Map<MachineId, Transfer>();
   #levels: ReadonlyMap<string, number> = new Map();
-  #plannedAt: Mono = steadyNow();
+  #plannedAt: MonotonicMs = monotonicNow();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly records: FleetRecords,
     private readonly types: MachineTypes,
     private readonly rentals: Rentals,
@@ -58,28 +64,28 @@
 
   async plan(): Promise<void> {
     const { replica, operators, settings } = this.ctx;
-    if (!this.records.writable || replica.types === undefined) return;
+    if (!this.records.writable || replica.machineTypes === undefined) return;
     if (replica.teams === undefined) return;
-    const now = steadyNow();
+    const now = monotonicNow();
     const dtS = (now - this.#plannedAt) / 1000;
     this.#plannedAt = now;
     const { machines, late } = this.#machines(now);
-    this.owners.retire(late, "never booted");
+    this.owners.requestDecommission(late, "never booted");
     const plan = planFleet({
       types: this.types.all(),
       machines,
       demand: this.#demand(dtS),
-      refused: this.rentals.refusedOffers(now),
+      refusedOffers: this.rentals.refusedOffers(now),
       idleReturnS: operators.idleReturnS,
-      maxRents: MAX_RENT * Math.max(1, Math.floor(settings.cloud.rps)),
-      lifeS: operators.lifeS,
-      size: settings.size,
+      maxRentals: MAX_RENTALS_PER_CALL * Math.max(1, Math.floor(settings.cloud.rps)),
+      machineLifeS: operators.lifeS,
+      shardCount: settings.shardCount,
       overloaded: overloadedShards(this.ctx.replica, this.ctx.settings.workers.reportS),
     });
     if (this.ctx.log.enabled("debug")) this.#logPlan(machines, plan);
-    this.#noteTransfers(plan.moves, now);
-    this.owners.move(plan.moves, plan.returns);
-    await this.rentals.intend(plan.rents);
+    this.#noteTransfers(plan.transfers, now);
+    this.owners.requestTransfers(plan.transfers, plan.returns);
+    await this.rentals.intend(plan.rentals);
   }
 
   /**
@@ -88,67 +94,77 @@
    * own machines have room for a shard's owner has placed by then.
    */
   async rebalance(): Promise<void> {
-    if (!this.records.writable || this.ctx.replica.types === undefined) return;
+    if (!this.records.writable || this.ctx.replica.machineTypes === undefined) return;
     if (!this.#someWait()) return;
-    const now = steadyNow();
+    const now = monotonicNow();
     const machines = this.#idleMachines(now);
     if (machines.length === 0) return;
-    const { size } = this.ctx.settings;
+    const { shardCount } = this.ctx.settings;
     const overloaded = overloadedShards(this.ctx.replica, this.ctx.settings.workers.reportS);
     const demand = this.#demand(0);
-    const input = { types: this.types.all(), machines, demand, size, overloaded };
-    const moves = idleMoves(input);
+    const input = { types: this.types.all(), machines, demand, shardCount, overloaded };
+    const moves = planIdleTransfers(input);
     this.#noteTransfers(moves, now);
-    this.owners.move(moves);
+    this.owners.requestTransfers(moves);
   }
 
   /** Moves that others decided on: they count as planned here. */
-  requestMoves(moves: readonly MoveRequest[]): void {
-    this.#noteTransfers(moves, steadyNow());
-    this.owners.move(moves);
+  requestMoves(moves: readonly MachineTransferRequest[]): void {
+    this.#noteTransfers(moves, monotonicNow());
+    this.owners.requestTransfers(moves);
   }
 
   /** Whether a task waits that its shard's owner must have laid over its own machines by now. */
   #someWait(): boolean {
-    const at = timeOfDay();
-    for (const [, work] of this.ctx.replica.works())
+    const at = wallClockNow();
+    for (const [, work] of this.ctx.replica.allShardJobs())
       for (const job of work.index.waiting.values())
         if (at - job.acceptedAt > SETTLE_MS) return true;
     return false;
   }
 
-  #idleMachines(now: Mono): readonly FleetMachine[] {
+  #idleMachines(now: MonotonicMs): readonly FleetMachine[] {
     const { replica } = this.ctx;
     const machines: FleetMachine[] = [];
     for (const [id, m] of replica.machines) {
-      if (m.stage !== "up" || m.endpoint === "" || replica.isGone(id)) continue;
-      if (replica.work(m.shard).openOn(id).size > 0) continue;
+      if (m.phase !== "up" || m.endpoint === "" || replica.isGone(id)) continue;
+      if (replica.shardJobs(m.shard).openAttemptsOn(id).size > 0) continue;
       const type = this.types.find(m.type);
       if (type === undefined) continue;
       const shard = this.#transferOf(id, m, now)?.to ?? m.shard;
       const { zone, spot } = m;
-      const row = { id, shard, type, zone, spot, up: true, use: NOTHING, open: 0, tasks: [] };
+      const row = {
+        id,
+        shard,
+        type,
+        zone,
+        spot,
+        up: true,
+        use: NO_RESOURCES,
+        openAttempts: 0,
+        tasks: [],
+      };
       machines.push({ ...row, idleS: 0, heldS: 0 });
     }
     return machines;
   }
 
   /** The machines as planning sees them, and those that should long have come up. */
-  #machines(now: Mono): {
+  #machines(now: MonotonicMs): {
     readonly machines: readonly FleetMachine[];
     readonly late: readonly MachineId[];
   } {
     const { replica, operators, settings } = this.ctx;
     const withinGuarantee = this.#withinGuarantee();
-    const openSince = new Map<string, Mono>();
+    const openSince = new Map<string, MonotonicMs>();
     const machines: FleetMachine[] = [];
     const late: MachineId[] = [];
     for (const [id, m] of replica.machines) {
       const type = this.types.find(m.type);
-      if (m.stage !== "up" || type === undefined || replica.isGone(id)) continue;
+      if (m.phase !== "up" || type === undefined || replica.isGone(id)) continue;
       const idleS = this.#idleS(id, m, now);
       const transfer = this.#transferOf(id, m, now);
-      const heldS = Math.max(0, (timeOfDay() - m.rentedAt) / 1000);
+      const heldS = Math.max(0, (wallClockNow() - m.rentedAt) / 1000);
       const up = m.endpoint !== "";
       if (!up && heldS > type.bootS * operators.bootPatience + settings.workers.reportS) {
         late.push(id);
@@ -163,8 +179,9 @@
         zone: m.zone,
         spot: m.spot,
         up,
-        use: tasks.reduce((sum, task) => plus(sum, task.needs), NOTHING),
-        open: transfer === undefined ? replica.work(m.shard).openOn(id).size : 0,
+        use: tasks.reduce((sum, task) => add(sum, task.resources), NO_RESOURCES),
+        openAttempts:
+          transfer === undefined ? replica.shardJobs(m.shard).openAttemptsOn(id).size : 0,
         tasks,
         idleS,
         heldS,
@@ -176,8 +193,8 @@
     return { machines, late };
   }
 
-  #idleS(id: MachineId, m: MachineRecord, now: Mono): number {
-    if (this.ctx.replica.work(m.shard).openOn(id).size > 0) this.#idleSince.delete(id);
+  #idleS(id: MachineId, m: MachineRecord, now: MonotonicMs): number {
+    if (this.ctx.replica.shardJobs(m.shard).openAttemptsOn(id).size > 0) this.#idleSince.delete(id);
     else if (!this.#idleSince.has(id)) this.#idleSince.set(id, now);
     return (now - (this.#idleSince.get(id) ?? now)) / 1000;
   }
@@ -186,26 +203,28 @@
     id: MachineId,
     m: MachineRecord,
     withinGuarantee: ReadonlySet<JobId>,
-    openSince: Map<string, Mono>,
-    now: Mono,
+    openSince: Map<string, MonotonicMs>,
+    now: MonotonicMs,
   ): FleetMachine["tasks"] {
-    const work = this.ctx.replica.work(m.shard);
+    const work = this.ctx.replica.shardJobs(m.shard);
     const tasks: FleetMachine["tasks"][number][] = [];
-    for (const o of work.openOn(id).values()) {
+    for (const o of work.openAttemptsOn(id).values()) {
       const job = work.jobs.get(o.job);
       if (job === undefined) continue;
       const { key } = o;
       const since = this.#openSince.get(key) ?? now;
       openSince.set(key, since);
-      const { checkpointS, saveS, needs } = job.spec;
-      const lossS = checkpointS > 0 ? saveS : (now - since) / 1000;
-      const rank = withinGuarantee.has(o.job) ? GUARANTEED_RANK : rankOrder(job.spec.rank);
-      tasks.push({ rank, needs, lossS });
+      const { checkpointIntervalS, checkpointSaveS, resources } = job.spec;
+      const lossS = checkpointIntervalS > 0 ? checkpointSaveS : (now - since) / 1000;
+      const priority = withinGuarantee.has(o.job)
+        ? GUARANTEED_RANK
+        : priorityOrder(job.spec.priority);
+      tasks.push({ priority, resources: resources, lossS });
     }
     return tasks;
   }
 
-  #transferOf(id: MachineId, m: MachineRecord, now: Mono): Transfer | undefined {
+  #transferOf(id: MachineId, m: MachineRecord, now: MonotonicMs): Transfer | undefined {
     const transfer = this.#transfers.get(id);
     if (transfer === undefined) return undefined;
     if (transfer.until > now && m.shard !== transfer.to) return transfer;
@@ -213,9 +232,9 @@
     return undefined;
   }
 
-  #noteTransfers(moves: readonly MoveRequest[], now: Mono): void {
+  #noteTransfers(moves: readonly MachineTransferRequest[], now: MonotonicMs): void {
     for (const m of moves) {
-      const until = mono(now + (m.drain ? DRAIN_MS : TRANSFER_MS));
+      const until = monotonicMs(now + (m.drain ? DRAIN_MS : TRANSFER_MS));
       this.#transfers.set(m.machine, { to: m.to, until });
     }
   }
@@ -224,9 +243,9 @@
   #withinGuarantee(): ReadonlySet<JobId> {
     const { replica, quotas } = this.ctx;
     const out = new Set<JobId>();
-    for (const [shard, { index }] of replica.works())
-      for (const id of index.withinGuarantee(quotas.teamsOf(shard).values(), (job, spec) =>
-        this.failing.tasksWanted(job, spec),
+    for (const [shard, { index }] of replica.allShardJobs())
+      for (const id of index.withinGuarantee(quotas.teamsIn(shard).values(), (job, spec) =>
+        this.failing.desiredTaskCount(job, spec),
       ))
         out.add(id);
     return out;
@@ -235,13 +254,13 @@
   #demand(dtS: number): readonly DemandGroup[] {
     const { replica, settings, operators, teams } = this.ctx;
     const types = this.types.all();
-    const demand = demandOf({
-      jobs: this.failing.wanting(),
+    const demand = computeDemand({
+      jobs: this.failing.jobsWithDesiredTasks(),
       shardOf: (id) => replica.shardOf(id),
       teams,
       withinGuarantee: this.#withinGuarantee(),
       objectives: settings.objectives,
-      runS: (job) => this.owner.owned.runS(job.spec),
+      runS: (job) => this.owner.state.expectedRunS(job.spec),
       types,
       bootS: Math.min(...types.map((t) => t.bootS)),
       headroom: operators.headroom,
@@ -251,7 +270,7 @@
       fallS: operators.fallS,
       margin: operators.margin,
       dtS,
-      now: timeOfDay(),
+      now: wallClockNow(),
       levels: this.#levels,
     });
     this.#levels = demand.levels;
@@ -262,21 +281,21 @@
     const { replica, log } = this.ctx;
     const cpus = (some: readonly FleetMachine[]): number =>
       some.reduce((n, m) => n + m.type.capacity.cpus, 0);
-    for (const shard of replica.shards.keys()) {
+    for (const shard of replica.shardOwners.keys()) {
       const own = machines.filter((m) => m.shard === shard);
-      const waiting = [...replica.work(shard).index.waiting.values()];
+      const waiting = [...replica.shardJobs(shard).index.waiting.values()];
       log.debug("plan", {
         shard,
         upCpus: cpus(own.filter((m) => m.up)),
         bootingCpus: cpus(own.filter((m) => !m.up)),
         usedCpus: own.reduce((n, m) => n + m.use.cpus, 0),
-        emptyCpus: cpus(own.filter((m) => m.up && m.open === 0)),
-        waitingCpus: waiting.reduce((n, j) => n + waitingCount(j) * j.spec.needs.cpus, 0),
+        emptyCpus: cpus(own.filter((m) => m.up && m.openAttempts === 0)),
+        waitingCpus: waiting.reduce((n, j) => n + waitingTaskCount(j) * j.spec.resources.cpus, 0),
         levels: [...this.#levels].map(
           ([key, n]) => `${key.split("|")[0]}.${key.split("|").pop()}=${n.toFixed(1)}`,
         ),
-        moves: plan.moves.filter((m) => m.to === shard).length,
-        rents: plan.rents.flatMap((r) => r.shards).filter((n) => n === shard).length,
+        moves: plan.transfers.filter((m) => m.to === shard).length,
+        rents: plan.rentals.flatMap((r) => r.shards).filter((n) => n === shard).length,
       });
     }
   }
--- a/src/coordination/fleet/fleet-records.ts
+++ b/src/coordination/fleet/fleet-records.ts
@@ -1,14 +1,14 @@
-import { ABSENT, type MachineId, type ShardId } from "@umberfold/ids";
-import type { Condition, Op } from "../../protocol/store.js";
-import { fleetPageValue, MACHINE_BYTES } from "../../storage/pages.js";
+import { KEY_ABSENT, type MachineId, type ShardId } from "@umberfold/ids";
+import type { Condition, WriteOperation } from "../../protocol/store.js";
+import { encodeMachinePage, MACHINE_BYTES } from "../../storage/pages.js";
 import { keys, type MachineRecord } from "../../storage/records.js";
-import { pageLimit } from "../../storage/transaction-batch.js";
+import { maxPageBytes } from "../../storage/transaction-batch.js";
 import { LeaderRecords } from "./leader-records.js";
 
 /** Machines returned lately, whose late reports must not have them adopted again. */
 const RETURNED_KEPT = 10_000;
 
-export type NewMachine = Omit<MachineRecord, "floor">;
+export type NewMachine = Omit<MachineRecord, "tokenFloor">;
 
 /** The leader's records of machines: their names, and which machines were returned. */
 export class FleetRecords extends LeaderRecords {
@@ -44,11 +44,11 @@
   async enter(
     rows: readonly (readonly [MachineId, NewMachine])[],
     conditions: readonly Condition[],
-    ops: readonly Op[],
+    ops: readonly WriteOperation[],
   ): Promise<boolean> {
     for (const [id] of rows) this.#entering.add(id);
     const puts = this.#pages(rows);
-    const absent = puts.map((p) => ({ key: p.key, rev: ABSENT }));
+    const absent = puts.map((p) => ({ key: p.key, rev: KEY_ABSENT }));
     try {
       return await this.write({ conditions: [...conditions, ...absent], ops: [...puts, ...ops] });
     } finally {
@@ -56,19 +56,21 @@
     }
   }
 
-  #pages(rows: readonly (readonly [MachineId, NewMachine])[]): readonly Op[] {
+  #pages(rows: readonly (readonly [MachineId, NewMachine])[]): readonly WriteOperation[] {
     const { replica, settings } = this.ctx;
     const byShard = new Map<ShardId, [MachineId, MachineRecord][]>();
     for (const [id, machine] of rows) {
       const page = byShard.get(machine.shard) ?? [];
       byShard.set(machine.shard, page);
-      page.push([id, { ...machine, floor: replica.latest }]);
+      page.push([id, { ...machine, tokenFloor: replica.latestSeenRevision }]);
     }
-    const most = Math.floor(pageLimit({ ...settings.state, size: settings.size }) / MACHINE_BYTES);
-    const puts: Op[] = [];
+    const most = Math.floor(
+      maxPageBytes({ ...settings.state, shardCount: settings.shardCount }) / MACHINE_BYTES,
+    );
+    const puts: WriteOperation[] = [];
     for (const [shard, machines] of byShard)
       for (let i = 0; i < machines.length; i += most) {
-        const value = fleetPageValue(machines.slice(i, i + most));
+        const value = encodeMachinePage(machines.slice(i, i + most));
         puts.push({ kind: "put", key: keys.fleet(shard, this.nextName()), value });
       }
     return puts;
--- a/src/coordination/fleet/leader-records.ts
+++ b/src/coordination/fleet/leader-records.ts
@@ -1,6 +1,6 @@
-import type { Txn } from "../../protocol/store.js";
+import type { Transaction } from "../../protocol/store.js";
 import { keys } from "../../storage/records.js";
-import { absorb, type Context, refresh } from "../context.js";
+import { applyCommitted, type ControllerContext, rereadKeys } from "../context.js";
 import type { Membership } from "../membership/membership.js";
 
 /**
@@ -9,27 +9,27 @@
  */
 export class LeaderRecords {
   constructor(
-    protected readonly ctx: Context,
+    protected readonly ctx: ControllerContext,
     private readonly membership: Membership,
   ) {}
 
   /** Whether this controller leads, and knows the records. */
   get writable(): boolean {
-    return this.ctx.synced && this.membership.mayLead();
+    return this.ctx.synced && this.membership.isActiveLeader();
   }
 
   /** True if it was applied; else what stood in the way is known by now. */
-  async write(t: Txn): Promise<boolean> {
+  async write(t: Transaction): Promise<boolean> {
     const { ctx } = this;
     const lead = ctx.replica.leader;
-    if (lead === undefined || !this.membership.mayLead()) return false;
+    if (lead === undefined || !this.membership.isActiveLeader()) return false;
     const conditions = [...t.conditions, { key: keys.leader, rev: lead.rev }];
-    const r = await ctx.store.settle({ ...t, conditions }, () => ctx.stopping);
+    const r = await ctx.store.commitUntilDecided({ ...t, conditions }, () => ctx.stopping);
     if (r.kind === "applied") {
-      absorb(ctx.replica, t.ops, r.rev);
+      applyCommitted(ctx.replica, t.ops, r.rev);
       return true;
     }
-    await refresh(
+    await rereadKeys(
       ctx,
       conditions.map((c) => c.key),
     );
--- a/src/coordination/fleet/leader.ts
+++ b/src/coordination/fleet/leader.ts
@@ -1,11 +1,11 @@
 import type { JobId } from "@umberfold/ids";
-import type { MoveRequest } from "../../protocol/peer.js";
-import type { Report } from "../../protocol/workers.js";
-import type { Calls } from "../../transport/client.js";
-import type { Context } from "../context.js";
+import type { MachineTransferRequest } from "../../protocol/peer.js";
+import type { WorkerStatus } from "../../protocol/workers.js";
+import type { HttpClient } from "../../transport/client.js";
+import type { ControllerContext } from "../context.js";
 import type { Membership } from "../membership/membership.js";
 import type { ShardOwner } from "../rounds/shard-owner.js";
-import { Cloud } from "./cloud-client.js";
+import { CloudClient } from "./cloud-client.js";
 import { FailingJobs } from "./failing-jobs.js";
 import { FleetPlanner } from "./fleet-planner.js";
 import { FleetRecords } from "./fleet-records.js";
@@ -27,14 +27,14 @@
   readonly #planner: FleetPlanner;
 
   constructor(
-    ctx: Context,
+    ctx: ControllerContext,
     membership: Membership,
     owner: ShardOwner,
-    cloudCalls: Calls,
-    peers: Calls,
-    workers: Calls,
+    cloudCalls: HttpClient,
+    peers: HttpClient,
+    workers: HttpClient,
   ) {
-    const cloud = new Cloud(cloudCalls, ctx.settings.cloudAddress, ctx.settings.cloud.rps);
+    const cloud = new CloudClient(cloudCalls, ctx.settings.cloudAddress, ctx.settings.cloud.rps);
     this.#records = new FleetRecords(ctx, membership);
     this.#types = new MachineTypes(ctx, this.#records, cloud);
     this.#rentals = new Rentals(ctx, this.#records, cloud);
@@ -59,12 +59,12 @@
     await this.#returns.carryOut();
     await this.#types.refresh();
     await this.#rentals.carryOut();
-    this.#owners.retire(await this.#unknown.list(), "failed");
+    this.#owners.requestDecommission(await this.#unknown.list(), "failed");
   }
 
   /** A report of a machine that no record knows. */
-  adopt(report: Report): void {
-    this.#unknown.reported(report);
+  adoptMachine(report: WorkerStatus): void {
+    this.#unknown.recordStatus(report);
   }
 
   /** Takes in unknown machines that have shown themselves. */
@@ -73,12 +73,12 @@
   }
 
   /** An owner's notice that these jobs fail wherever they are started. */
-  noteFailing(ids: Iterable<JobId>): void {
-    this.#failing.note(ids);
+  recordFailingJobs(ids: Iterable<JobId>): void {
+    this.#failing.record(ids);
   }
 
-  async tellFailing(): Promise<void> {
-    await this.#failing.tell();
+  async reportFailingJobs(): Promise<void> {
+    await this.#failing.reportToLeader();
   }
 
   async plan(): Promise<void> {
@@ -86,7 +86,7 @@
   }
 
   /** Asks owners for machines, to be handed over once they are empty. */
-  moveMachines(moves: readonly MoveRequest[]): void {
+  transferMachines(moves: readonly MachineTransferRequest[]): void {
     this.#planner.requestMoves(moves);
   }
 
--- a/src/coordination/fleet/overloaded-shards.ts
+++ b/src/coordination/fleet/overloaded-shards.ts
@@ -1,6 +1,6 @@
 import type { ShardId } from "@umberfold/ids";
 import type { Replica } from "../../storage/replica.js";
-import { timeOfDay } from "../../transport/clock.js";
+import { wallClockNow } from "../../transport/clock.js";
 
 /**
  * A machine that is not heard by this many times its type's boot time has probably come up, and its
@@ -15,12 +15,12 @@
 
 /** Shards with many machines that should have been heard by now and were not. */
 export const overloadedShards = (replica: Replica, reportS: number): ReadonlySet<ShardId> => {
-  const bootS = new Map(replica.types?.value.map((type) => [type.name, type.bootS]));
-  const now = timeOfDay();
+  const bootS = new Map(replica.machineTypes?.value.map((type) => [type.name, type.bootS]));
+  const now = wallClockNow();
   const unheard = new Map<ShardId, number>();
   const heard = new Map<ShardId, number>();
   for (const [id, m] of replica.machines) {
-    if (m.stage !== "up" || replica.isGone(id)) continue;
+    if (m.phase !== "up" || replica.isGone(id)) continue;
     const dueS = (bootS.get(m.type) ?? 0) * UNHEARD_BOOTS + reportS;
     const isHeard = m.endpoint !== "";
     if (!isHeard && (now - m.rentedAt) / 1000 <= dueS) continue;
--- a/src/coordination/fleet/owner-requests.ts
+++ b/src/coordination/fleet/owner-requests.ts
@@ -1,14 +1,18 @@
 import type { ControllerLabel, MachineId } from "@umberfold/ids";
-import { EMPTY_MESSAGE, encodePeer, type MoveRequest } from "../../protocol/peer.js";
-import type { Calls } from "../../transport/client.js";
-import { addressOf, type Context } from "../context.js";
+import {
+  EMPTY_PEER_MESSAGE,
+  encodePeerMessage,
+  type MachineTransferRequest,
+} from "../../protocol/peer.js";
+import type { HttpClient } from "../../transport/client.js";
+import { type ControllerContext, peerAddress } from "../context.js";
 import type { Membership } from "../membership/membership.js";
 import type { ShardOwner } from "../rounds/shard-owner.js";
 
 const PEER_MS = 1000;
 
 interface Requests {
-  readonly moves: MoveRequest[];
+  readonly moves: MachineTransferRequest[];
   readonly retire: MachineId[];
 }
 
@@ -20,30 +24,37 @@
   readonly counters = { moved: 0, drained: 0 };
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     private readonly owner: ShardOwner,
-    private readonly peers: Calls,
+    private readonly peers: HttpClient,
   ) {}
 
-  move(moves: readonly MoveRequest[], surplus: readonly MachineId[] = []): void {
+  requestTransfers(
+    moves: readonly MachineTransferRequest[],
+    surplus: readonly MachineId[] = [],
+  ): void {
     for (const m of moves) this.counters[m.drain ? "drained" : "moved"]++;
     this.#send(moves, surplus, "");
   }
 
   /** Machines that are lost go at once, whatever stands on them. */
-  retire(lost: readonly MachineId[], reason: string): void {
+  requestDecommission(lost: readonly MachineId[], reason: string): void {
     if (lost.length > 0) this.#send([], lost, reason);
   }
 
-  #send(moves: readonly MoveRequest[], retire: readonly MachineId[], reason: string): void {
+  #send(
+    moves: readonly MachineTransferRequest[],
+    retire: readonly MachineId[],
+    reason: string,
+  ): void {
     for (const [owner, requests] of this.#byOwner(moves, retire))
-      if (owner === this.ctx.me.label) this.#own(requests, reason);
+      if (owner === this.ctx.self.label) this.#own(requests, reason);
       else this.#tell(owner, requests, reason);
   }
 
   #byOwner(
-    moves: readonly MoveRequest[],
+    moves: readonly MachineTransferRequest[],
     retire: readonly MachineId[],
   ): ReadonlyMap<ControllerLabel, Requests> {
     const out = new Map<ControllerLabel, Requests>();
@@ -61,15 +72,20 @@
   }
 
   #own({ moves, retire }: Requests, reason: string): void {
-    for (const m of moves) this.owner.requestMove(m);
-    for (const id of retire) this.owner.requestRetire(id, reason);
+    for (const m of moves) this.owner.requestTransfer(m);
+    for (const id of retire) this.owner.requestDecommission(id, reason);
   }
 
   #tell(owner: ControllerLabel, requests: Requests, reason: string): void {
-    const { settings, me } = this.ctx;
-    const address = addressOf(settings, owner);
+    const { settings, self } = this.ctx;
+    const address = peerAddress(settings, owner);
     if (address === undefined) return;
-    const payload = encodePeer({ ...EMPTY_MESSAGE, from: me.label, ...requests, reason });
-    void this.peers.raw(address, "POST", "/peer", payload, PEER_MS);
+    const payload = encodePeerMessage({
+      ...EMPTY_PEER_MESSAGE,
+      from: self.label,
+      ...requests,
+      reason,
+    });
+    void this.peers.callRaw(address, "POST", "/peer", payload, PEER_MS);
   }
 }
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -1,11 +1,18 @@
-import { ABSENT, type MachineId, type Mono, mono, type Revision, shardId } from "@umberfold/ids";
-import { MAX_RENT, parseRented, rentBody } from "../../protocol/cloud.js";
-import { offerKey, type Rent } from "../../scheduling/fleet-plan.js";
-import { keys, type RentalIntent, rentalIntentValue } from "../../storage/records.js";
+import {
+  KEY_ABSENT,
+  type MachineId,
+  type MonotonicMs,
+  monotonicMs,
+  type Revision,
+  shardId,
+} from "@umberfold/ids";
+import { MAX_RENTALS_PER_CALL, parseRentedMachines, rentalBody } from "../../protocol/cloud.js";
+import { offerKey, type PlannedRental } from "../../scheduling/fleet-plan.js";
+import { encodeRentalIntent, keys, type RentalIntent } from "../../storage/records.js";
 import type { Versioned } from "../../storage/versioned.js";
-import { steadyNow, timeOfDay } from "../../transport/clock.js";
-import type { Context } from "../context.js";
-import type { Cloud, CloudAnswer } from "./cloud-client.js";
+import { monotonicNow, wallClockNow } from "../../transport/clock.js";
+import type { ControllerContext } from "../context.js";
+import type { CloudClient, CloudResponse } from "./cloud-client.js";
 import type { FleetRecords } from "./fleet-records.js";
 
 /** Most intents written at a time. */
@@ -16,25 +23,25 @@
  * under the same name, which the cloud answers the same way however often it is asked.
  */
 export class Rentals {
-  readonly #refusedUntil = new Map<string, Mono>();
+  readonly #refusedUntil = new Map<string, MonotonicMs>();
   /** Intents whose calls are under way. */
   readonly #calling = new Set<string>();
   readonly counters = { rented: 0, refused: 0 };
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly records: FleetRecords,
-    private readonly cloud: Cloud,
+    private readonly cloud: CloudClient,
   ) {}
 
   /** Offers refused of late, and not asked for again yet. */
-  refusedOffers(now: Mono): ReadonlySet<string> {
+  refusedOffers(now: MonotonicMs): ReadonlySet<string> {
     for (const [key, until] of this.#refusedUntil) if (until <= now) this.#refusedUntil.delete(key);
     return new Set(this.#refusedUntil.keys());
   }
 
   /** Writes the intents to rent; they are carried out at once, and by any later leader. */
-  async intend(rents: readonly Rent[]): Promise<void> {
+  async intend(rents: readonly PlannedRental[]): Promise<void> {
     const { replica, settings, log } = this.ctx;
     if (rents.length === 0 || replica.rentals.size > 0) return;
     const most = Math.min(settings.state.txnOps, MOST_INTENTS);
@@ -43,11 +50,11 @@
       .slice(0, most)
       .map((rent) => ({ key: keys.rental(this.records.nextName()), rent }));
     const written = await this.records.write({
-      conditions: intents.map(({ key }) => ({ key, rev: ABSENT })),
+      conditions: intents.map(({ key }) => ({ key, rev: KEY_ABSENT })),
       ops: intents.map(({ key, rent }) => ({
         kind: "put",
         key,
-        value: rentalIntentValue({ ...rent, at: timeOfDay() }),
+        value: encodeRentalIntent({ ...rent, at: wallClockNow() }),
       })),
     });
     if (written) log.debug("rental intents written", { intents: intents.length });
@@ -63,7 +70,7 @@
     this.#calling.add(name);
     try {
       const { value } = intent;
-      const body = rentBody({ name, ...value, count: value.shards.length });
+      const body = rentalBody({ name, ...value, count: value.shards.length });
       const answer = await this.cloud.call("POST", "/machines", body);
       if (answer !== undefined) await this.#answered(keys.rental(name), intent, answer);
     } finally {
@@ -74,11 +81,11 @@
   async #answered(
     key: string,
     intent: Versioned<RentalIntent>,
-    answer: CloudAnswer,
+    answer: CloudResponse,
   ): Promise<void> {
     const { value, rev } = intent;
     if (answer.status === 200) {
-      await this.#rented(key, rev, value, parseRented(answer.body) ?? []);
+      await this.#rented(key, rev, value, parseRentedMachines(answer.body) ?? []);
       return;
     }
     const noCapacity =
@@ -91,7 +98,7 @@
 
   #refuse(offer: { readonly type: string; readonly zone: string; readonly spot: boolean }): void {
     this.counters.refused++;
-    const until = mono(steadyNow() + this.ctx.operators.refusedPauseS * 1000);
+    const until = monotonicMs(monotonicNow() + this.ctx.operators.refusedPauseS * 1000);
     this.#refusedUntil.set(offerKey(offer.type, offer.zone, offer.spot), until);
   }
 
@@ -104,7 +111,7 @@
     this.counters.rented += ids.length;
     if (ids.length < intent.shards.length) this.#refuse(intent);
     const { type, zone, spot } = intent;
-    const row = { type, zone, spot, endpoint: "", stage: "up", rentedAt: timeOfDay() } as const;
+    const row = { type, zone, spot, endpoint: "", phase: "up", rentedAt: wallClockNow() } as const;
     // An intent that was written late, after it had been carried out and dropped, has the same
     // answer as then: what was returned since must not come back.
     const fresh = ids.flatMap((id, i) =>
@@ -117,9 +124,9 @@
 }
 
 /** One call of the cloud rents a bounded number of machines. */
-const inCalls = (rent: Rent): readonly Rent[] => {
-  const parts: Rent[] = [];
-  for (let i = 0; i < rent.shards.length; i += MAX_RENT)
-    parts.push({ ...rent, shards: rent.shards.slice(i, i + MAX_RENT) });
+const inCalls = (rent: PlannedRental): readonly PlannedRental[] => {
+  const parts: PlannedRental[] = [];
+  for (let i = 0; i < rent.shards.length; i += MAX_RENTALS_PER_CALL)
+    parts.push({ ...rent, shards: rent.shards.slice(i, i + MAX_RENTALS_PER_CALL) });
   return parts;
 };
--- a/src/coordination/fleet/returns.ts
+++ b/src/coordination/fleet/returns.ts
@@ -1,9 +1,9 @@
-import { ABSENT, type MachineId } from "@umberfold/ids";
-import { MAX_RETURN, returnBody } from "../../protocol/cloud.js";
-import { goneValue, keys } from "../../storage/records.js";
-import { timeOfDay } from "../../transport/clock.js";
-import type { Context } from "../context.js";
-import { CLOUD_CALL_MS, type Cloud } from "./cloud-client.js";
+import { KEY_ABSENT, type MachineId } from "@umberfold/ids";
+import { MAX_RETURNS_PER_CALL, returnBody } from "../../protocol/cloud.js";
+import { encodeGoneRecord, keys } from "../../storage/records.js";
+import { wallClockNow } from "../../transport/clock.js";
+import type { ControllerContext } from "../context.js";
+import { CLOUD_CALL_MS, type CloudClient } from "./cloud-client.js";
 import type { FleetRecords } from "./fleet-records.js";
 
 /** Returns machines whose owners have let go of them, and keeps the proof until all have used it. */
@@ -11,9 +11,9 @@
   readonly counters = { returned: 0 };
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly records: FleetRecords,
-    private readonly cloud: Cloud,
+    private readonly cloud: CloudClient,
   ) {}
 
   /** A 200 is proof that the machines and all on them are gone. */
@@ -27,8 +27,8 @@
     const { replica } = this.ctx;
     const ids: MachineId[] = [];
     for (const [id, machine] of replica.machines) {
-      if (ids.length >= MAX_RETURN) break;
-      if (machine.stage === "retiring" && !replica.isGone(id)) ids.push(id);
+      if (ids.length >= MAX_RETURNS_PER_CALL) break;
+      if (machine.phase === "retiring" && !replica.isGone(id)) ids.push(id);
     }
     return ids;
   }
@@ -40,8 +40,8 @@
     this.records.noteReturned(ids);
     const key = keys.gone(this.records.nextName());
     await this.records.write({
-      conditions: [{ key, rev: ABSENT }],
-      ops: [{ kind: "put", key, value: goneValue({ ids, at: timeOfDay() }) }],
+      conditions: [{ key, rev: KEY_ABSENT }],
+      ops: [{ kind: "put", key, value: encodeGoneRecord({ ids, at: wallClockNow() }) }],
     });
   }
 
@@ -50,7 +50,7 @@
     const { replica, settings } = this.ctx;
     const keptMs = 2000 * settings.cloud.listLagS + CLOUD_CALL_MS;
     const over = [...replica.goneRecords]
-      .filter(([, g]) => timeOfDay() - g.value.at > keptMs)
+      .filter(([, g]) => wallClockNow() - g.value.at > keptMs)
       .filter(([, g]) => g.value.ids.every((id) => !replica.machines.has(id)))
       .slice(0, settings.state.txnOps);
     if (over.length === 0) return;
--- a/src/coordination/fleet/unknown-machines.ts
+++ b/src/coordination/fleet/unknown-machines.ts
@@ -1,17 +1,17 @@
 import {
   type MachineId,
-  type Mono,
-  mono,
+  type MonotonicMs,
+  monotonicMs,
   type Revision,
   type ShardId,
   shardId,
 } from "@umberfold/ids";
 import { type ListedMachine, listPath, parseMachineList } from "../../protocol/cloud.js";
-import { parseReport, type Report } from "../../protocol/workers.js";
-import type { Calls } from "../../transport/client.js";
-import { steadyNow, timeOfDay } from "../../transport/clock.js";
-import type { Context } from "../context.js";
-import { CLOUD_CALL_MS, type Cloud } from "./cloud-client.js";
+import { parseWorkerStatus, type WorkerStatus } from "../../protocol/workers.js";
+import type { HttpClient } from "../../transport/client.js";
+import { monotonicNow, wallClockNow } from "../../transport/clock.js";
+import type { ControllerContext } from "../context.js";
+import { CLOUD_CALL_MS, type CloudClient } from "./cloud-client.js";
 import type { FleetRecords, NewMachine } from "./fleet-records.js";
 import type { MachineTypes } from "./machine-types.js";
 
@@ -30,31 +30,31 @@
 export class UnknownMachines {
   readonly #asking = new Set<MachineId>();
   readonly #seen = new Map<MachineId, Seen>();
-  #listedAt: Mono = mono(Number.NEGATIVE_INFINITY);
+  #listedAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
   readonly counters = { adopted: 0 };
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly records: FleetRecords,
     private readonly types: MachineTypes,
-    private readonly cloud: Cloud,
-    private readonly workers: Calls,
+    private readonly cloud: CloudClient,
+    private readonly workers: HttpClient,
   ) {}
 
   /**
    * Its report may be a late copy from one that was returned long ago, under whatever leader: it is
    * taken in once it has itself answered a question.
    */
-  reported(r: Report): void {
+  recordStatus(r: WorkerStatus): void {
     if (this.#asking.has(r.machine) || this.records.known(r.machine)) return;
     if (this.records.returned(r.machine) || this.#asking.size >= MOST_ASKED) return;
     this.#asking.add(r.machine);
     void this.#ask(r).finally(() => this.#asking.delete(r.machine));
   }
 
-  async #ask(r: Report): Promise<void> {
+  async #ask(r: WorkerStatus): Promise<void> {
     const reply = await this.workers.call(r.endpoint, "GET", "/status", undefined, STATUS_MS);
-    const own = reply.kind === "answer" ? parseReport(reply.body) : undefined;
+    const own = reply.kind === "answer" ? parseWorkerStatus(reply.body) : undefined;
     if (own?.machine === r.machine) this.#note(r.machine, own, own.endpoint);
   }
 
@@ -64,8 +64,16 @@
     endpoint: string,
   ): void {
     const { type, zone, spot } = m;
-    const seenAt = this.ctx.replica.latest;
-    this.#seen.set(id, { type, zone, spot, endpoint, stage: "up", rentedAt: timeOfDay(), seenAt });
+    const seenAt = this.ctx.replica.latestSeenRevision;
+    this.#seen.set(id, {
+      type,
+      zone,
+      spot,
+      endpoint,
+      phase: "up",
+      rentedAt: wallClockNow(),
+      seenAt,
+    });
   }
 
   /** Enters what has shown itself, many machines in one write. */
@@ -76,7 +84,7 @@
     const rows: (readonly [MachineId, NewMachine])[] = [];
     for (const [id, { seenAt, ...machine }] of this.#seen) {
       // Unknown when it was seen, perhaps only because its page was not known here yet.
-      if (replica.position < seenAt) continue;
+      if (replica.syncedRevision < seenAt) continue;
       this.#seen.delete(id);
       if (!this.records.known(id) && !this.records.returned(id))
         rows.push([id, { ...machine, shard: nextShard(machine.type) }]);
@@ -88,7 +96,7 @@
 
   /** Gives out shards, each time the one with the fewest processors. */
   #shardsByLoad(): (type: string) => ShardId {
-    const load = Array.from({ length: this.ctx.settings.size }, () => 0);
+    const load = Array.from({ length: this.ctx.settings.shardCount }, () => 0);
     const add = (shard: ShardId, type: string): void => {
       load[shard] = (load[shard] ?? 0) + (this.types.find(type)?.capacity.cpus ?? 1);
     };
@@ -102,7 +110,7 @@
 
   /** Seldom: for machines that nobody reports. Returns those known that have failed. */
   async list(): Promise<readonly MachineId[]> {
-    const now = steadyNow();
+    const now = monotonicNow();
     if (now - this.#listedAt < LIST_EVERY_MS) return [];
     this.#listedAt = now;
     const failed: MachineId[] = [];
@@ -113,7 +121,7 @@
       if (page === undefined) return failed;
       for (const m of page.machines) {
         if (!this.records.known(m.id)) this.#listed(m);
-        else if (m.stage === "failed") failed.push(m.id);
+        else if (m.phase === "failed") failed.push(m.id);
       }
       if (!page.more || page.machines.length === 0) return failed;
       after = page.machines[page.machines.length - 1]?.id;
@@ -123,7 +131,7 @@
   /** One that is young may only not be in the records yet. */
   #listed(m: ListedMachine): void {
     const old = m.ageS > 2 * this.ctx.settings.cloud.listLagS + CLOUD_CALL_MS / 1000;
-    if (!old || m.stage === "failed" || this.records.returned(m.id)) return;
-    this.#note(m.id, m, m.stage === "running" ? m.endpoint : "");
+    if (!old || m.phase === "failed" || this.records.returned(m.id)) return;
+    this.#note(m.id, m, m.phase === "running" ? m.endpoint : "");
   }
 }
--- a/src/coordination/load-spread/load-spread.ts
+++ b/src/coordination/load-spread/load-spread.ts
@@ -16,11 +16,11 @@
 } from "@umberfold/load-spread";
 import { homeSpan, type Span, spanValue, stepSpan } from "@umberfold/spans";
 import type { JobSpec } from "../../protocol/jobs.js";
-import type { MoveRequest } from "../../protocol/peer.js";
-import type { Txn } from "../../protocol/store.js";
+import type { MachineTransferRequest } from "../../protocol/peer.js";
+import type { Transaction } from "../../protocol/store.js";
 import { keys } from "../../storage/records.js";
-import { steadyNow } from "../../transport/clock.js";
-import type { Context } from "../context.js";
+import { monotonicNow } from "../../transport/clock.js";
+import type { ControllerContext } from "../context.js";
 import { LeaderRecords } from "../fleet/leader-records.js";
 import type { Membership } from "../membership/membership.js";
 import type { ShardOwner } from "../rounds/shard-owner.js";
@@ -42,15 +42,15 @@
   #machinesMoved = 0;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     private readonly owner: ShardOwner,
     private readonly settings: LoadSpreadSettings,
     /** Asks the machines' owners to hand them over once they are empty. */
-    private readonly moveMachines: (moves: readonly MoveRequest[]) => void,
+    private readonly moveMachines: (moves: readonly MachineTransferRequest[]) => void,
   ) {
     this.#spans = new SpanRecords(ctx, new LeaderRecords(ctx, membership));
-    this.#planner = new LoadSpreadPlanner(settings, steadyNow);
+    this.#planner = new LoadSpreadPlanner(settings, monotonicNow);
     this.#balance = new MachineBalance(ctx);
   }
 
@@ -124,7 +124,7 @@
       await this.#spans.repair(team, record.rev);
       return true;
     }
-    const now = steadyNow();
+    const now = monotonicNow();
     const pressure = stepPressure(
       this.#pressures.get(team) ?? NO_PRESSURE,
       teamPressure(load, owners),
@@ -162,9 +162,9 @@
       }
   }
 
-  #transfer(team: TeamName, shard: ShardId): Txn | undefined {
+  #transfer(team: TeamName, shard: ShardId): Transaction | undefined {
     const span = this.ctx.replica.spans.records.get(team)?.value;
-    if (span === undefined || !this.membership.holds(shard)) return undefined;
+    if (span === undefined || !this.membership.ownsShard(shard)) return undefined;
     const event = nextTransfer({ span, from: shard, used: this.#used(team, shard) });
     const stepped = event === undefined ? undefined : stepSpan(span, event);
     if (event === undefined || stepped?.ok !== true) return undefined;
@@ -172,13 +172,13 @@
     return this.#transferTxn(team, shard, stepped.span);
   }
 
-  #transferTxn(team: TeamName, shard: ShardId, span: Span): Txn {
+  #transferTxn(team: TeamName, shard: ShardId, span: Span): Transaction {
     const { replica } = this.ctx;
     const key = keys.span(team);
     return {
       conditions: [
-        { key, rev: replica.rev(key) },
-        { key: keys.shard(shard), rev: replica.rev(keys.shard(shard)) },
+        { key, rev: replica.revisionOf(key) },
+        { key: keys.shard(shard), rev: replica.revisionOf(keys.shard(shard)) },
       ],
       ops: [{ kind: "put", key, value: spanValue(span) }],
     };
@@ -187,7 +187,7 @@
   /** What the team's open attempts in a shard take of its quota. */
   #used(team: TeamName, shard: ShardId) {
     const settings = this.ctx.teams.get(team);
-    const use = this.ctx.replica.work(shard).index.openUse().get(team);
+    const use = this.ctx.replica.shardJobs(shard).index.teamUse().get(team);
     return quotaShare(settings === undefined || use === undefined ? 0 : quotaPart(settings, use));
   }
 }
--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -10,10 +10,10 @@
   sumOfShares,
   WHOLE,
 } from "@umberfold/spans";
-import type { Txn } from "../../protocol/store.js";
-import { type ControllerId, controllerIdValue, keys } from "../../storage/records.js";
+import type { Transaction } from "../../protocol/store.js";
+import { type ControllerId, encodeControllerId, keys } from "../../storage/records.js";
 import type { Versioned } from "../../storage/versioned.js";
-import type { Context } from "../context.js";
+import type { ControllerContext } from "../context.js";
 import type { LeaderRecords } from "../fleet/leader-records.js";
 import { teamLoads } from "./team-loads.js";
 
@@ -22,7 +22,7 @@
   readonly counters = { changes: 0, refused: 0, dissolved: 0, repaired: 0 };
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly records: LeaderRecords,
   ) {}
 
@@ -67,13 +67,13 @@
    */
   async repair(team: TeamName, unreadable: Revision): Promise<void> {
     const { replica } = this.ctx;
-    const unfenced = [...replica.shards].filter(([, s]) => s.rev <= unreadable);
+    const unfenced = [...replica.shardOwners].filter(([, s]) => s.rev <= unreadable);
     if (unfenced.length > 0) {
       await this.#fence(team, unfenced);
       return;
     }
-    const fencedBy = Math.max(...[...replica.shards.values()].map((s) => s.rev));
-    if (replica.position < fencedBy) return;
+    const fencedBy = Math.max(...[...replica.shardOwners.values()].map((s) => s.rev));
+    if (replica.syncedRevision < fencedBy) return;
     // Added up now: an earlier look may lack what was started before the fence.
     const load = teamLoads(this.ctx).find((l) => l.team === team);
     if (load !== undefined) await this.#replace(load);
@@ -87,13 +87,13 @@
     const span = keys.span(team);
     const written = await this.records.write({
       conditions: [
-        { key: span, rev: this.ctx.replica.rev(span) },
+        { key: span, rev: this.ctx.replica.revisionOf(span) },
         ...some.map(([shard, { rev }]) => ({ key: keys.shard(shard), rev })),
       ],
       ops: some.map(([shard, { value }]) => ({
         kind: "put" as const,
         key: keys.shard(shard),
-        value: controllerIdValue(value),
+        value: encodeControllerId(value),
       })),
     });
     if (written) this.ctx.log.info("unreadable span fenced", { team, shards: some.length });
@@ -127,8 +127,8 @@
     op: { readonly kind: "put"; readonly value: unknown } | { readonly kind: "delete" },
   ): Promise<boolean> {
     const key = keys.span(team);
-    const txn: Txn = {
-      conditions: [{ key, rev: this.ctx.replica.rev(key) }],
+    const txn: Transaction = {
+      conditions: [{ key, rev: this.ctx.replica.revisionOf(key) }],
       ops: [{ ...op, key }],
     };
     return this.records.write(txn);
--- a/src/coordination/load-spread/team-loads.ts
+++ b/src/coordination/load-spread/team-loads.ts
@@ -4,8 +4,8 @@
 import type { Team } from "../../config/settings.js";
 import type { Resources } from "../../protocol/jobs.js";
 import type { JobIndex } from "../../storage/job-index.js";
-import { waitingCount } from "../../storage/records.js";
-import type { Context } from "../context.js";
+import { waitingTaskCount } from "../../storage/records.js";
+import type { ControllerContext } from "../context.js";
 
 /** Waiting tasks beyond this say nothing more about an owner's load. */
 const MOST_WAITING_UNITS = 1000;
@@ -57,20 +57,20 @@
   for (const [name, counts] of index.openByTeam()) {
     const team = teams.get(name);
     const sums = of(name);
-    for (const { needs, count } of counts.values()) {
+    for (const { resources, count } of counts.values()) {
       sums.open += count;
-      sums.cpus += count * needs.cpus;
-      if (team !== undefined) sums.openPart += count * quotaPart(team, needs);
+      sums.cpus += count * resources.cpus;
+      if (team !== undefined) sums.openPart += count * quotaPart(team, resources);
     }
   }
   for (const job of index.waiting.values()) {
     const team = teams.get(job.spec.team);
     if (team === undefined) continue;
     const sums = of(job.spec.team);
-    const waiting = waitingCount(job);
-    const part = quotaPart(team, job.spec.needs);
+    const waiting = waitingTaskCount(job);
+    const part = quotaPart(team, job.spec.resources);
     sums.waiting += waiting;
-    sums.cpus += waiting * job.spec.needs.cpus;
+    sums.cpus += waiting * job.spec.resources.cpus;
     sums.waitingPart += waiting * part;
     sums.largestPart = Math.max(sums.largestPart, part);
     sums.oldest = Math.min(sums.oldest, job.acceptedAt);
@@ -106,9 +106,9 @@
 };
 
 /** What each team of the settings has, over all shards; reads the pages of all of them. */
-export const teamLoads = ({ replica, teams }: Context): readonly TeamLoad[] => {
+export const teamLoads = ({ replica, teams }: ControllerContext): readonly TeamLoad[] => {
   const shards = new Map<TeamName, Map<ShardId, ShardLoad>>();
-  for (const [shard, { index }] of replica.works())
+  for (const [shard, { index }] of replica.allShardJobs())
     for (const [team, sums] of sumsOfShard(index, teams)) {
       const loads = shards.get(team) ?? new Map<ShardId, ShardLoad>();
       shards.set(team, loads);
@@ -125,23 +125,23 @@
 };
 
 /** What each owner has to do: machines, open attempts and waiting tasks of its shards. */
-export const ownerLoads = ({ replica }: Context): readonly OwnerLoad[] => {
+export const ownerLoads = ({ replica }: ControllerContext): readonly OwnerLoad[] => {
   const machines = new Map<ShardId, number>();
   for (const m of replica.machines.values())
     machines.set(m.shard, (machines.get(m.shard) ?? 0) + 1);
   const out = new Map<string, { owner: string; shards: ShardId[]; units: number }>();
   for (const label of replica.members.keys())
     out.set(label, { owner: label, shards: [], units: 0 });
-  for (const [shard, record] of replica.shards) {
+  for (const [shard, record] of replica.shardOwners) {
     const load = out.get(record.value.label);
     // A shard whose owner is no member waits to be taken over.
     if (load === undefined) continue;
-    const { index } = replica.work(shard);
+    const { index } = replica.shardJobs(shard);
     let open = 0;
     for (const counts of index.openByTeam().values())
       for (const { count } of counts.values()) open += count;
     let waiting = 0;
-    for (const job of index.waiting.values()) waiting += waitingCount(job);
+    for (const job of index.waiting.values()) waiting += waitingTaskCount(job);
     load.shards.push(shard);
     load.units += (machines.get(shard) ?? 0) + open + Math.min(waiting, MOST_WAITING_UNITS);
   }
--- a/src/coordination/membership/event-loop-lag.ts
+++ b/src/coordination/membership/event-loop-lag.ts
@@ -1,4 +1,4 @@
-import { type Mono, mono } from "@umberfold/ids";
+import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
 /** What was late this long ago counts half. */
 const HALF_LIFE_MS = 2000;
@@ -13,23 +13,23 @@
  * as of an earlier moment: its own lag is nobody else's silence. (On machines of a third of the
  * size controllers returned healthy machines by the dozen, and took themselves for cut off.)
  */
-export class LoopLag {
+export class EventLoopLag {
   #lagMs = 0;
-  #seenAt: Mono = mono(0);
+  #seenAt: MonotonicMs = monotonicMs(0);
 
   /** A timer ran this late. */
-  observe(lateMs: number, now: Mono): void {
+  observe(lateMs: number, now: MonotonicMs): void {
     this.#lagMs = Math.max(this.recentMs(now), Math.min(lateMs, MOST_LAG_MS), 0);
     this.#seenAt = now;
   }
 
   /** The lag seen lately, which wears off. */
-  recentMs(now: Mono): number {
+  recentMs(now: MonotonicMs): number {
     return this.#lagMs * 0.5 ** (Math.max(0, now - this.#seenAt) / HALF_LIFE_MS);
   }
 
   /** The moment up to which everything that was sent here must have been read. */
-  readUpTo(now: Mono): Mono {
-    return mono(now - TIMES * this.recentMs(now));
+  readUpTo(now: MonotonicMs): MonotonicMs {
+    return monotonicMs(now - TIMES * this.recentMs(now));
   }
 }
--- a/src/coordination/membership/store-availability.ts
+++ b/src/coordination/membership/store-availability.ts
@@ -1,4 +1,4 @@
-import type { Mono } from "@umberfold/ids";
+import type { MonotonicMs } from "@umberfold/ids";
 
 /**
  * How this controller stands with the state service.
@@ -10,59 +10,68 @@
  * holds may have been taken meanwhile, and it acts on none of it until the state service has shown
  * that it still does.
  */
-export type Standing = "served" | "outage" | "alone" | "waking";
+export type StoreAvailability = "available" | "outage" | "isolated" | "resuming";
 
-export interface Health {
-  readonly standing: Standing;
+export interface AvailabilityState {
+  readonly availability: StoreAvailability;
   /** Since when the state service has not served us; unset while it does. */
-  readonly since: Mono | undefined;
+  readonly failingSince: MonotonicMs | undefined;
   /** The last time after which what was held had to be shown anew. */
-  readonly wokeAt: Mono | undefined;
+  readonly resumedAt: MonotonicMs | undefined;
 }
 
-export const HEALTHY: Health = { standing: "served", since: undefined, wokeAt: undefined };
+export const INITIAL_AVAILABILITY: AvailabilityState = {
+  availability: "available",
+  failingSince: undefined,
+  resumedAt: undefined,
+};
 
 /** What is known of the state service, by our own calls and by what the other controllers say. */
-export interface Evidence {
-  readonly now: Mono;
-  readonly answeredAt: Mono;
-  readonly refusedAt: Mono;
-  readonly unansweredAt: Mono;
+export interface AvailabilityEvidence {
+  readonly now: MonotonicMs;
+  readonly answeredAt: MonotonicMs;
+  readonly refusedAt: MonotonicMs;
+  readonly unansweredAt: MonotonicMs;
   /** How many other controllers there are, and how many say that they are served, or are not. */
   readonly peers: number;
-  readonly peersServed: number;
-  readonly peersUnserved: number;
+  readonly peersAvailable: number;
+  readonly peersUnavailable: number;
   /** This process has just found that it stood still. */
-  readonly woke: boolean;
+  readonly resumed: boolean;
   /** When the last question was sent whose answer showed what is held. */
-  readonly confirmedAt: Mono;
+  readonly ownershipConfirmedAt: MonotonicMs;
 }
 
 /**
  * Calls answer within milliseconds, now and then a few hundred. In less time than this the others
  * may not have noticed an outage themselves, and would say that they are served.
  */
-export const TROUBLE_MS = 2500;
+export const OUTAGE_CONFIRMATION_MS = 2500;
 
 /** The one place where a standing changes. */
-export const stepHealth = (h: Health, e: Evidence): Health => {
+export const stepAvailability = (
+  h: AvailabilityState,
+  e: AvailabilityEvidence,
+): AvailabilityState => {
   const failing = Math.max(e.refusedAt, e.unansweredAt) > e.answeredAt;
   const cut = e.unansweredAt > e.refusedAt;
-  const since = failing ? (h.since ?? e.now) : undefined;
+  const failingSince = failing ? (h.failingSince ?? e.now) : undefined;
   // Out before it stood still and still out: nobody was served in between.
-  const stillOut = h.standing === "outage" && failing && !cut;
-  const leftCut = !failing && (h.standing === "alone" || (h.standing === "outage" && cut));
-  const wokeAt = (e.woke && !stillOut) || leftCut ? e.now : h.wokeAt;
-  const shown = wokeAt === undefined || e.confirmedAt >= wokeAt;
-  const be = (standing: Standing): Health => ({
-    standing: shown || standing === "alone" ? standing : "waking",
-    since,
-    wokeAt: shown ? undefined : wokeAt,
+  const stillOut = h.availability === "outage" && failing && !cut;
+  const leftCut =
+    !failing && (h.availability === "isolated" || (h.availability === "outage" && cut));
+  const wokeAt = (e.resumed && !stillOut) || leftCut ? e.now : h.resumedAt;
+  const shown = wokeAt === undefined || e.ownershipConfirmedAt >= wokeAt;
+  const be = (standing: StoreAvailability): AvailabilityState => ({
+    availability: shown || standing === "isolated" ? standing : "resuming",
+    failingSince,
+    resumedAt: shown ? undefined : wokeAt,
   });
-  if (since === undefined) return be("served");
-  if (e.now - since < TROUBLE_MS) return be(h.standing === "waking" ? "served" : h.standing);
+  if (failingSince === undefined) return be("available");
+  if (e.now - failingSince < OUTAGE_CONFIRMATION_MS)
+    return be(h.availability === "resuming" ? "available" : h.availability);
   // An outage answers 503 to everybody. Refused while another is served, it is ours alone; and so
   // is a cut, unless all others say that they are behind it with us: then nobody can take over.
-  const together = e.peersUnserved === e.peers;
-  return be(e.peersServed > 0 || (cut && !together) ? "alone" : "outage");
+  const together = e.peersUnavailable === e.peers;
+  return be(e.peersAvailable > 0 || (cut && !together) ? "isolated" : "outage");
 };
--- a/src/coordination/ownership/soft-state.ts
+++ b/src/coordination/ownership/soft-state.ts
@@ -1,4 +1,10 @@
-import { type JobId, type MachineId, type Mono, mono, type ShardId } from "@umberfold/ids";
+import {
+  type JobId,
+  type MachineId,
+  type MonotonicMs,
+  monotonicMs,
+  type ShardId,
+} from "@umberfold/ids";
 
 /**
  * What a owner remembers beside the records. All of it may be lost with the process: it steers
@@ -6,84 +12,89 @@
  */
 export type StopReason = "preempted" | "moved" | "notice" | "unfit";
 
-export interface AttemptNote {
-  stop: { readonly reason: StopReason; readonly graceS: number } | null;
+export interface AttemptSoftState {
+  requestStop: { readonly reason: StopReason; readonly graceS: number } | null;
   /** When a report first showed it running. */
-  runningSince: Mono | null;
+  runningSince: MonotonicMs | null;
   readonly machine: MachineId;
 }
 
-export interface JobNote {
+export interface JobBackoff {
   /** Failures in a row, with no task of the job completing between. */
   failures: number;
-  notBefore: Mono;
+  retryAt: MonotonicMs;
   readonly failedOn: Set<MachineId>;
 }
 
-export interface MachineNote {
+export interface MachineSoftState {
   /** Images it should hold, oldest use first. */
   readonly images: Map<string, number>;
   /** Jobs that failed here since something last completed here. */
   readonly failedJobs: Set<JobId>;
   failures: number;
   /** Returned once its open attempts are closed, or at once if `force`. */
-  retire: { readonly reason: string; readonly force: boolean } | null;
+  decommission: { readonly reason: string; readonly force: boolean } | null;
   /** A shard that the leader wants it for. */
-  move: {
+  pendingTransfer: {
     readonly to: ShardId;
     readonly drain: boolean;
     readonly whenEmpty: boolean;
-    readonly until: Mono;
+    readonly until: MonotonicMs;
   } | null;
-  directBusy: boolean;
-  directAgain: boolean;
+  callInFlight: boolean;
+  callAgain: boolean;
   /** The last time a call of ours was sent there. */
-  calledAt: Mono;
+  lastCallAt: MonotonicMs;
   /** Calls of ours in a row without an answer, and nothing heard in between. */
   failedCalls: number;
   /** The same whatever was heard in between, and since when: reports alone prove no way to it. */
   unreachableCalls: number;
-  unreachableSince: Mono;
+  unreachableSince: MonotonicMs;
   /**
    * The last report that it sent by itself, since it is held here. One that answers calls and
    * sends no heartbeats is of no use: its lease runs out whatever we tell it.
    */
-  reportedAt: Mono | null;
+  lastHeartbeatAt: MonotonicMs | null;
   /** A task waits for an exited attempt of its to be forgotten here, for want of another place. */
-  wantsBump: boolean;
+  needsTokenRaise: boolean;
 }
 
-export const newMachineNote = (): MachineNote => ({
+export const newMachineSoftState = (): MachineSoftState => ({
   images: new Map(),
   failedJobs: new Set(),
   failures: 0,
-  retire: null,
-  move: null,
-  directBusy: false,
-  directAgain: false,
-  calledAt: mono(0),
+  decommission: null,
+  pendingTransfer: null,
+  callInFlight: false,
+  callAgain: false,
+  lastCallAt: monotonicMs(0),
   failedCalls: 0,
   unreachableCalls: 0,
-  unreachableSince: mono(0),
-  reportedAt: null,
-  wantsBump: false,
+  unreachableSince: monotonicMs(0),
+  lastHeartbeatAt: null,
+  needsTokenRaise: false,
 });
 
 /** Forgets what was held against a machine for not being heard or not answering. */
-export const resetSuspicion = (n: MachineNote): void => {
+export const resetHealth = (n: MachineSoftState): void => {
   n.failedCalls = 0;
   n.unreachableCalls = 0;
-  n.unreachableSince = mono(0);
-  n.reportedAt = null;
+  n.unreachableSince = monotonicMs(0);
+  n.lastHeartbeatAt = null;
 };
 
-export const newJobNote = (): JobNote => ({
+export const newJobBackoff = (): JobBackoff => ({
   failures: 0,
-  notBefore: mono(0),
+  retryAt: monotonicMs(0),
   failedOn: new Set(),
 });
 
-export const useImage = (note: MachineNote, image: string, gb: number, cacheGb: number): void => {
+export const recordImageUse = (
+  note: MachineSoftState,
+  image: string,
+  gb: number,
+  cacheGb: number,
+): void => {
   note.images.delete(image);
   note.images.set(image, gb);
   let total = 0;
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -1,20 +1,20 @@
 import {
-  type AttemptNo,
+  type AttemptNumber,
   type JobId,
   type MachineId,
-  type Mono,
-  mono,
+  type MonotonicMs,
+  monotonicMs,
   type ShardId,
   type TaskId,
   taskId,
 } from "@umberfold/ids";
-import type { TaskReport } from "../../protocol/workers.js";
+import type { TaskStatus } from "../../protocol/workers.js";
 import { rangesAdd, rangesCount } from "../../storage/ranges.js";
-import { type LiveJob, NO_PROGRESS, type Progress } from "../../storage/records.js";
-import type { OpenOn } from "../../storage/shard-jobs.js";
-import type { Batch } from "../../storage/transaction-batch.js";
-import { MANY_MACHINES, type ShardState } from "../ownership/shard-state.js";
-import { findAttempt } from "../ownership/worker-session.js";
+import { type JobProgress, type LiveJob, NO_PROGRESS } from "../../storage/records.js";
+import type { IndexedAttempt } from "../../storage/shard-jobs.js";
+import type { TransactionBatch } from "../../storage/transaction-batch.js";
+import { JOB_FAULT_MACHINES, type ShardState } from "../ownership/shard-state.js";
+import { observeAttempt } from "../ownership/worker-session.js";
 
 /**
  * What part of a transaction the ends of jobs may fill: each takes two changes of its own. (In a flood
@@ -25,48 +25,52 @@
 /** How soon a machine on which something is to stop is called again. */
 const STOP_AGAIN_MS = 400;
 
-interface Closing {
+interface TerminatedAttempt {
   readonly key: string;
   readonly index: number;
-  readonly attempt: AttemptNo;
+  readonly attempt: AttemptNumber;
   readonly machine: MachineId;
   /** Its last report, or undefined if it is gone without one. */
-  readonly report: TaskReport | undefined;
+  readonly report: TaskStatus | undefined;
 }
 
 /** What a round has decided of one shard so far. */
 export interface ShardRound {
   readonly shard: ShardId;
-  readonly batch: Batch;
-  readonly now: Mono;
+  readonly batch: TransactionBatch;
+  readonly now: MonotonicMs;
   /** Jobs as this round will write them. */
   readonly drafts: Map<JobId, LiveJob>;
   /** Machines that should hear from us once this is written. */
-  readonly call: Set<MachineId>;
+  readonly machinesToCall: Set<MachineId>;
   /** Closings in the batch, by machine, and their attempts' keys. */
-  readonly closed: Map<MachineId, Set<TaskId>>;
-  readonly closedKeys: string[];
+  readonly terminatedByMachine: Map<MachineId, Set<TaskId>>;
+  readonly terminatedKeys: string[];
 }
 
-export const newShardRound = (shard: ShardId, batch: Batch, now: Mono): ShardRound => ({
+export const newShardRound = (
+  shard: ShardId,
+  batch: TransactionBatch,
+  now: MonotonicMs,
+): ShardRound => ({
   shard,
   batch,
   now,
   drafts: new Map(),
-  call: new Set(),
-  closed: new Map(),
-  closedKeys: [],
+  machinesToCall: new Set(),
+  terminatedByMachine: new Map(),
+  terminatedKeys: [],
 });
 
 /** Is the attempt proved gone, and how did it end? Null: it isn't. */
-const proof = (
+const terminationEvidence = (
   owned: ShardState,
   job: LiveJob | undefined,
   task: TaskId,
-  { attempt, key }: OpenOn,
+  { attempt, key }: IndexedAttempt,
   machine: MachineId,
   round: ShardRound,
-): { readonly report: TaskReport | undefined } | null => {
+): { readonly report: TaskStatus | undefined } | null => {
   const { replica } = owned.ctx;
   const m = replica.machines.get(machine);
   // A machine leaves the records only after its attempts: one that is missing proves nothing.
@@ -74,39 +78,40 @@
   if (replica.isGone(machine)) return { report: undefined };
   const s = owned.sessions.get(machine);
   if (s === undefined) return null;
-  const stopped = job === undefined || job.cancelledAt !== null || owned.attempts.get(key)?.stop;
-  const found = findAttempt(s, task, attempt, key);
+  const stopped =
+    job === undefined || job.cancelledAt !== null || owned.attemptStates.get(key)?.requestStop;
+  const found = observeAttempt(s, task, attempt, key);
   if (found.kind === "present") {
-    if (found.report.stage === "ended") return { report: found.report };
+    if (found.report.phase === "ended") return { report: found.report };
     // Told already, and asked again after a while: it may need time to save, and its next heartbeat
     // is answered with the same.
-    const told = round.now - owned.note(machine).calledAt < STOP_AGAIN_MS;
-    if (stopped && told) owned.disturbed.add(machine);
-    else if (stopped) round.call.add(machine);
+    const told = round.now - owned.machineState(machine).lastCallAt < STOP_AGAIN_MS;
+    if (stopped && told) owned.dirtyMachines.add(machine);
+    else if (stopped) round.machinesToCall.add(machine);
     return null;
   }
   if (found.kind !== "absent") return null;
-  const leaving = stopped || m.stage !== "up" || owned.heartbeatOverdue(machine, round.now);
+  const leaving = stopped || m.phase !== "up" || owned.heartbeatOverdue(machine, round.now);
   return leaving ? { report: undefined } : null;
 };
 
 /** Closes every open attempt that is proved gone on these machines, and ends jobs that are over. */
-export const closeAttempts = (
+export const terminateAttempts = (
   owned: ShardState,
   round: ShardRound,
   machines: Iterable<MachineId>,
 ): void => {
   const byJob = provedGone(owned, round, machines);
   for (const [id, rows] of byJob) closeOfJob(owned, round, id, rows);
-  endDueJobs(owned, round, ENDS_PART);
+  finishCompletedJobs(owned, round, ENDS_PART);
 };
 
 /** Ends cancelled jobs with nothing open, and completed ones whose ends had to wait. */
-export const endDueJobs = (owned: ShardState, round: ShardRound, part = 1): void => {
-  const { index } = owned.ctx.replica.work(round.shard);
+export const finishCompletedJobs = (owned: ShardState, round: ShardRound, part = 1): void => {
+  const { index } = owned.ctx.replica.shardJobs(round.shard);
   for (const due of [index.cancelled, index.complete])
     for (const [id, job] of due) {
-      if (round.batch.ops >= round.batch.mostOps * part) return;
+      if (round.batch.ops >= round.batch.maxOps * part) return;
       if (job.open.length === 0 && !round.drafts.has(id)) closeOfJob(owned, round, id, []);
     }
 };
@@ -116,12 +121,12 @@
   owned: ShardState,
   round: ShardRound,
   machines: Iterable<MachineId>,
-): Map<JobId, Closing[]> => {
-  const work = owned.ctx.replica.work(round.shard);
-  const byJob = new Map<JobId, Closing[]>();
+): Map<JobId, TerminatedAttempt[]> => {
+  const work = owned.ctx.replica.shardJobs(round.shard);
+  const byJob = new Map<JobId, TerminatedAttempt[]>();
   for (const machine of machines)
-    for (const [task, o] of work.openOn(machine)) {
-      const found = proof(owned, work.jobs.get(o.job), task, o, machine, round);
+    for (const [task, o] of work.openAttemptsOn(machine)) {
+      const found = terminationEvidence(owned, work.jobs.get(o.job), task, o, machine, round);
       if (found === null) continue;
       const row = { ...o, machine, report: found.report };
       const rows = byJob.get(o.job);
@@ -136,22 +141,22 @@
   owned: ShardState,
   round: ShardRound,
   id: JobId,
-  rows: readonly Closing[],
+  rows: readonly TerminatedAttempt[],
 ): void => {
-  const work = owned.ctx.replica.work(round.shard);
+  const work = owned.ctx.replica.shardJobs(round.shard);
   const job = work.jobs.get(id);
-  const old: Progress =
+  const old: JobProgress =
     job ?? work.pages.get(work.pageOf(id) ?? "")?.entries.get(id) ?? NO_PROGRESS;
   const gone = new Set(rows.map((r) => r.index));
   let { done } = old;
   for (const r of rows) if (r.report?.cause === "done") done = rangesAdd(done, r.index);
-  const next: Progress = {
+  const next: JobProgress = {
     done,
     open: old.open.filter((o) => !gone.has(o.index)),
     nextAttempt: old.nextAttempt,
   };
   if (!write(owned, round, id, job, next, rows.length > 0)) {
-    for (const r of rows) owned.disturbed.add(r.machine);
+    for (const r of rows) owned.dirtyMachines.add(r.machine);
     return;
   }
   if (job !== undefined) round.drafts.set(id, { ...job, ...next });
@@ -163,18 +168,18 @@
   round: ShardRound,
   id: JobId,
   job: LiveJob | undefined,
-  row: Closing,
+  row: TerminatedAttempt,
 ): void => {
-  owned.closing.add(row.key);
-  round.closedKeys.push(row.key);
-  const on = round.closed.get(row.machine) ?? new Set();
+  owned.terminating.add(row.key);
+  round.terminatedKeys.push(row.key);
+  const on = round.terminatedByMachine.get(row.machine) ?? new Set();
   on.add(taskId(id, row.index));
-  round.closed.set(row.machine, on);
+  round.terminatedByMachine.set(row.machine, on);
   if (row.report === undefined) owned.counters.lost++;
   else if (job !== undefined) learn(owned, id, job, row, row.report, round.now);
   // Empty by now, perhaps: what waits for that is looked at in the next round.
-  const { retire, move } = owned.note(row.machine);
-  if (retire !== null || move !== null) owned.disturbed.add(row.machine);
+  const { decommission, pendingTransfer } = owned.machineState(row.machine);
+  if (decommission !== null || pendingTransfer !== null) owned.dirtyMachines.add(row.machine);
 };
 
 const write = (
@@ -182,18 +187,18 @@
   { shard, batch }: ShardRound,
   id: JobId,
   job: LiveJob | undefined,
-  next: Progress,
+  next: JobProgress,
   closed: boolean,
 ): boolean => {
   if (job === undefined) return batch.putJob(shard, id, next);
   const doneTasks = rangesCount(next.done);
-  const over = job.cancelledAt !== null ? next.open.length === 0 : doneTasks === job.spec.tasks;
+  const over = job.cancelledAt !== null ? next.open.length === 0 : doneTasks === job.spec.taskCount;
   const rev = owned.ctx.replica.accepted.get(id)?.rev;
-  const stage = job.cancelledAt !== null ? "cancelled" : "done";
+  const phase = job.cancelledAt !== null ? "cancelled" : "done";
   // An end of a job that has waited for it already is bounded by whoever asks for it.
-  const room = !closed || batch.ops < batch.mostOps * ENDS_PART;
+  const room = !closed || batch.ops < batch.maxOps * ENDS_PART;
   if (over && rev !== undefined && room)
-    if (batch.finish(shard, id, rev, { stage, done: doneTasks })) return true;
+    if (batch.finishJob(shard, id, rev, { phase, done: doneTasks })) return true;
   // Its end can wait, but not the room that its tasks have left.
   return closed && batch.putJob(shard, id, next);
 };
@@ -202,15 +207,15 @@
   owned: ShardState,
   id: JobId,
   job: LiveJob,
-  o: Closing,
-  t: TaskReport,
-  now: Mono,
+  o: TerminatedAttempt,
+  t: TaskStatus,
+  now: MonotonicMs,
 ): void => {
-  const jn = owned.jobNote(id);
-  const mn = owned.note(o.machine);
+  const jn = owned.jobBackoff(id);
+  const mn = owned.machineState(o.machine);
   if (t.cause === "done") {
     owned.counters.done++;
-    owned.learnRun(job.spec, owned.attempts.get(o.key), now);
+    owned.recordRunTime(job.spec, owned.attemptStates.get(o.key), now);
     jn.failures = 0;
     mn.failures = 0;
     mn.failedJobs.clear();
@@ -226,15 +231,15 @@
     jn.failedOn.add(o.machine);
     mn.failures++;
     // A job that fails on one machine after the other says nothing against the next of them.
-    if (jn.failedOn.size < MANY_MACHINES) mn.failedJobs.add(id);
+    if (jn.failedOn.size < JOB_FAULT_MACHINES) mn.failedJobs.add(id);
     // Jobs failing on several machines are backed off; a machine failing several jobs goes.
-    if (jn.failedOn.size >= MANY_MACHINES)
-      jn.notBefore = mono(now + Math.min(30_000, 1000 * 2 ** Math.min(5, jn.failures - 3)));
-    if (mn.failedJobs.size >= 2 && mn.retire === null) {
+    if (jn.failedOn.size >= JOB_FAULT_MACHINES)
+      jn.retryAt = monotonicMs(now + Math.min(30_000, 1000 * 2 ** Math.min(5, jn.failures - 3)));
+    if (mn.failedJobs.size >= 2 && mn.decommission === null) {
       log.info("machine quarantined", { machine: o.machine, failures: mn.failures });
-      mn.retire = { reason: "faulty", force: false };
+      mn.decommission = { reason: "faulty", force: false };
     }
   } else {
-    jn.notBefore = mono(now + 500);
+    jn.retryAt = monotonicMs(now + 500);
   }
 };
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -1,10 +1,15 @@
 import { type MachineId, type ShardId, splitTask, type TaskId } from "@umberfold/ids";
 import type { Resources } from "../../protocol/jobs.js";
-import { contenders, distinctNeeds, occupy, type Place } from "../../scheduling/placement.js";
-import { ENDLESS, lesser, NOTHING, plus } from "../../scheduling/resources.js";
+import {
+  addUse,
+  type CandidateMachine,
+  countCompetingShapes,
+  distinctShapes,
+} from "../../scheduling/placement.js";
+import { add, minimumOf, NO_RESOURCES, UNBOUNDED_RESOURCES } from "../../scheduling/resources.js";
 import type { LiveJob, MachineRecord } from "../../storage/records.js";
 import type { ShardJobs } from "../../storage/shard-jobs.js";
-import { steadyNow } from "../../transport/clock.js";
+import { monotonicNow } from "../../transport/clock.js";
 import type { ShardState } from "../ownership/shard-state.js";
 
 /** How long a place is kept for a task that moves. */
@@ -20,7 +25,7 @@
 /** Where a job's other open attempts stand, as `oneZone` and `apart` judge them. */
 export const zoneCounts = (owned: ShardState, job: LiveJob): Map<string, number> => {
   const zones = new Map<string, number>();
-  if (!job.spec.oneZone && !job.spec.apart) return zones;
+  if (!job.spec.zoneAffinity && !job.spec.spreadAcrossZones) return zones;
   for (const o of job.open) {
     const zone = owned.ctx.replica.machines.get(o.machine)?.zone ?? "";
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
@@ -31,11 +36,11 @@
 /** Whether a machine of the shard may be given tasks. */
 const takesTasks = (owned: ShardState, id: MachineId, machine: MachineRecord): boolean => {
   const session = owned.sessions.get(id);
-  if (machine.stage !== "up" || owned.ctx.replica.isGone(id)) return false;
-  if (session?.state !== "ready" || session.report?.noticeS != null) return false;
-  const note = owned.note(id);
-  if (note.retire !== null || note.move !== null) return false;
-  return note.unreachableCalls <= MOST_UNANSWERED && !owned.heartbeatOverdue(id, steadyNow());
+  if (machine.phase !== "up" || owned.ctx.replica.isGone(id)) return false;
+  if (session?.state !== "ready" || session.status?.preemptionNoticeS != null) return false;
+  const note = owned.machineState(id);
+  if (note.decommission !== null || note.pendingTransfer !== null) return false;
+  return note.unreachableCalls <= MOST_UNANSWERED && !owned.heartbeatOverdue(id, monotonicNow());
 };
 
 interface Occupancy {
@@ -56,7 +61,7 @@
   const machines =
     known.get(work) ?? new Map<MachineId, Occupancy & { readonly changes: number }>();
   known.set(work, machines);
-  const changes = work.changesOn(id);
+  const changes = work.openVersionOn(id);
   const before = machines.get(id);
   if (before?.changes === changes) return before;
   const now = { ...addUp(work, id, NO_TASKS), changes };
@@ -65,32 +70,32 @@
 };
 
 const addUp = (work: ShardJobs, id: MachineId, closed: ReadonlySet<TaskId>): Occupancy => {
-  let use = NOTHING;
-  let least = ENDLESS;
-  for (const [task, o] of work.openOn(id)) {
-    const needs = work.jobs.get(o.job)?.spec.needs;
+  let use = NO_RESOURCES;
+  let least = UNBOUNDED_RESOURCES;
+  for (const [task, o] of work.openAttemptsOn(id)) {
+    const needs = work.jobs.get(o.job)?.spec.resources;
     if (needs === undefined || closed.has(task)) continue;
-    use = plus(use, needs);
-    least = lesser(least, needs);
+    use = add(use, needs);
+    least = minimumOf(least, needs);
   }
   return { use, least };
 };
 
 /** Machines of the shard that take tasks, with what stands on them once this round is written. */
-export const placesOf = (
+export const candidateMachines = (
   owned: ShardState,
   shard: ShardId,
   closed: ReadonlyMap<MachineId, ReadonlySet<TaskId>>,
   edited: ReadonlySet<MachineId>,
-): Map<MachineId, Place> => {
+): Map<MachineId, CandidateMachine> => {
   const { replica } = owned.ctx;
-  const work = replica.work(shard);
-  const out = new Map<MachineId, Place>();
+  const work = replica.shardJobs(shard);
+  const out = new Map<MachineId, CandidateMachine>();
   const perCpu = (price: number, cpus: number): number => price / Math.max(1, cpus);
-  const types = replica.types?.value ?? [];
-  const shapes = distinctNeeds(work.index.needs());
+  const types = replica.machineTypes?.value ?? [];
+  const shapes = distinctShapes(work.index.distinctResources());
   const byName = new Map(
-    types.map((type) => [type.name, { type, rivals: contenders(type.capacity, shapes) }]),
+    types.map((type) => [type.name, { type, rivals: countCompetingShapes(type.capacity, shapes) }]),
   );
   const cheapest = Math.min(...types.map((t) => perCpu(t.spotPrice, t.capacity.cpus)));
   for (const id of owned.sessions.keys()) {
@@ -98,7 +103,7 @@
     if (machine === undefined || machine.shard !== shard || edited.has(id)) continue;
     const known = byName.get(machine.type);
     if (known === undefined || !takesTasks(owned, id, machine)) continue;
-    const { use, least } = occupancyOn(work, id, closed.get(id));
+    const { use, least: smallestDemand } = occupancyOn(work, id, closed.get(id));
     const price = machine.spot ? known.type.spotPrice : known.type.price;
     out.set(id, {
       id,
@@ -107,18 +112,18 @@
       spot: machine.spot,
       capacity: known.type.capacity,
       use,
-      least,
+      smallestDemand,
       price,
-      dear: perCpu(price, known.type.capacity.cpus) > DEAR * cheapest,
+      isCostly: perCpu(price, known.type.capacity.cpus) > DEAR * cheapest,
       fetchGbPerS: known.type.fetchGbPerS,
-      images: owned.note(id).images,
-      contenders: known.rivals,
+      images: owned.machineState(id).images,
+      competingShapes: known.rivals,
     });
   }
-  for (const [task, reservation] of owned.incoming) {
+  for (const [task, reservation] of owned.reservations) {
     const place = out.get(reservation.to);
-    const needs = work.jobs.get(splitTask(task).job)?.spec.needs;
-    if (place !== undefined && needs !== undefined) occupy(place, needs);
+    const needs = work.jobs.get(splitTask(task).job)?.spec.resources;
+    if (place !== undefined && needs !== undefined) addUse(place, needs);
   }
   return out;
 };
--- a/src/coordination/rounds/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -1,13 +1,13 @@
 import type { TeamName } from "@umberfold/ids";
 import type { FairTurn, FairTurnInput } from "@umberfold/load-spread";
-import { type Resources, rankOrder } from "../../protocol/jobs.js";
-import type { Place } from "../../scheduling/placement.js";
-import type { Queued } from "../../scheduling/queue-order.js";
-import { NOTHING, plus } from "../../scheduling/resources.js";
-import { waitingCount } from "../../storage/records.js";
+import { priorityOrder, type Resources } from "../../protocol/jobs.js";
+import type { CandidateMachine } from "../../scheduling/placement.js";
+import type { QueuedJob } from "../../scheduling/queue-order.js";
+import { add, NO_RESOURCES } from "../../scheduling/resources.js";
+import { waitingTaskCount } from "../../storage/records.js";
 
 /** A job's turn in a round, with the most tasks that it may start in it. */
-export interface QueueStep extends Queued {
+export interface QueueStep extends QueuedJob {
   readonly mostStarts?: number;
 }
 
@@ -29,23 +29,23 @@
   );
 
 /** Jobs among which nothing but fairness decides: guarantees, ranks and overdue jobs come before. */
-const sameStanding = (a: Queued, b: Queued): boolean =>
+const haveSamePrecedence = (a: QueuedJob, b: QueuedJob): boolean =>
   a.overdue === b.overdue &&
   a.withinGuarantee === b.withinGuarantee &&
-  rankOrder(a.job.spec.rank) === rankOrder(b.job.spec.rank);
+  priorityOrder(a.job.spec.priority) === priorityOrder(b.job.spec.priority);
 
-function* runsOfSameStanding(queue: readonly Queued[]): Iterable<readonly Queued[]> {
+function* runsOfSameStanding(queue: readonly QueuedJob[]): Iterable<readonly QueuedJob[]> {
   let begin = 0;
   for (let i = 1; i <= queue.length; i++) {
     const first = queue[begin];
     const next = queue[i];
-    if (first !== undefined && next !== undefined && sameStanding(first, next)) continue;
+    if (first !== undefined && next !== undefined && haveSamePrecedence(first, next)) continue;
     yield queue.slice(begin, i);
     begin = i;
   }
 }
 
-const severalTeams = (run: readonly Queued[]): boolean =>
+const severalTeams = (run: readonly QueuedJob[]): boolean =>
   run.some((q) => q.job.spec.team !== run[0]?.job.spec.team);
 
 type FairTurns = (input: FairTurnInput) => readonly FairTurn[];
@@ -57,15 +57,15 @@
 
 /** The turns of one class's jobs, in a queue that is taken from task by task. */
 class ClassTurns {
-  readonly #turns: { readonly queued: Queued; left: number }[] = [];
+  readonly #turns: { readonly queued: QueuedJob; left: number }[] = [];
 
-  constructor(run: readonly Queued[], fairTurns: FairTurns, { capacity, shares }: Room) {
+  constructor(run: readonly QueuedJob[], fairTurns: FairTurns, { capacity, shares }: Room) {
     const byId = new Map(run.map((q) => [q.id, q]));
     const jobs = run.map((q) => ({
       id: q.id,
       team: q.job.spec.team,
-      tasks: waitingCount(q.job),
-      dominant: dominantShare(q.job.spec.needs, capacity),
+      tasks: waitingTaskCount(q.job),
+      dominant: dominantShare(q.job.spec.resources, capacity),
     }));
     for (const turn of fairTurns({ jobs, shares, mostTasks: MOST_TASKS })) {
       const queued = byId.get(turn.id);
@@ -88,8 +88,8 @@
   }
 }
 
-const byClass = (run: readonly Queued[]): ReadonlyMap<string, readonly Queued[]> => {
-  const out = new Map<string, Queued[]>();
+const byClass = (run: readonly QueuedJob[]): ReadonlyMap<string, readonly QueuedJob[]> => {
+  const out = new Map<string, QueuedJob[]>();
   for (const q of run) {
     const jobs = out.get(q.job.spec.jobClass) ?? [];
     out.set(q.job.spec.jobClass, jobs);
@@ -99,14 +99,18 @@
 };
 
 /** A run in its order of slack between classes, with the turns within a class divided fairly. */
-function* fairRun(run: readonly Queued[], fairTurns: FairTurns, room: Room): Iterable<QueueStep> {
+function* fairRun(
+  run: readonly QueuedJob[],
+  fairTurns: FairTurns,
+  room: Room,
+): Iterable<QueueStep> {
   const classes = new Map<string, ClassTurns>();
   for (const [jobClass, jobs] of byClass(run))
     if (severalTeams(jobs)) classes.set(jobClass, new ClassTurns(jobs, fairTurns, room));
   for (const q of run) {
     const turns = classes.get(q.job.spec.jobClass);
     if (turns === undefined) yield q;
-    else yield* turns.take(waitingCount(q.job));
+    else yield* turns.take(waitingTaskCount(q.job));
   }
   // What the others can't use is not left idle: each comes once more without a bound.
   for (const q of run) if (classes.has(q.job.spec.jobClass)) yield q;
@@ -118,15 +122,15 @@
  * waiting costs them.
  */
 export const fairQueue = (
-  queue: readonly Queued[],
+  queue: readonly QueuedJob[],
   fairTurns: FairTurns | undefined,
   use: ReadonlyMap<TeamName, Resources>,
   partOf: (team: TeamName) => number,
-  places: Iterable<Place>,
+  places: Iterable<CandidateMachine>,
 ): readonly QueueStep[] => {
   if (fairTurns === undefined) return queue;
-  let capacity = NOTHING;
-  for (const place of places) capacity = plus(capacity, place.capacity);
+  let capacity = NO_RESOURCES;
+  for (const place of places) capacity = add(capacity, place.capacity);
   const shares = new Map(
     [...use].map(([team, taken]) => {
       const part = Math.max(LEAST_PART, partOf(team));
--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -1,10 +1,15 @@
-import type { MachineId, Mono, Revision } from "@umberfold/ids";
-import type { FleetPage } from "../../storage/fleet-index.js";
+import type { MachineId, MonotonicMs, Revision } from "@umberfold/ids";
+import type { MachinePage } from "../../storage/fleet-index.js";
 import { MACHINE_BYTES } from "../../storage/pages.js";
 import { keys, type MachineRecord } from "../../storage/records.js";
-import { pageLimit } from "../../storage/transaction-batch.js";
+import { maxPageBytes } from "../../storage/transaction-batch.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { inTheWay, needsBump, type Session, worthBump } from "../ownership/worker-session.js";
+import {
+  isBlockedByEarlierAttempt,
+  mustRaiseToken,
+  shouldRaiseToken,
+  type WorkerSession,
+} from "../ownership/worker-session.js";
 import type { ShardRound } from "./attempt-termination.js";
 
 /** What is to become of a machine's record. */
@@ -25,9 +30,9 @@
 const JOIN_LEVEL = 0.6;
 
 /** Records of machines: those proved gone, endpoints, bumps, moves between shards, retirement. */
-export class MachineRecords {
+export class MachineRecordPhase {
   /** Pages with a change that waits for company, and since when. */
-  readonly #lazySince = new Map<string, Mono>();
+  readonly #lazySince = new Map<string, MonotonicMs>();
   /** Machines whose records are to change and have not been written yet. */
   readonly #pending = new Set<MachineId>();
   #names = 0;
@@ -42,11 +47,11 @@
     const { replica } = this.owned.ctx;
     const edited = new Set<MachineId>();
     const written = new Set<string>();
-    const pages: [string, FleetPage][] = [];
-    for (const [key, page] of replica.fleetPages)
+    const pages: [string, MachinePage][] = [];
+    for (const [key, page] of replica.machinePages)
       if (page.shard === round.shard) pages.push([key, page]);
     for (const key of this.#lazySince.keys())
-      if (!replica.fleetPages.has(key)) this.#lazySince.delete(key);
+      if (!replica.machinePages.has(key)) this.#lazySince.delete(key);
     const changesOf = this.#changesByPage(round, looked);
     for (const [key] of pages) {
       const changes = changesOf.get(key);
@@ -81,7 +86,7 @@
       const machine = replica.machines.get(id);
       // Pending ones of another shard have their turn in that shard's part of the round.
       if (machine !== undefined && machine.shard !== round.shard) continue;
-      const key = replica.fleetPageOf(id);
+      const key = replica.machinePageOf(id);
       const change = machine === undefined ? undefined : this.#change(id, machine, round);
       if (change === undefined || key === undefined) {
         this.#pending.delete(id);
@@ -104,23 +109,26 @@
   ): boolean {
     const { owned } = this;
     const { replica } = owned.ctx;
-    const machines = round.batch.editFleet(key);
+    const machines = round.batch.editMachinePage(key);
     if (machines === undefined) return false;
     for (const [id, change] of changes) {
       if (change.kind === "drop") machines.delete(id);
       else if (change.kind === "move") {
-        const shard = replica.shards.get(round.shard)?.rev;
-        const page = round.batch.newFleet(keys.fleet(change.to.shard, `${shard}-${this.#names}`));
+        const shard = replica.shardOwners.get(round.shard)?.rev;
+        const page = round.batch.newMachinePage(
+          keys.fleet(change.to.shard, `${shard}-${this.#names}`),
+        );
         if (page === undefined) continue;
         machines.delete(id);
         page.set(id, change.to);
         edited.add(id);
       } else {
-        owned.note(id).wantsBump = false;
-        if (change.lazyMs === 0 || change.to.floor !== machines.get(id)?.floor) edited.add(id);
+        owned.machineState(id).needsTokenRaise = false;
+        if (change.lazyMs === 0 || change.to.tokenFloor !== machines.get(id)?.tokenFloor)
+          edited.add(id);
         machines.set(id, change.to);
-        if (change.to.stage === "up") round.call.add(id);
-        else owned.note(id).move = null;
+        if (change.to.phase === "up") round.machinesToCall.add(id);
+        else owned.machineState(id).pendingTransfer = null;
       }
     }
     return true;
@@ -134,19 +142,20 @@
   #change(id: MachineId, m: MachineRecord, round: ShardRound): Change | undefined {
     const { owned } = this;
     const { replica } = owned.ctx;
-    const open = replica.work(round.shard).openOn(id).size;
+    const open = replica.shardJobs(round.shard).openAttemptsOn(id).size;
     if (replica.isGone(id))
-      return open === (round.closed.get(id)?.size ?? 0) ? { kind: "drop" } : undefined;
+      return open === (round.terminatedByMachine.get(id)?.size ?? 0) ? { kind: "drop" } : undefined;
     const s = owned.sessions.get(id);
-    if (s === undefined || m.stage !== "up") return undefined;
-    const note = owned.note(id);
+    if (s === undefined || m.phase !== "up") return undefined;
+    const note = owned.machineState(id);
     const empty = open === 0;
-    if (note.retire !== null && (note.retire.force || empty)) {
-      owned.ctx.log.info("machine retired", { machine: id, reason: note.retire.reason });
-      return { kind: "put", to: { ...m, stage: "retiring" }, lazyMs: 0 };
+    if (note.decommission !== null && (note.decommission.force || empty)) {
+      owned.ctx.log.info("machine retired", { machine: id, reason: note.decommission.reason });
+      return { kind: "put", to: { ...m, phase: "retiring" }, lazyMs: 0 };
     }
-    const endpoint = s.report?.endpoint ?? m.endpoint;
-    const transfer = note.move === null ? undefined : this.#transfer(id, { ...m, endpoint }, s);
+    const endpoint = s.status?.endpoint ?? m.endpoint;
+    const transfer =
+      note.pendingTransfer === null ? undefined : this.#transfer(id, { ...m, endpoint }, s);
     const raise = this.#raise(id, { ...m, endpoint }, s, round);
     if (transfer !== undefined || raise !== undefined) return transfer ?? raise;
     if (endpoint !== m.endpoint) return { kind: "put", to: { ...m, endpoint }, lazyMs: LAZY_MS };
@@ -154,37 +163,37 @@
   }
 
   /** The move to another shard that the leader asked for, once nothing is left on the machine. */
-  #transfer(id: MachineId, m: MachineRecord, s: Session): Change | undefined {
+  #transfer(id: MachineId, m: MachineRecord, s: WorkerSession): Change | undefined {
     const { owned } = this;
-    const note = owned.note(id);
-    if (note.move === null) return undefined;
-    const { to, drain, whenEmpty } = note.move;
-    const empty = owned.ctx.replica.work(m.shard).openOn(id).size === 0;
+    const note = owned.machineState(id);
+    if (note.pendingTransfer === null) return undefined;
+    const { to, drain, whenEmpty } = note.pendingTransfer;
+    const empty = owned.ctx.replica.shardJobs(m.shard).openAttemptsOn(id).size === 0;
     // What has exited there the next owner forgets, under its higher token.
-    const idle = [...s.tasks.values()].every((x) => x.stage === "ended");
-    const proved = empty && idle && (s.state === "ready" || s.report === undefined);
-    if (proved || !(drain || whenEmpty)) note.move = null;
-    const floor = this.#above(owned.tokenOf(m));
-    if (!proved || to === m.shard || floor === undefined) return undefined;
-    return { kind: "move", to: { ...m, shard: to, floor } };
+    const idle = [...s.tasks.values()].every((x) => x.phase === "ended");
+    const proved = empty && idle && (s.state === "ready" || s.status === undefined);
+    if (proved || !(drain || whenEmpty)) note.pendingTransfer = null;
+    const tokenFloor = this.#above(owned.fencingTokenOf(m));
+    if (!proved || to === m.shard || tokenFloor === undefined) return undefined;
+    return { kind: "move", to: { ...m, shard: to, tokenFloor } };
   }
 
   /** A higher token, where a lost start or a kept exit needs one. */
-  #raise(id: MachineId, m: MachineRecord, s: Session, round: ShardRound): Change | undefined {
+  #raise(id: MachineId, m: MachineRecord, s: WorkerSession, round: ShardRound): Change | undefined {
     const { owned } = this;
-    const note = owned.note(id);
-    const open = owned.ctx.replica.work(round.shard).openOn(id);
+    const note = owned.machineState(id);
+    const open = owned.ctx.replica.shardJobs(round.shard).openAttemptsOn(id);
     const blocked = (): boolean => {
-      for (const [task, o] of open) if (inTheWay(s, task, o.attempt)) return true;
+      for (const [task, o] of open) if (isBlockedByEarlierAttempt(s, task, o.attempt)) return true;
       return false;
     };
-    const kept = s.sent.size > 0 && s.state === "ready";
-    if (!kept) note.wantsBump = false;
-    const pressing = needsBump(s) || (kept && (note.wantsBump || blocked()));
-    if (!pressing && !(worthBump(s) && s.state === "ready")) return undefined;
-    const floor = this.#above(owned.tokenOf(m));
-    if (floor === undefined) return undefined;
-    return { kind: "put", to: { ...m, floor }, lazyMs: pressing ? 0 : LAZY_BUMP_MS };
+    const kept = s.startDeliveries.size > 0 && s.state === "ready";
+    if (!kept) note.needsTokenRaise = false;
+    const pressing = mustRaiseToken(s) || (kept && (note.needsTokenRaise || blocked()));
+    if (!pressing && !(shouldRaiseToken(s) && s.state === "ready")) return undefined;
+    const tokenFloor = this.#above(owned.fencingTokenOf(m));
+    if (tokenFloor === undefined) return undefined;
+    return { kind: "put", to: { ...m, tokenFloor }, lazyMs: pressing ? 0 : LAZY_BUMP_MS };
   }
 
   /**
@@ -192,8 +201,8 @@
    * over later, can't be taken for the one before.
    */
   #above(old: number): Revision | undefined {
-    const { latest } = this.owned.ctx.replica;
-    return latest > old ? latest : undefined;
+    const { latestSeenRevision } = this.owned.ctx.replica;
+    return latestSeenRevision > old ? latestSeenRevision : undefined;
   }
 
   /**
@@ -201,7 +210,7 @@
    * costs one delete now, and one put less in every later round that has to do with its machines.
    */
   #join(
-    pages: readonly (readonly [string, FleetPage])[],
+    pages: readonly (readonly [string, MachinePage])[],
     written: ReadonlySet<string>,
     round: ShardRound,
   ): void {
@@ -209,7 +218,8 @@
     if (pages.length < 3) return;
     if (written.size === 0 && ctx.store.writeLevel() < JOIN_LEVEL) return;
     const most =
-      (pageLimit({ ...ctx.settings.state, size: ctx.settings.size }) * JOIN_PART) / MACHINE_BYTES;
+      (maxPageBytes({ ...ctx.settings.state, shardCount: ctx.settings.shardCount }) * JOIN_PART) /
+      MACHINE_BYTES;
     const bySize = [...pages].sort((a, b) => a[1].machines.size - b[1].machines.size);
     const least = bySize[0]?.[1].machines.size ?? 0;
     const into = bySize
@@ -217,13 +227,13 @@
       .filter(([, p]) => p.machines.size + least <= most)
       .filter(([key]) => written.size === 0 || written.has(key))
       .pop();
-    const target = into === undefined ? undefined : round.batch.editFleet(into[0]);
+    const target = into === undefined ? undefined : round.batch.editMachinePage(into[0]);
     if (into === undefined || target === undefined) return;
     let joined = 0;
     for (const [key, p] of bySize) {
       if (joined >= MOST_JOINED) break;
       if (key === into[0] || target.size + p.machines.size > most) continue;
-      const from = round.batch.editFleet(key);
+      const from = round.batch.editMachinePage(key);
       if (from === undefined) return;
       for (const [id, m] of from) target.set(id, m);
       from.clear();
--- a/src/coordination/rounds/machine-sweep.ts
+++ b/src/coordination/rounds/machine-sweep.ts
@@ -1,4 +1,4 @@
-import { type MachineId, type Mono, mono } from "@umberfold/ids";
+import { type MachineId, type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import type { ShardState } from "../ownership/shard-state.js";
 
 /** How often, and how many machines at a time, are looked at though nothing was heard of them. */
@@ -12,12 +12,12 @@
 export class MachineSweep {
   /** Machines that have yet to be looked at in turn. */
   #left: MachineId[] = [];
-  #sweptAt: Mono = mono(Number.NEGATIVE_INFINITY);
+  #sweptAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
 
-  disturb({ sessions, disturbed }: ShardState, now: Mono): void {
+  markDirty({ sessions, dirtyMachines }: ShardState, now: MonotonicMs): void {
     if (now - this.#sweptAt < SWEEP_MS) return;
     this.#sweptAt = now;
     if (this.#left.length === 0) this.#left = [...sessions.keys()];
-    for (const id of this.#left.splice(0, SWEEP_MOST)) if (sessions.has(id)) disturbed.add(id);
+    for (const id of this.#left.splice(0, SWEEP_MOST)) if (sessions.has(id)) dirtyMachines.add(id);
   }
 }
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -1,6 +1,6 @@
 import {
-  type AttemptNo,
-  attemptNo,
+  type AttemptNumber,
+  attemptNumber,
   type JobId,
   type MachineId,
   type Revision,
@@ -10,37 +10,37 @@
 } from "@umberfold/ids";
 import type { Team } from "../../config/settings.js";
 import type { JobSpec, Resources } from "../../protocol/jobs.js";
-import { hurryS, targetsOf } from "../../scheduling/objectives.js";
+import { startSlackS, targetsOf } from "../../scheduling/objectives.js";
 import {
-  occupy,
-  type Place,
-  PlaceSelector,
-  permitted,
-  placementGroup,
+  addUse,
+  type CandidateMachine,
+  CandidateSelector,
+  isPermitted,
+  placementGroupKey,
 } from "../../scheduling/placement.js";
 import type { PreemptionSearch } from "../../scheduling/preemption.js";
-import { type Queued, queueOrder, type Waiting } from "../../scheduling/queue-order.js";
-import { fitsBeside, minus, NOTHING, plus, times } from "../../scheduling/resources.js";
-import { machineNameBytes, openBytes, progressBytes } from "../../storage/pages.js";
+import { orderQueue, type QueuedJob, type WaitingJob } from "../../scheduling/queue-order.js";
+import { add, fitsBeside, NO_RESOURCES, scale, subtract } from "../../scheduling/resources.js";
+import { machineNameBytes, openAttemptBytes, progressBytes } from "../../storage/pages.js";
 import { rangesMissing } from "../../storage/ranges.js";
-import { type LiveJob, type OpenAttempt, waitingCount } from "../../storage/records.js";
-import { pageLimit } from "../../storage/transaction-batch.js";
-import { timeOfDay } from "../../transport/clock.js";
+import { type LiveJob, type OpenAttempt, waitingTaskCount } from "../../storage/records.js";
+import { maxPageBytes } from "../../storage/transaction-batch.js";
+import { wallClockNow } from "../../transport/clock.js";
 import type { ShardState } from "../ownership/shard-state.js";
 import type { ShardRound } from "./attempt-termination.js";
-import { placesOf, zoneCounts } from "./candidate-machines.js";
+import { candidateMachines, zoneCounts } from "./candidate-machines.js";
 import { fairQueue, type QueueStep } from "./fair-queue.js";
-import { PreemptionRound } from "./preemption-phase.js";
+import { PreemptionPhase } from "./preemption-phase.js";
 
 /** How much of a page the open attempts of one job may fill. */
 const PAGE_PART = 0.9;
 
 /** One job's turn in a round. */
 interface Turn {
-  readonly queued: Queued;
+  readonly queued: QueuedJob;
   readonly zones: Map<string, number>;
   /** Machines on which it has not failed; all of them where it failed nowhere. */
-  readonly selector: PlaceSelector;
+  readonly selector: CandidateSelector;
   readonly failedOn: ReadonlySet<MachineId>;
   /** Seconds until its tasks should run for its next objective that can still be met. */
   readonly hurryS: number;
@@ -50,7 +50,7 @@
 
 /** Where one task goes: a machine, nowhere for now, or nowhere and neither do the job's others. */
 type Outcome =
-  | { readonly kind: "placed"; readonly place: Place }
+  | { readonly kind: "placed"; readonly place: CandidateMachine }
   | { readonly kind: "wait" }
   | { readonly kind: "stop" };
 
@@ -60,11 +60,11 @@
 const NO_FAILURES: ReadonlySet<MachineId> = new Set();
 
 /** One shard's waiting work laid over its machines: starts, and stops that make room for them. */
-export class PlacementRound {
-  readonly #places: Map<MachineId, Place>;
+export class PlacementPhase {
+  readonly #places: Map<MachineId, CandidateMachine>;
   readonly #withinGuarantee: ReadonlySet<JobId>;
-  readonly #preemption: PreemptionRound;
-  readonly #selectors = new Map<string, PlaceSelector>();
+  readonly #preemption: PreemptionPhase;
+  readonly #selectors = new Map<string, CandidateSelector>();
   readonly #cached = new Map<string, boolean>();
   /** Teams with the limits and guarantees that hold for this shard. */
   readonly #teams: ReadonlyMap<TeamName, Team>;
@@ -74,11 +74,11 @@
     private readonly round: ShardRound,
     edited: ReadonlySet<MachineId>,
   ) {
-    const { index } = owned.ctx.replica.work(round.shard);
-    this.#teams = owned.ctx.quotas.teamsOf(round.shard);
-    this.#places = placesOf(owned, round.shard, round.closed, edited);
+    const { index } = owned.ctx.replica.shardJobs(round.shard);
+    this.#teams = owned.ctx.quotas.teamsIn(round.shard);
+    this.#places = candidateMachines(owned, round.shard, round.terminatedByMachine, edited);
     this.#withinGuarantee = new Set(index.withinGuarantee(this.#teams.values()));
-    this.#preemption = new PreemptionRound(owned, round, this.#withinGuarantee, this.#places);
+    this.#preemption = new PreemptionPhase(owned, round, this.#withinGuarantee, this.#places);
   }
 
   /** Whether any task of the shard waits once this round is written. */
@@ -90,32 +90,32 @@
     if (this.#places.size === 0) return;
     const use = this.#teamUse();
     const { loadSpread, quotas } = this.owned.ctx;
-    const partOf = (team: TeamName) => quotas.partOf(team, this.round.shard);
+    const partOf = (team: TeamName) => quotas.fractionOf(team, this.round.shard);
     const places = this.#places.values();
     for (const step of fairQueue(this.#queue(), loadSpread?.fairTurns, use, partOf, places))
       if (!this.#placeJob(step, use)) return;
   }
 
-  #queue(): readonly Queued[] {
+  #queue(): readonly QueuedJob[] {
     const { owned, round } = this;
     const { replica, settings, operators } = owned.ctx;
-    const at = timeOfDay();
-    const rates = (replica.types?.value ?? []).map((t) => t.fetchGbPerS);
+    const at = wallClockNow();
+    const rates = (replica.machineTypes?.value ?? []).map((t) => t.fetchGbPerS);
     const rate = rates.reduce((sum, r) => sum + r, 0) / Math.max(1, rates.length);
-    const waiting: Waiting[] = [];
+    const waiting: WaitingJob[] = [];
     for (const [id, job] of waitingJobs(owned, round)) {
-      if ((owned.jobs.get(id)?.notBefore ?? 0) > round.now) continue;
+      if ((owned.jobBackoffs.get(id)?.retryAt ?? 0) > round.now) continue;
       const { image, imageGb } = job.spec;
       waiting.push({
         id,
         job,
         ageS: (at - job.acceptedAt) / 1000,
-        leadS: rate > 0 && !this.#mostlyCached(image) ? imageGb / rate : 0,
-        runS: owned.runS(job.spec),
+        imageFetchS: rate > 0 && !this.#mostlyCached(image) ? imageGb / rate : 0,
+        expectedRunS: owned.expectedRunS(job.spec),
         withinGuarantee: this.#withinGuarantee.has(id),
       });
     }
-    return queueOrder(waiting, settings.objectives, operators.overdueS);
+    return orderQueue(waiting, settings.objectives, operators.overdueS);
   }
 
   /** Whether most machines of the shard hold the image, so that no fetch need be reckoned with. */
@@ -131,46 +131,46 @@
 
   /** What each team's open attempts take once the closings of this round are written. */
   #teamUse(): Map<TeamName, Resources> {
-    const work = this.owned.ctx.replica.work(this.round.shard);
-    const use = work.index.openUse();
+    const work = this.owned.ctx.replica.shardJobs(this.round.shard);
+    const use = work.index.teamUse();
     for (const [id, draft] of this.round.drafts) {
       const closed = (work.jobs.get(id)?.open.length ?? 0) - draft.open.length;
-      const { team, needs } = draft.spec;
-      use.set(team, minus(use.get(team) ?? NOTHING, times(needs, closed)));
+      const { team, resources } = draft.spec;
+      use.set(team, subtract(use.get(team) ?? NO_RESOURCES, scale(resources, closed)));
     }
     return use;
   }
 
-  #turn(queued: Queued): Turn {
+  #turn(queued: QueuedJob): Turn {
     const { owned } = this;
     const { job, id } = queued;
     const { spec } = job;
-    const failedOn = owned.jobs.get(id)?.failedOn ?? NO_FAILURES;
+    const failedOn = owned.jobBackoffs.get(id)?.failedOn ?? NO_FAILURES;
     const targets = targetsOf(spec, owned.ctx.settings.objectives, queued.withinGuarantee);
     return {
       queued,
       zones: zoneCounts(owned, job),
       selector: failedOn.size > 0 ? this.#selectorWithout(spec, failedOn) : this.#selector(spec),
       failedOn,
-      hurryS: hurryS(targets, queued.ageS),
+      hurryS: startSlackS(targets, queued.ageS),
       starts: [],
       search: undefined,
     };
   }
 
   /** Jobs that are alike have one together, with all that it has worked out of the machines. */
-  #selector(spec: JobSpec): PlaceSelector {
-    const key = placementGroup(spec);
+  #selector(spec: JobSpec): CandidateSelector {
+    const key = placementGroupKey(spec);
     const known = this.#selectors.get(key);
     if (known !== undefined) return known;
-    const selector = new PlaceSelector(spec, this.#places.values());
+    const selector = new CandidateSelector(spec, this.#places.values());
     this.#selectors.set(key, selector);
     return selector;
   }
 
-  #selectorWithout(spec: JobSpec, failedOn: ReadonlySet<MachineId>): PlaceSelector {
+  #selectorWithout(spec: JobSpec, failedOn: ReadonlySet<MachineId>): CandidateSelector {
     const places = [...this.#places.values()].filter((p) => !failedOn.has(p.id));
-    return new PlaceSelector(spec, places);
+    return new CandidateSelector(spec, places);
   }
 
   /** False if the batch is full. */
@@ -179,33 +179,34 @@
     const { id } = step;
     // It may have had a turn in this round already.
     const job = this.round.drafts.get(id) ?? step.job;
-    if (waitingCount(job) === 0) return true;
-    const queued: Queued = { ...step, job };
+    if (waitingTaskCount(job) === 0) return true;
+    const queued: QueuedJob = { ...step, job };
     const { spec } = job;
     const team = this.#teams.get(spec.team);
     const accepted = ctx.replica.accepted.get(id);
     if (team === undefined || accepted === undefined) return true;
     const turn = this.#turn(queued);
-    const most = ctx.quotas.mostOf(team);
+    const most = ctx.quotas.maxUseOf(team);
     const taken = new Set(job.open.map((o) => o.index));
-    const mostBytes = pageLimit({ ...ctx.settings.state, size: ctx.settings.size }) * PAGE_PART;
+    const mostBytes =
+      maxPageBytes({ ...ctx.settings.state, shardCount: ctx.settings.shardCount }) * PAGE_PART;
     const named = new Set(job.open.map((o) => o.machine));
     let bytes = progressBytes(job);
     let next = job.nextAttempt;
-    let used = use.get(spec.team) ?? NOTHING;
+    let used = use.get(spec.team) ?? NO_RESOURCES;
     const undo: (() => void)[] = [];
-    for (const index of rangesMissing(job.done, spec.tasks, taken)) {
+    for (const index of rangesMissing(job.done, spec.taskCount, taken)) {
       if (turn.starts.length === step.mostStarts) break;
-      const after = plus(used, spec.needs);
+      const after = add(used, spec.resources);
       if (after.cpus > most.cpus || after.gpus > most.gpus) break;
       const task = taskId(id, index);
       const outcome = this.#placeTask(task, turn);
       if (outcome.kind === "stop") break;
       if (outcome.kind === "wait") continue;
       const { place } = outcome;
-      this.owned.incoming.delete(task);
-      const attempt: AttemptNo = attemptNo(next);
-      bytes += openBytes({ index, attempt });
+      this.owned.reservations.delete(task);
+      const attempt: AttemptNumber = attemptNumber(next);
+      bytes += openAttemptBytes({ index, attempt });
       if (!named.has(place.id)) bytes += machineNameBytes(place.id);
       // An array whose open attempts fill a page runs in parts.
       if (bytes > mostBytes) break;
@@ -213,9 +214,9 @@
       named.add(place.id);
       turn.starts.push({ index, attempt, machine: place.id });
       used = after;
-      const before = { use: place.use, least: place.least };
+      const before = { use: place.use, least: place.smallestDemand };
       undo.push(() => Object.assign(place, before));
-      occupy(place, spec.needs);
+      addUse(place, spec.resources);
       turn.zones.set(place.zone, (turn.zones.get(place.zone) ?? 0) + 1);
     }
     if (turn.starts.length === 0) return true;
@@ -259,7 +260,7 @@
    * Where it failed before is better than nowhere, for one task at a time: a job with a mistake in
    * it fails everywhere, and all of its tasks again and again would take the fleet.
    */
-  #placeDespiteFailures(turn: Turn): Place | null {
+  #placeDespiteFailures(turn: Turn): CandidateMachine | null {
     const { job } = turn.queued;
     if (turn.failedOn.size === 0 || job.open.length + turn.starts.length > 0) return null;
     return this.#selector(job.spec).choose(turn.zones, turn.hurryS);
@@ -270,8 +271,8 @@
     const { owned } = this;
     const { ctx } = owned;
     const { queued } = turn;
-    if (queued.slack > ctx.operators.preemptSlackS || ctx.store.failing()) return STOP;
-    if (owned.incoming.has(task)) return WAIT;
+    if (queued.slackS > ctx.operators.preemptSlackS || ctx.store.isFailing()) return STOP;
+    if (owned.reservations.has(task)) return WAIT;
     if (this.#preemption.exhausted) return STOP;
     turn.search ??= this.#preemption.search(queued, turn.zones, turn.failedOn);
     if (turn.search === undefined) return STOP;
@@ -279,46 +280,46 @@
   }
 
   /** The only place is held up by an exit that is kept: the machine's token must rise for it. */
-  #raiseToken(place: Place): void {
-    const note = this.owned.note(place.id);
-    if (!note.wantsBump) this.owned.disturbed.add(place.id);
-    note.wantsBump = true;
+  #raiseToken(place: CandidateMachine): void {
+    const note = this.owned.machineState(place.id);
+    if (!note.needsTokenRaise) this.owned.dirtyMachines.add(place.id);
+    note.needsTokenRaise = true;
   }
 
-  #lingers(task: TaskId, place: Place): boolean {
+  #lingers(task: TaskId, place: CandidateMachine): boolean {
     return this.owned.sessions.get(place.id)?.tasks.has(task) === true;
   }
 
   /** The place kept for a task, if it fits there by now; its own keeping is no obstacle. */
-  #reservedPlace(task: TaskId, turn: Turn): Place | null {
+  #reservedPlace(task: TaskId, turn: Turn): CandidateMachine | null {
     const { spec } = turn.queued.job;
-    const reservation = this.owned.incoming.get(task);
+    const reservation = this.owned.reservations.get(task);
     const place = reservation === undefined ? undefined : this.#places.get(reservation.to);
-    if (place === undefined || !permitted(spec, place, turn.zones)) return null;
-    const without = minus(place.use, spec.needs);
-    if (!fitsBeside(spec.needs, without, place.capacity)) return null;
+    if (place === undefined || !isPermitted(spec, place, turn.zones)) return null;
+    const without = subtract(place.use, spec.resources);
+    if (!fitsBeside(spec.resources, without, place.capacity)) return null;
     place.use = without;
-    this.owned.incoming.delete(task);
+    this.owned.reservations.delete(task);
     return place;
   }
 
-  #noteStarts(queued: Queued, draft: LiveJob, starts: readonly OpenAttempt[]): void {
+  #noteStarts(queued: QueuedJob, draft: LiveJob, starts: readonly OpenAttempt[]): void {
     const { owned, round } = this;
     const { ctx } = owned;
     const { spec } = draft;
     owned.counters.starts += starts.length;
-    for (const o of starts) round.call.add(o.machine);
+    for (const o of starts) round.machinesToCall.add(o.machine);
     ctx.metrics.record(`start ${spec.jobClass}`, queued.ageS * 1000);
     if (!ctx.log.enabled("debug")) return;
     ctx.log.debug("starts", {
       job: queued.id,
       jobClass: spec.jobClass,
       shard: round.shard,
-      tasks: spec.tasks,
+      tasks: spec.taskCount,
       starts: starts.length,
-      waiting: waitingCount(draft),
+      waiting: waitingTaskCount(draft),
       ageS: Math.round(queued.ageS * 10) / 10,
-      runS: Math.round(queued.runS),
+      runS: Math.round(queued.expectedRunS),
     });
   }
 }
@@ -328,7 +329,7 @@
   owned: ShardState,
   round: ShardRound,
 ): Generator<readonly [JobId, LiveJob], void> {
-  const { waiting } = owned.ctx.replica.work(round.shard).index;
+  const { waiting } = owned.ctx.replica.shardJobs(round.shard).index;
   for (const [id, job] of waiting) if (!round.drafts.has(id)) yield [id, job];
-  for (const [id, job] of round.drafts) if (waitingCount(job) > 0) yield [id, job];
+  for (const [id, job] of round.drafts) if (waitingTaskCount(job) > 0) yield [id, job];
 }
--- a/src/coordination/sharding/shard-quotas.ts
+++ b/src/coordination/sharding/shard-quotas.ts
@@ -16,7 +16,7 @@
  * quota in its home shard and nothing elsewhere. One whose span can't be read has nothing anywhere:
  * others may hold any part of it.
  */
-export class Quotas {
+export class ShardQuotas {
   #version = -1;
   readonly #byShard = new Map<ShardId, ReadonlyMap<TeamName, Team>>();
 
@@ -30,7 +30,7 @@
     return this.replica.spans.records.size > 0 || this.replica.spans.placedJobs > 0;
   }
 
-  teamsOf(shard: ShardId): ReadonlyMap<TeamName, Team> {
+  teamsIn(shard: ShardId): ReadonlyMap<TeamName, Team> {
     if (!this.divided) return this.teams;
     if (this.#version !== this.replica.spans.version) {
       this.#version = this.replica.spans.version;
@@ -40,7 +40,7 @@
     if (known !== undefined) return known;
     const out = new Map<TeamName, Team>();
     for (const [name, team] of this.teams) {
-      const part = this.partOf(name, shard);
+      const part = this.fractionOf(name, shard);
       out.set(name, {
         name,
         cpus: team.cpus * part,
@@ -54,7 +54,7 @@
   }
 
   /** The most that a team's open attempts may take, by its limit as it holds for a shard. */
-  mostOf(team: Team): Pick<Resources, "cpus" | "gpus"> {
+  maxUseOf(team: Team): Pick<Resources, "cpus" | "gpus"> {
     const whole = this.teams.get(team.name) ?? team;
     const rounding = (limit: number): number => (this.divided ? SHARE_TOLERANCE * limit : 0);
     return {
@@ -64,7 +64,7 @@
   }
 
   /** What part of a team's quota the shard may use. */
-  partOf(team: TeamName, shard: ShardId): number {
+  fractionOf(team: TeamName, shard: ShardId): number {
     const home = this.replica.teams?.value.get(team);
     const record = this.replica.spans.records.get(team);
     if (record === undefined) return home === shard ? 1 : 0;
--- a/src/coordination/workers/connectivity.ts
+++ b/src/coordination/workers/connectivity.ts
@@ -34,7 +34,7 @@
 const GIVE_UP_LEASES = 2;
 
 /** The one place where the way to the machines is judged; it follows from the view alone. */
-export const judgeConnectivity = (v: ConnectivityView): Connectivity => {
+export const assessConnectivity = (v: ConnectivityView): Connectivity => {
   if (v.known < LEAST) return "connected";
   if (v.mostUnreached) return "disconnected";
   const doubtMs = Math.min(
--- a/src/coordination/workers/failure-detection.ts
+++ b/src/coordination/workers/failure-detection.ts
@@ -1,11 +1,11 @@
-import type { Mono } from "@umberfold/ids";
-import type { MachineNote } from "../ownership/soft-state.js";
+import type { MonotonicMs } from "@umberfold/ids";
+import type { MachineSoftState } from "../ownership/soft-state.js";
 
 /** Calls in a row without an answer that make a machine silent, or unreachable though it reports. */
-export const SILENT_CALLS = 2;
+export const UNANSWERED_CALLS_UNTIL_SILENT = 2;
 const UNREACHABLE_CALLS = 4;
 
-export interface SilenceLimits {
+export interface FailureLimits {
   /** How long calls may fail, whatever is heard. */
   readonly silenceMs: number;
   /** How long nothing may be heard; less in a wave of losses. */
@@ -15,16 +15,17 @@
 }
 
 /** Why a machine is given up, if it is. */
-export const reasonLost = (
-  note: MachineNote,
+export const detectMachineFailure = (
+  note: MachineSoftState,
   quietMs: number,
-  now: Mono,
-  limits: SilenceLimits,
+  now: MonotonicMs,
+  limits: FailureLimits,
 ): string | undefined => {
-  if (quietMs >= limits.patienceMs && note.failedCalls >= SILENT_CALLS) return "silent";
+  if (quietMs >= limits.patienceMs && note.failedCalls >= UNANSWERED_CALLS_UNTIL_SILENT)
+    return "silent";
   const unreachableMs = now - note.unreachableSince;
   if (note.unreachableCalls >= UNREACHABLE_CALLS && unreachableMs >= limits.silenceMs)
     return "unreachable";
-  const missing = note.reportedAt !== null && now - note.reportedAt > limits.heartbeatMs;
+  const missing = note.lastHeartbeatAt !== null && now - note.lastHeartbeatAt > limits.heartbeatMs;
   return missing ? "heartbeats missing" : undefined;
 };
--- a/src/coordination/workers/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -1,31 +1,37 @@
-import { attemptKey, type MachineId, type Mono, mono, type TaskId } from "@umberfold/ids";
 import {
-  heartbeatAnswer,
-  type Order,
-  ordersBody,
-  parseReport,
-  type Report,
+  attemptKey,
+  type MachineId,
+  type MonotonicMs,
+  monotonicMs,
+  type TaskId,
+} from "@umberfold/ids";
+import {
+  commandsBody,
+  heartbeatResponseBody,
+  parseWorkerStatus,
   redirectBody,
-  type TaskReport,
+  type TaskStatus,
+  type WorkerCommand,
+  type WorkerStatus,
 } from "../../protocol/workers.js";
 import type { MachineRecord } from "../../storage/records.js";
 import { keys } from "../../storage/records.js";
-import type { Calls, Reply } from "../../transport/client.js";
-import { steadyNow, timeOfDay } from "../../transport/clock.js";
-import type { Answer } from "../../transport/server.js";
+import type { CallResult, HttpClient } from "../../transport/client.js";
+import { monotonicNow, wallClockNow } from "../../transport/clock.js";
+import type { HttpResponse } from "../../transport/server.js";
 import { socketParts } from "../../transport/sockets.js";
-import { refresh } from "../context.js";
+import { rereadKeys } from "../context.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { type MachineNote, resetSuspicion, useImage } from "../ownership/soft-state.js";
+import { type MachineSoftState, recordImageUse, resetHealth } from "../ownership/soft-state.js";
 import {
-  newSession,
-  ordersFor,
-  quietLine,
-  type Session,
-  type Wanted,
+  type DesiredAttempt,
+  hasNoStartInFlight,
+  newWorkerSession,
+  reconcileCommands,
+  type WorkerSession,
 } from "../ownership/worker-session.js";
-import { type Connectivity, judgeConnectivity } from "./connectivity.js";
-import { reasonLost, SILENT_CALLS } from "./failure-detection.js";
+import { assessConnectivity, type Connectivity } from "./connectivity.js";
+import { detectMachineFailure, UNANSWERED_CALLS_UNTIL_SILENT } from "./failure-detection.js";
 
 /** How long a direct call to a worker may take. */
 const DIRECT_MS = 1200;
@@ -52,20 +58,20 @@
 
 /** All that is said between a owner and its machines. */
 export class WorkerChannel {
-  #watchedAt: Mono = mono(0);
+  #watchedAt: MonotonicMs = monotonicMs(0);
   readonly #queue: MachineId[] = [];
   #calling = 0;
-  #lostAt: Mono[] = [];
+  #lostAt: MonotonicMs[] = [];
   #connectivity: Connectivity = "connected";
   /** When any machine was last heard, and since when silence counts at all. */
-  #heardAt: Mono = steadyNow();
+  #heardAt: MonotonicMs = monotonicNow();
   #known = 0;
   /** Calls in flight at a time: dead machines hold theirs for as long as a call may take. */
   readonly #mostCalls: number;
 
   constructor(
     private readonly owned: ShardState,
-    private readonly workers: Calls,
+    private readonly workers: HttpClient,
   ) {
     const { settings } = owned.ctx;
     const members = settings.seeds.length + 1;
@@ -86,21 +92,21 @@
    * After a pause or a cut of our own the machines' silence says nothing of them: all that was
    * held against them is dropped, and counted anew from here.
    */
-  startAnew(now: Mono): void {
+  resetTimers(now: MonotonicMs): void {
     this.#heardAt = now;
     this.#lostAt = [];
     this.#connectivity = "connected";
     for (const id of this.owned.sessions.keys()) {
-      this.owned.step(id, { kind: "anew", now });
-      resetSuspicion(this.owned.note(id));
+      this.owned.stepSession(id, { kind: "timers_reset", now });
+      resetHealth(this.owned.machineState(id));
     }
   }
 
   /** Whether machines answer a call from here: a few are asked, whoever holds them. */
-  async reaches(): Promise<boolean> {
+  async canReachMachines(): Promise<boolean> {
     const { replica, random } = this.owned.ctx;
     const up = [...replica.machines].filter(
-      ([id, m]) => m.stage === "up" && m.endpoint !== "" && !replica.isGone(id),
+      ([id, m]) => m.phase === "up" && m.endpoint !== "" && !replica.isGone(id),
     );
     const asked: string[] = [];
     while (up.length > 0 && asked.length < PROBES) {
@@ -113,105 +119,110 @@
     return answers.filter((a) => a.kind === "answer").length >= asked.length * PROBES_PART;
   }
 
-  #wantedOn(id: MachineId): ReadonlyMap<TaskId, Wanted> {
+  #wantedOn(id: MachineId): ReadonlyMap<TaskId, DesiredAttempt> {
     const { owned } = this;
     const { replica } = owned.ctx;
-    const out = new Map<TaskId, Wanted>();
+    const out = new Map<TaskId, DesiredAttempt>();
     const m = replica.machines.get(id);
     if (m === undefined) return out;
-    const up = m.stage === "up" && !replica.isGone(id) && !owned.heartbeatOverdue(id, steadyNow());
-    const { jobs } = replica.work(m.shard);
-    for (const [task, o] of replica.work(m.shard).openOn(id)) {
+    const up =
+      m.phase === "up" && !replica.isGone(id) && !owned.heartbeatOverdue(id, monotonicNow());
+    const { jobs } = replica.shardJobs(m.shard);
+    for (const [task, o] of replica.shardJobs(m.shard).openAttemptsOn(id)) {
       const job = jobs.get(o.job);
       const { key } = o;
-      const note = owned.attempts.get(key);
+      const note = owned.attemptStates.get(key);
       // Nothing of a cancelled job is of use: it stops without saving.
       const stopGraceS =
-        job === undefined || job.cancelledAt !== null ? 0 : (note?.stop?.graceS ?? null);
-      const leaving = owned.closing.has(key) || !up;
-      out.set(task, { task, attempt: o.attempt, stopGraceS, leaving });
+        job === undefined || job.cancelledAt !== null ? 0 : (note?.requestStop?.graceS ?? null);
+      const startForbidden = owned.terminating.has(key) || !up;
+      out.set(task, { task, attempt: o.attempt, stopGraceS, startForbidden });
     }
     return out;
   }
 
-  #startKeys(orders: readonly Order[]): readonly string[] {
+  #startKeys(orders: readonly WorkerCommand[]): readonly string[] {
     return orders.filter((o) => o.op === "start").map((o) => attemptKey(o.task, o.attempt));
   }
 
   /** POST /agent/beat. A 200 is only given with a token that the worker will accept. */
-  heartbeat(body: unknown, adopt: (r: Report) => void): Answer {
+  handleHeartbeat(body: unknown, adopt: (r: WorkerStatus) => void): HttpResponse {
     const { owned } = this;
     const { ctx, membership } = owned;
-    const report = parseReport(body);
+    const report = parseWorkerStatus(body);
     if (report === undefined) {
       ctx.log.info("malformed report", {});
       return { status: 400, body: { error: "malformed report" } };
     }
     if (!ctx.synced) return { status: 503, retryAfterS: 1 };
-    const { replica, me } = ctx;
+    const { replica, self } = ctx;
     // Cut off while others are served: somebody else holds the machine, or soon will.
-    if (!membership.entitled()) return { status: 421, body: redirectBody(undefined) };
+    if (!membership.holdsValidLease()) return { status: 421, body: redirectBody(undefined) };
     const m = replica.machines.get(report.machine);
     if (m === undefined) {
       const leader = replica.leader?.value.label;
-      if (membership.leads()) adopt(report);
-      return { status: 421, body: redirectBody(leader === me.label ? undefined : leader) };
+      if (membership.isLeader()) adopt(report);
+      return { status: 421, body: redirectBody(leader === self.label ? undefined : leader) };
     }
-    if (!membership.holds(m.shard)) {
+    if (!membership.ownsShard(m.shard)) {
       const to = membership.ownerOf(m.shard)?.label;
-      return { status: 421, body: redirectBody(to === me.label ? undefined : to) };
+      return { status: 421, body: redirectBody(to === self.label ? undefined : to) };
     }
     // Proved gone: what it says is late.
     if (replica.isGone(report.machine)) return { status: 503, retryAfterS: 5 };
-    const now = steadyNow();
-    const t = owned.tokenOf(m);
+    const now = monotonicNow();
+    const t = owned.fencingTokenOf(m);
     if (report.token > t) {
       // Somebody has a higher token: what we know of this machine is old.
-      void refresh(ctx, [keys.shard(m.shard), replica.fleetPageOf(report.machine) ?? ""]);
+      void rereadKeys(ctx, [keys.shard(m.shard), replica.machinePageOf(report.machine) ?? ""]);
       return { status: 503, retryAfterS: 1 };
     }
-    if (!owned.sessions.has(report.machine)) owned.sessions.set(report.machine, newSession(t, now));
-    owned.step(report.machine, { kind: "held", token: t, now });
+    if (!owned.sessions.has(report.machine))
+      owned.sessions.set(report.machine, newWorkerSession(t, now));
+    owned.stepSession(report.machine, { kind: "token_assigned", token: t, now });
     this.#hear(report, "heartbeat", now);
     const s = owned.sessions.get(report.machine);
     if (s === undefined) return { status: 503, retryAfterS: 1 };
-    const orders = s.report === report ? ordersFor(s, this.#wantedOn(report.machine)) : [];
-    owned.step(report.machine, { kind: "answered_heartbeat", starts: this.#startKeys(orders) });
-    return { status: 200, body: heartbeatAnswer(t, orders) };
+    const orders = s.status === report ? reconcileCommands(s, this.#wantedOn(report.machine)) : [];
+    owned.stepSession(report.machine, {
+      kind: "heartbeat_answered",
+      starts: this.#startKeys(orders),
+    });
+    return { status: 200, body: heartbeatResponseBody(t, orders) };
   }
 
-  #hear(report: Report, via: "heartbeat" | "direct", now: Mono): void {
+  #hear(report: WorkerStatus, via: "heartbeat" | "direct", now: MonotonicMs): void {
     const { owned } = this;
     const before = owned.sessions.get(report.machine);
-    const after = owned.step(report.machine, { kind: "report", report, via, now });
+    const after = owned.stepSession(report.machine, { kind: "status_received", report, via, now });
     if (after === undefined || after === before) return;
     this.#heardAt = now;
-    const note = owned.note(report.machine);
+    const note = owned.machineState(report.machine);
     note.failedCalls = 0;
-    if (via === "heartbeat") note.reportedAt = now;
+    if (via === "heartbeat") note.lastHeartbeatAt = now;
     if (via === "direct") note.unreachableCalls = 0;
     for (const t of report.tasks) this.#look(report.machine, t, now);
     // A report that says nothing new is no reason for a round.
     if (before !== undefined && sameNews(before, after)) return;
-    owned.disturbed.add(report.machine);
+    owned.dirtyMachines.add(report.machine);
     owned.wake();
   }
 
-  #look(machine: MachineId, t: TaskReport, now: Mono): void {
+  #look(machine: MachineId, t: TaskStatus, now: MonotonicMs): void {
     const { owned } = this;
     const { replica } = owned.ctx;
-    if (t.stage !== "running") return;
+    if (t.phase !== "running") return;
     const key = attemptKey(t.task, t.attempt);
-    if (owned.attempts.get(key)?.runningSince != null) return;
-    const o = replica.openOn(machine).get(t.task);
+    if (owned.attemptStates.get(key)?.runningSince != null) return;
+    const o = replica.openAttemptsOn(machine).get(t.task);
     if (o === undefined || o.attempt !== t.attempt) return;
     const job = replica.accepted.get(o.job)?.value;
     if (job === undefined) return;
-    owned.attemptNote(key, machine).runningSince = now;
-    owned.ctx.metrics.record(`begin ${job.spec.jobClass}`, timeOfDay() - job.acceptedAt);
+    owned.attemptState(key, machine).runningSince = now;
+    owned.ctx.metrics.record(`begin ${job.spec.jobClass}`, wallClockNow() - job.acceptedAt);
     const type = replica.machines.get(machine)?.type;
-    const cache = replica.types?.value.find((x) => x.name === type)?.cacheGb ?? 0;
-    useImage(owned.note(machine), job.spec.image, job.spec.imageGb, cache);
+    const cache = replica.machineTypes?.value.find((x) => x.name === type)?.cacheGb ?? 0;
+    recordImageUse(owned.machineState(machine), job.spec.image, job.spec.imageGb, cache);
   }
 
   /**
@@ -219,13 +230,13 @@
    * many at once, or a user's request waits behind all the answers of a takeover.
    */
   callMachine(id: MachineId, first = false): void {
-    const note = this.owned.note(id);
-    if (note.directBusy) {
-      note.directAgain = true;
+    const note = this.owned.machineState(id);
+    if (note.callInFlight) {
+      note.callAgain = true;
       return;
     }
-    note.directBusy = true;
-    note.calledAt = steadyNow();
+    note.callInFlight = true;
+    note.lastCallAt = monotonicNow();
     if (first) this.#queue.unshift(id);
     else this.#queue.push(id);
     this.#callNext();
@@ -235,15 +246,15 @@
     while (this.#calling < this.#mostCalls) {
       const id = this.#queue.shift();
       if (id === undefined) return;
-      const note = this.owned.note(id);
+      const note = this.owned.machineState(id);
       this.#calling++;
       this.#callOnce(id, note)
         .catch((e) => this.owned.ctx.log.error("call failed", { machine: id, error: String(e) }))
         .finally(() => {
           this.#calling--;
-          note.directBusy = false;
-          if (note.directAgain) {
-            note.directAgain = false;
+          note.callInFlight = false;
+          if (note.callAgain) {
+            note.callAgain = false;
             this.callMachine(id);
           }
           this.#callNext();
@@ -251,26 +262,26 @@
     }
   }
 
-  async #callOnce(id: MachineId, note: MachineNote): Promise<void> {
+  async #callOnce(id: MachineId, note: MachineSoftState): Promise<void> {
     const { owned } = this;
     const { replica } = owned.ctx;
     const s = owned.sessions.get(id);
     const m = replica.machines.get(id);
     if (s === undefined || m === undefined || replica.isGone(id)) return;
-    const endpoint = s.report?.endpoint ?? m.endpoint;
+    const endpoint = s.status?.endpoint ?? m.endpoint;
     if (endpoint === "") return;
-    note.calledAt = steadyNow();
-    if (s.report === undefined) {
+    note.lastCallAt = monotonicNow();
+    if (s.status === undefined) {
       // The session is unknown, but most are in their first: if so, one call shows it our token;
       // if not, the refusal tells the session.
-      const body = ordersBody(s.token, FIRST_SESSION, []);
+      const body = commandsBody(s.token, FIRST_SESSION, []);
       const r = await this.workers.call(endpoint, "POST", "/orders", body, DIRECT_MS);
       if (ownFault(r)) return;
       this.#directReport(id, note, r.kind === "answer" ? r.body : undefined);
-      if (owned.sessions.get(id)?.state === "claiming") note.directAgain = true;
+      if (owned.sessions.get(id)?.state === "fencing") note.callAgain = true;
       return;
     }
-    const orders = ordersFor(s, this.#wantedOn(id));
+    const orders = reconcileCommands(s, this.#wantedOn(id));
     if (s.state === "ready" && orders.length === 0) {
       const r = await this.workers.call(endpoint, "GET", "/status", undefined, DIRECT_MS);
       if (ownFault(r)) return;
@@ -278,36 +289,39 @@
       return;
     }
     const starts = this.#startKeys(orders);
-    owned.step(id, { kind: "direct_sent", starts });
-    const body = ordersBody(s.token, s.report.session, orders);
+    owned.stepSession(id, { kind: "command_sent", starts });
+    const body = commandsBody(s.token, s.status.epoch, orders);
     const r = await this.workers.call(endpoint, "POST", "/orders", body, DIRECT_MS);
-    if (r.kind === "unsent") owned.step(id, { kind: "direct_unsent", starts });
+    if (r.kind === "unsent") owned.stepSession(id, { kind: "command_not_sent", starts });
     else if (r.kind === "lost" || (r.status !== 200 && r.status !== 409 && r.status !== 400))
-      owned.step(id, { kind: "direct_lost", starts });
+      owned.stepSession(id, { kind: "command_lost", starts });
     else {
       // 409 and 400: nothing was executed.
-      owned.step(id, { kind: r.status === 200 ? "direct_answered" : "direct_unsent", starts });
+      owned.stepSession(id, {
+        kind: r.status === 200 ? "command_answered" : "command_not_sent",
+        starts,
+      });
       this.#directReport(id, note, r.body);
       // It has shown our token just now: what waited for that goes at once.
       const now = owned.sessions.get(id);
-      if (s.state === "claiming" && now?.state === "ready")
-        note.directAgain ||= ordersFor(now, this.#wantedOn(id)).length > 0;
+      if (s.state === "fencing" && now?.state === "ready")
+        note.callAgain ||= reconcileCommands(now, this.#wantedOn(id)).length > 0;
       return;
     }
     if (!ownFault(r)) this.#callFailed(id, note);
   }
 
-  #callFailed(id: MachineId, note: MachineNote): void {
+  #callFailed(id: MachineId, note: MachineSoftState): void {
     note.failedCalls++;
-    if (note.unreachableCalls++ === 0) note.unreachableSince = note.calledAt;
-    this.owned.disturbed.add(id);
+    if (note.unreachableCalls++ === 0) note.unreachableSince = note.lastCallAt;
+    this.owned.dirtyMachines.add(id);
     this.owned.wake();
   }
 
-  #directReport(id: MachineId, note: MachineNote, body: unknown): void {
+  #directReport(id: MachineId, note: MachineSoftState, body: unknown): void {
     const { owned } = this;
     const { replica } = owned.ctx;
-    const report = parseReport(body);
+    const report = parseWorkerStatus(body);
     if (report === undefined || report.machine !== id) {
       this.#callFailed(id, note);
       return;
@@ -318,23 +332,23 @@
     if (report.token > s.token) {
       const m = replica.machines.get(id);
       if (m !== undefined)
-        void refresh(owned.ctx, [keys.shard(m.shard), replica.fleetPageOf(id) ?? ""]);
+        void rereadKeys(owned.ctx, [keys.shard(m.shard), replica.machinePageOf(id) ?? ""]);
       return;
     }
-    this.#hear(report, "direct", steadyNow());
+    this.#hear(report, "direct", monotonicNow());
   }
 
   /** Reports come with up to a quarter of delay; one that is later than that is asked for. */
   #worthAsking(
-    s: Session,
+    s: WorkerSession,
     m: MachineRecord,
-    note: MachineNote,
+    note: MachineSoftState,
     overdue: boolean,
-    now: Mono,
+    now: MonotonicMs,
   ): boolean {
-    const claim = s.state === "claiming" || (s.state === "unheard" && m.endpoint !== "");
+    const claim = s.state === "fencing" || (s.state === "unknown" && m.endpoint !== "");
     const asked = overdue || claim || note.unreachableCalls > 0;
-    return asked && now - note.calledAt >= PROBE_EVERY_MS;
+    return asked && now - note.lastCallAt >= PROBE_EVERY_MS;
   }
 
   /**
@@ -343,13 +357,13 @@
    * Both are proved gone by returning them. A controller that reaches hardly any of its machines must not
    * take its own trouble for theirs.
    */
-  watchSilence(now: Mono): void {
+  detectFailures(now: MonotonicMs): void {
     if (now - this.#watchedAt < WATCH_EVERY_MS) return;
     this.#watchedAt = now;
     const { owned } = this;
-    const { operators, settings, replica, log, lag } = owned.ctx;
+    const { operators, settings, replica, log, loopLag } = owned.ctx;
     // What this process has not read yet is nobody's silence.
-    const judgedAt = lag.readUpTo(now);
+    const judgedAt = loopLag.readUpTo(now);
     const reportMs = settings.workers.reportS * 1000;
     const silenceMs = operators.silenceS * 1000;
     const heartbeatMs = settings.workers.leaseS * 1000 * HEARTBEAT_LEASES + reportMs;
@@ -363,23 +377,27 @@
     for (const [id, s] of owned.sessions) {
       const m = replica.machines.get(id);
       if (m === undefined || replica.isGone(id)) continue;
-      const note = owned.note(id);
-      const quietMs = judgedAt - s.heardAt;
+      const note = owned.machineState(id);
+      const quietMs = judgedAt - s.lastHeardAt;
       if (this.#worthAsking(s, m, note, quietMs > overdueMs + OVERDUE_MS, now))
         this.callMachine(id);
-      if (m.endpoint === "" && s.report === undefined) continue;
-      if (note.retire?.force === true || m.stage !== "up") continue;
+      if (m.endpoint === "" && s.status === undefined) continue;
+      if (note.decommission?.force === true || m.phase !== "up") continue;
       known++;
       const unanswered = note.failedCalls > 0 && quietMs > reportMs;
-      if (unanswered || note.unreachableCalls >= SILENT_CALLS) unreached++;
-      if (s.report !== undefined) note.reportedAt ??= now;
-      const why = reasonLost(note, quietMs, judgedAt, { silenceMs, patienceMs, heartbeatMs });
+      if (unanswered || note.unreachableCalls >= UNANSWERED_CALLS_UNTIL_SILENT) unreached++;
+      if (s.status !== undefined) note.lastHeartbeatAt ??= now;
+      const why = detectMachineFailure(note, quietMs, judgedAt, {
+        silenceMs,
+        patienceMs,
+        heartbeatMs,
+      });
       if (why !== undefined) lost.push({ id, why, quietMs });
     }
     // With the first machines held there was nobody to be heard before.
     if (this.#known === 0) this.#heardAt = now;
     this.#known = known;
-    this.#connectivity = judgeConnectivity({
+    this.#connectivity = assessConnectivity({
       known,
       quietMs: judgedAt - this.#heardAt,
       mostUnreached: unreached >= known * UNREACHED_PART,
@@ -389,27 +407,32 @@
     });
     if (this.#connectivity === "suspect" || this.#connectivity === "disconnected") return;
     for (const l of lost) {
-      owned.step(l.id, { kind: "silence" });
+      owned.stepSession(l.id, { kind: "became_unresponsive" });
       log.info(`machine ${l.why}`, { machine: l.id, quietMs: Math.round(l.quietMs) });
-      owned.note(l.id).retire = { reason: l.why, force: true };
-      owned.disturbed.add(l.id);
+      owned.machineState(l.id).decommission = { reason: l.why, force: true };
+      owned.dirtyMachines.add(l.id);
       this.#lostAt.push(now);
     }
   }
 }
 
 /** A call that never went out for want of a socket or a turn here says nothing of the machine. */
-const ownFault = (r: Reply): boolean => r.kind === "unsent" && r.own === true;
+const ownFault = (r: CallResult): boolean => r.kind === "unsent" && r.own === true;
 
 /** Two states of a session that lead to the same decisions. */
-const sameNews = (a: Session, b: Session): boolean => {
-  if (a.state !== b.state || a.token !== b.token || a.sent.size !== b.sent.size) return false;
-  if (!quietLine(a) || a.tasks.size !== b.tasks.size) return false;
-  if (a.report === undefined || a.report.session !== b.report?.session) return false;
-  if (a.report.noticeS !== b.report.noticeS) return false;
+const sameNews = (a: WorkerSession, b: WorkerSession): boolean => {
+  if (
+    a.state !== b.state ||
+    a.token !== b.token ||
+    a.startDeliveries.size !== b.startDeliveries.size
+  )
+    return false;
+  if (!hasNoStartInFlight(a) || a.tasks.size !== b.tasks.size) return false;
+  if (a.status === undefined || a.status.epoch !== b.status?.epoch) return false;
+  if (a.status.preemptionNoticeS !== b.status.preemptionNoticeS) return false;
   for (const [task, x] of a.tasks) {
     const y = b.tasks.get(task);
-    if (y?.attempt !== x.attempt || y.stage !== x.stage) return false;
+    if (y?.attempt !== x.attempt || y.phase !== x.phase) return false;
   }
   return true;
 };
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -13,7 +13,7 @@
   readonly zones: readonly string[];
 }
 
-export interface RentRequest {
+export interface RentalRequest {
   readonly name: string;
   readonly type: string;
   readonly zone: string;
@@ -21,7 +21,7 @@
   readonly count: number;
 }
 
-export type CloudStage = "starting" | "running" | "failed";
+export type CloudMachinePhase = "starting" | "running" | "failed";
 
 export interface ListedMachine {
   readonly id: MachineId;
@@ -29,14 +29,14 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly stage: CloudStage;
+  readonly phase: CloudMachinePhase;
   readonly ageS: number;
 }
 
 /** The protocol's own bounds on one call. */
-export const MAX_RENT = 50;
-export const MAX_RETURN = 100;
-export const MAX_LIST = 500;
+export const MAX_RENTALS_PER_CALL = 50;
+export const MAX_RETURNS_PER_CALL = 100;
+export const MAX_MACHINES_PER_LIST = 500;
 
 const parseType = (v: unknown): MachineType | undefined => {
   if (!isMap(v)) return undefined;
@@ -58,7 +58,7 @@
   };
 };
 
-export const parseTypes = (body: unknown): readonly MachineType[] | undefined => {
+export const parseMachineTypes = (body: unknown): readonly MachineType[] | undefined => {
   if (!isMap(body)) return undefined;
   const rows = list(body.frames)?.map(parseType);
   return rows?.filter((t): t is MachineType => t !== undefined);
@@ -67,15 +67,15 @@
 const parseListed = (v: unknown): ListedMachine | undefined => {
   if (!isMap(v)) return undefined;
   const id = text(v.uid);
-  const stage = (["starting", "running", "failed"] as const).find((s) => s === v.stage);
-  if (!id || stage === undefined) return undefined;
+  const phase = (["starting", "running", "failed"] as const).find((s) => s === v.stage);
+  if (!id || phase === undefined) return undefined;
   return {
     id: machineId(id),
     endpoint: text(v.endpoint) ?? "",
     type: text(v.frame) ?? "",
     zone: text(v.mill) ?? "",
     spot: v.remnant === true,
-    stage,
+    phase,
     ageS: amount(v.heldS) ?? 0,
   };
 };
@@ -92,7 +92,7 @@
   };
 };
 
-export const rentBody = (r: RentRequest): Fields => ({
+export const rentalBody = (r: RentalRequest): Fields => ({
   hire: r.name,
   frame: r.type,
   mill: r.zone,
@@ -100,7 +100,7 @@
   count: r.count,
 });
 
-export const parseRented = (body: unknown): readonly MachineId[] | undefined => {
+export const parseRentedMachines = (body: unknown): readonly MachineId[] | undefined => {
   if (!isMap(body)) return undefined;
   return list(body.looms)
     ?.filter((m): m is string => typeof m === "string")
@@ -109,4 +109,4 @@
 
 export const returnBody = (ids: readonly MachineId[]): Fields => ({ looms: ids });
 export const listPath = (after: string | undefined): string =>
-  `/machines?limit=${MAX_LIST}${after === undefined ? "" : `&from=${after}`}`;
+  `/machines?limit=${MAX_MACHINES_PER_LIST}${after === undefined ? "" : `&from=${after}`}`;
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,10 +1,10 @@
 import { type JobId, jobId, type TeamName, teamName } from "@umberfold/ids";
 import { amount, count, type Fields, isMap, list, text } from "./cbor.js";
 
-export const RANKS = ["production", "high", "normal", "best_effort"] as const;
-export type Rank = (typeof RANKS)[number];
+export const PRIORITIES = ["production", "high", "normal", "best_effort"] as const;
+export type Priority = (typeof PRIORITIES)[number];
 /** 0 is the most urgent. */
-export const rankOrder = (rank: Rank): number => RANKS.indexOf(rank);
+export const priorityOrder = (rank: Priority): number => PRIORITIES.indexOf(rank);
 
 export interface Resources {
   readonly cpus: number;
@@ -17,27 +17,27 @@
   readonly id: JobId;
   readonly jobClass: string;
   readonly team: TeamName;
-  readonly rank: Rank;
-  readonly tasks: number;
-  readonly needs: Resources;
+  readonly priority: Priority;
+  readonly taskCount: number;
+  readonly resources: Resources;
   readonly image: string;
   readonly imageGb: number;
-  readonly types: readonly string[] | null;
+  readonly machineTypes: readonly string[] | null;
   readonly zone: string | null;
-  readonly oneZone: boolean;
-  readonly apart: boolean;
+  readonly zoneAffinity: boolean;
+  readonly spreadAcrossZones: boolean;
   readonly spotAllowed: boolean;
-  readonly expectS: number;
-  readonly checkpointS: number;
-  readonly saveS: number;
+  readonly expectedRunS: number;
+  readonly checkpointIntervalS: number;
+  readonly checkpointSaveS: number;
   readonly deadlineS: number | null;
 }
 
-export type JobStage = "queued" | "running" | "done" | "cancelled";
+export type JobPhase = "queued" | "running" | "done" | "cancelled";
 
-export interface JobView {
+export interface JobStatus {
   readonly id: JobId;
-  readonly stage: JobStage;
+  readonly phase: JobPhase;
   readonly done: number;
   readonly running: number;
 }
@@ -47,7 +47,7 @@
 
 export const isJobId = (s: string): boolean => JOB_ID.test(s);
 
-export type Parsed<T> =
+export type ParseResult<T> =
   | { readonly ok: true; readonly value: T }
   | { readonly ok: false; readonly reason: string };
 
@@ -62,7 +62,7 @@
 };
 
 /** Reads POST /work. The first fault found is the reason given. Only what may be null may be absent. */
-export const parseSubmission = (body: unknown): Parsed<JobSpec> => {
+export const parseSubmission = (body: unknown): ParseResult<JobSpec> => {
   if (!isMap(body)) return bad("not a map");
   const id = text(body.uid);
   if (id === undefined || !isJobId(id)) return bad("uid is not of the form wk-000000");
@@ -71,10 +71,10 @@
   const team = text(body.crew);
   if (!team) return bad("crew is missing");
   if (body.pattern !== "sweep") return bad("pattern must be sweep");
-  const rank = RANKS.find((r) => r === body.rank);
-  if (rank === undefined) return bad("rank is unknown");
-  const tasks = count(body.threads);
-  if (tasks === undefined || tasks < 1 || tasks > MAX_TASKS)
+  const priority = PRIORITIES.find((r) => r === body.rank);
+  if (priority === undefined) return bad("rank is unknown");
+  const taskCount = count(body.threads);
+  if (taskCount === undefined || taskCount < 1 || taskCount > MAX_TASKS)
     return bad(`threads must be 1 to ${MAX_TASKS}`);
   const cpus = amount(body.cpus);
   const gpus = amount(body.gpus);
@@ -86,26 +86,26 @@
   if (image === undefined) return bad("bolt is missing");
   const imageGb = amount(body.imageGb);
   if (imageGb === undefined) return bad("imageGb is invalid");
-  let types: string[] | null = null;
+  let machineTypes: string[] | null = null;
   if (!absent(body.frames)) {
     const names = list(body.frames)?.map(text);
     if (names === undefined || names.some((n) => n === undefined))
       return bad("frames must be a list of names");
-    types = names as string[];
+    machineTypes = names as string[];
   }
   if (!absent(body.mill) && typeof body.mill !== "string") return bad("mill is invalid");
-  const oneZone = flag(body.oneZone);
-  const apart = flag(body.apart);
+  const zoneAffinity = flag(body.oneZone);
+  const spreadAcrossZones = flag(body.apart);
   const spotAllowed = flag(body.remnant);
-  if (oneZone === undefined) return bad("oneZone is invalid");
-  if (apart === undefined) return bad("apart is invalid");
+  if (zoneAffinity === undefined) return bad("oneZone is invalid");
+  if (spreadAcrossZones === undefined) return bad("apart is invalid");
   if (spotAllowed === undefined) return bad("remnant is invalid");
-  const expectS = amount(body.expectS);
-  if (expectS === undefined) return bad("expectS is invalid");
-  const checkpointS = amount(body.knotS);
-  const saveS = amount(body.spoolS);
-  if (checkpointS === undefined) return bad("knotS is invalid");
-  if (saveS === undefined) return bad("spoolS is invalid");
+  const expectedRunS = amount(body.expectS);
+  if (expectedRunS === undefined) return bad("expectS is invalid");
+  const checkpointIntervalS = amount(body.knotS);
+  const checkpointSaveS = amount(body.spoolS);
+  if (checkpointIntervalS === undefined) return bad("knotS is invalid");
+  if (checkpointSaveS === undefined) return bad("spoolS is invalid");
   const deadlineS = absent(body.dueS) ? null : amount(body.dueS);
   if (deadlineS === undefined) return bad("dueS is invalid");
   return {
@@ -114,27 +114,27 @@
       id: jobId(id),
       jobClass,
       team: teamName(team),
-      rank,
-      tasks,
-      needs: { cpus, gpus, ramGb },
+      priority,
+      taskCount,
+      resources: { cpus, gpus, ramGb },
       image,
       imageGb,
-      types,
+      machineTypes,
       zone: typeof body.mill === "string" ? body.mill : null,
-      oneZone,
-      apart,
+      zoneAffinity,
+      spreadAcrossZones,
       spotAllowed,
-      expectS,
-      checkpointS,
-      saveS,
+      expectedRunS,
+      checkpointIntervalS,
+      checkpointSaveS,
       deadlineS,
     },
   };
 };
 
-export const jobViewBody = (v: JobView): Fields => ({
+export const jobStatusBody = (v: JobStatus): Fields => ({
   uid: v.id,
-  stage: v.stage,
+  stage: v.phase,
   done: v.done,
   running: v.running,
 });
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -7,8 +7,8 @@
   revision,
   type ShardId,
   shardId,
-  type Wall,
-  wall,
+  type WallClockMs,
+  wallClockMs,
 } from "@umberfold/ids";
 import protobuf from "protobufjs/light.js";
 import { isJobId } from "./jobs.js";
@@ -17,7 +17,7 @@
  * `drain`: stop what of lower rank runs there first. `whenEmpty`: start nothing more there, and move
  * it once what runs has ended. Neither: only if it is empty now.
  */
-export interface MoveRequest {
+export interface MachineTransferRequest {
   readonly machine: MachineId;
   readonly to: ShardId;
   readonly drain: boolean;
@@ -25,10 +25,10 @@
 }
 
 /** A cancellation that is known to be written: the record's revision, and the time it bears. */
-export interface CancelNotice {
+export interface CancellationNotice {
   readonly job: JobId;
   readonly rev: Revision;
-  readonly at: Wall;
+  readonly at: WallClockMs;
 }
 
 /**
@@ -38,16 +38,16 @@
  */
 export interface PeerMessage {
   readonly from: string;
-  readonly moves: readonly MoveRequest[];
+  readonly moves: readonly MachineTransferRequest[];
   readonly retire: readonly MachineId[];
   /** Why they are to be retired at once; empty: they are surplus. */
   readonly reason: string;
-  readonly cancelled: readonly CancelNotice[];
+  readonly cancelled: readonly CancellationNotice[];
   /** Jobs of the sender's shards that fail wherever they are started. */
   readonly failing: readonly JobId[];
 }
 
-export const EMPTY_MESSAGE: Omit<PeerMessage, "from"> = {
+export const EMPTY_PEER_MESSAGE: Omit<PeerMessage, "from"> = {
   moves: [],
   retire: [],
   reason: "",
@@ -86,11 +86,11 @@
 });
 const Message = root.lookupType("PeerMessage");
 
-export const encodePeer = (m: PeerMessage): Uint8Array =>
+export const encodePeerMessage = (m: PeerMessage): Uint8Array =>
   Message.encode(Message.fromObject(m)).finish();
 
 /** Throws on bytes that are no such message. */
-export const decodePeer = (bytes: Uint8Array): PeerMessage => {
+export const decodePeerMessage = (bytes: Uint8Array): PeerMessage => {
   const o = Message.toObject(Message.decode(bytes), {
     defaults: true,
     arrays: true,
@@ -117,6 +117,6 @@
     cancelled: o.cancelled
       .filter((c) => isJobId(c.job) && Number.isSafeInteger(c.rev) && c.rev > 0)
       .filter((c) => Number.isFinite(c.at))
-      .map((c) => ({ job: jobId(c.job), rev: revision(c.rev), at: wall(c.at) })),
+      .map((c) => ({ job: jobId(c.job), rev: revision(c.rev), at: wallClockMs(c.at) })),
   };
 };
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,17 +1,17 @@
 import { type LeaseId, leaseId, type Revision, revision } from "@umberfold/ids";
 import { count, type Fields, isMap, list, text, wide } from "./cbor.js";
 
-export interface Item {
+export interface KeyValue {
   readonly key: string;
   readonly value: unknown;
   readonly rev: Revision;
 }
 
-export type Change =
+export type StoreChange =
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly rev: Revision }
   | { readonly kind: "delete"; readonly key: string; readonly rev: Revision };
 
-export type Op =
+export type WriteOperation =
   | {
       readonly kind: "put";
       readonly key: string;
@@ -28,12 +28,12 @@
 /** A transaction takes this many conditions for each change that it may make. */
 export const CONDITIONS_PER_OP = 4;
 
-export interface Txn {
+export interface Transaction {
   readonly conditions: readonly Condition[];
-  readonly ops: readonly Op[];
+  readonly ops: readonly WriteOperation[];
 }
 
-const opBody = (op: Op): Fields => {
+const opBody = (op: WriteOperation): Fields => {
   if (op.kind === "delete") return { drop: op.key };
   return op.lease === undefined
     ? { write: op.key, v: op.value }
@@ -47,7 +47,7 @@
   if: conditions.map(conditionBody),
 });
 
-export const txnBody = (t: Txn): Fields => ({
+export const transactionBody = (t: Transaction): Fields => ({
   if: t.conditions.map(conditionBody),
   apply: t.ops.map(opBody),
 });
@@ -57,12 +57,12 @@
   return n === undefined ? undefined : revision(n);
 };
 
-export const parseFailed = (body: unknown): readonly string[] =>
+export const parseFailedKeys = (body: unknown): readonly string[] =>
   (isMap(body) ? list(body.failed) : undefined)?.filter(
     (k): k is string => typeof k === "string",
   ) ?? [];
 
-export const parseItem = (v: unknown): Item | undefined => {
+export const parseKeyValue = (v: unknown): KeyValue | undefined => {
   if (!isMap(v)) return undefined;
   const key = text(v.path);
   const rev = count(v.mark);
@@ -71,21 +71,21 @@
     : { key, value: v.v, rev: revision(rev) };
 };
 
-export interface Page {
-  readonly items: readonly Item[];
+export interface ScanPage {
+  readonly items: readonly KeyValue[];
   readonly more: boolean;
   readonly rev: Revision;
 }
 
-export const parsePage = (body: unknown): Page | undefined => {
+export const parseScanPage = (body: unknown): ScanPage | undefined => {
   const rev = parseRevision(body);
   if (!isMap(body) || rev === undefined) return undefined;
-  const items = list(body.items)?.map(parseItem);
+  const items = list(body.items)?.map(parseKeyValue);
   if (items === undefined || items.some((i) => i === undefined)) return undefined;
-  return { items: items as Item[], more: body.hasNext === true, rev };
+  return { items: items as KeyValue[], more: body.hasNext === true, rev };
 };
 
-const parseChange = (v: unknown): Change | undefined => {
+const parseChange = (v: unknown): StoreChange | undefined => {
   if (!isMap(v)) return undefined;
   const rev = count(v.mark);
   if (rev === undefined) return undefined;
@@ -97,17 +97,17 @@
 
 export const parseChanges = (
   body: unknown,
-): { readonly rev: Revision; readonly changes: readonly Change[] } | undefined => {
+): { readonly rev: Revision; readonly changes: readonly StoreChange[] } | undefined => {
   const rev = parseRevision(body);
   if (!isMap(body) || rev === undefined) return undefined;
   const rows = list(body.log)?.map(parseChange) ?? [];
   // One unreadable change would leave a hole in what we know: the caller reads all keys again.
   if (rows.some((c) => c === undefined)) return undefined;
-  return { rev, changes: rows as Change[] };
+  return { rev, changes: rows as StoreChange[] };
 };
 
 export const grantBody = (ttlMs: number): Fields => ({ ttlMs });
-export const parseGrant = (body: unknown): LeaseId | undefined => {
+export const parseLease = (body: unknown): LeaseId | undefined => {
   const n = isMap(body) ? count(body.tenure) : undefined;
   return n === undefined ? undefined : leaseId(n);
 };
