--- a/src/scheduling/demand.ts
+++ b/src/scheduling/demand.ts
@@ -1,9 +1,9 @@
-import type { JobId, ShardId, TeamName, Wall } from "@umberfold/ids";
+import type { JobId, ShardId, TeamName, WallClockMs } from "@umberfold/ids";
 import type { Objective, Team } from "../config/settings.js";
 import type { MachineType } from "../protocol/cloud.js";
-import { type JobSpec, type Resources, rankOrder } from "../protocol/jobs.js";
-import { type LiveJob, waitingCount } from "../storage/records.js";
-import { type DemandGroup, follow } from "./fleet-plan.js";
+import { type JobSpec, priorityOrder, type Resources } from "../protocol/jobs.js";
+import { type LiveJob, waitingTaskCount } from "../storage/records.js";
+import { type DemandGroup, smoothToward } from "./fleet-plan.js";
 import { patienceS, targetsOf, windowS } from "./objectives.js";
 import { fits } from "./resources.js";
 
@@ -31,7 +31,7 @@
   /** What machines need beyond the bound, which takes work for perfectly divisible. */
   readonly margin: number;
   readonly dtS: number;
-  readonly now: Wall;
+  readonly now: WallClockMs;
   /** Level kept from the last look, by group. */
   readonly levels: ReadonlyMap<string, number>;
 }
@@ -41,7 +41,7 @@
  * only some types can take gains nothing from the ends of work on the others. In processors.
  */
 interface SharedTypes {
-  readonly due: { readonly wanted: Due[]; readonly needed: Due[] };
+  readonly due: { readonly wanted: DueWork[]; readonly needed: DueWork[] };
   readonly alone: { wanted: number; needed: number };
 }
 
@@ -69,7 +69,7 @@
 }
 
 /** Work that is to be done within a window. */
-export interface Due {
+export interface DueWork {
   readonly windowS: number;
   /** Processor seconds. */
   readonly work: number;
@@ -80,7 +80,7 @@
  * work due in it by its length (the processor demand of earliest deadline first). Less than the
  * sum of what each job would want alone, for the same processors serve one after the other.
  */
-export const demandBound = (due: readonly Due[]): number => {
+export const demandBound = (due: readonly DueWork[]): number => {
   let work = 0;
   let most = 0;
   for (const d of [...due].sort((a, b) => a.windowS - b.windowS)) {
@@ -96,9 +96,9 @@
 const groupKey = (spec: JobSpec): string => {
   const known = groupKeys.get(spec);
   if (known !== undefined) return known;
-  const { needs, types, zone, spotAllowed, jobClass } = spec;
-  const shape = [jobClass, needs.cpus, needs.gpus, needs.ramGb];
-  const key = [...shape, types?.join() ?? "*", zone ?? "*", spotAllowed].join("|");
+  const { resources, machineTypes, zone, spotAllowed, jobClass } = spec;
+  const shape = [jobClass, resources.cpus, resources.gpus, resources.ramGb];
+  const key = [...shape, machineTypes?.join() ?? "*", zone ?? "*", spotAllowed].join("|");
   groupKeys.set(spec, key);
   return key;
 };
@@ -145,13 +145,13 @@
     const key = groupKey(spec);
     const known = this.#groups.get(key);
     if (known !== undefined) return known;
-    const { needs, types, zone, spotAllowed, rank } = spec;
+    const { resources, machineTypes, zone, spotAllowed, priority } = spec;
     const sum: Sum = {
-      needs,
-      types,
+      needs: resources,
+      types: machineTypes,
       zone,
       spotAllowed,
-      rank: rankOrder(rank),
+      rank: priorityOrder(priority),
       sharing: this.#sharing(spec),
       open: 0,
       waits: 0,
@@ -165,9 +165,10 @@
     return sum;
   }
 
-  #sharing({ needs, types }: JobSpec): SharedTypes {
+  #sharing({ resources, machineTypes }: JobSpec): SharedTypes {
     const fitting = this.input.types.filter(
-      (t) => fits(needs, t.capacity) && (types === null || types.includes(t.name)),
+      (t) =>
+        fits(resources, t.capacity) && (machineTypes === null || machineTypes.includes(t.name)),
     );
     const key = fitting.map((t) => t.name).join("|");
     const sharing = this.#byTypes.get(key) ?? newSharedTypes();
@@ -177,11 +178,12 @@
 
   /** Waiting tasks of a job for which its team's limit leaves room. */
   #waitingWithin(job: LiveJob): number {
-    const { team, needs, tasks } = job.spec;
+    const { team, resources, taskCount } = job.spec;
     const room = this.#teamRoom.get(team) ?? this.input.teams.get(team)?.cpusMax ?? 0;
-    const most = needs.cpus > 0 ? Math.floor((room + LIMIT_TOLERANCE) / needs.cpus) : tasks;
-    const waiting = Math.max(0, Math.min(waitingCount(job), most - job.open.length));
-    this.#teamRoom.set(team, room - (waiting + job.open.length) * needs.cpus);
+    const most =
+      resources.cpus > 0 ? Math.floor((room + LIMIT_TOLERANCE) / resources.cpus) : taskCount;
+    const waiting = Math.max(0, Math.min(waitingTaskCount(job), most - job.open.length));
+    this.#teamRoom.set(team, room - (waiting + job.open.length) * resources.cpus);
     return waiting;
   }
 
@@ -227,7 +229,7 @@
  * for its backlog to drain within a part of that time. Both are smoothed: a burst that is over
  * before a machine has booted is no reason to rent one.
  */
-export const demandOf = (input: DemandInput): Demand => {
+export const computeDemand = (input: DemandInput): Demand => {
   const sums = new DemandSums(input);
   for (const [id, job] of input.jobs) sums.add(id, job);
   const levels = new Map<string, number>();
@@ -235,7 +237,7 @@
     const name = `${key}|${tier}`;
     const level = sum[tier] * partOfAlone(sum.sharing, tier, input.margin);
     const before = input.levels.get(name) ?? level;
-    const seen = follow(before, level, input.dtS, input.riseS, input.fallS);
+    const seen = smoothToward(before, level, input.dtS, input.riseS, input.fallS);
     levels.set(name, seen);
     return seen;
   };
@@ -245,16 +247,16 @@
     const needed = smoothed(key, sum, "needed");
     const wanted = smoothed(key, sum, "wanted");
     return {
-      needs,
-      types,
+      resources: needs,
+      machineTypes: types,
       zone,
       spotAllowed,
-      rank,
+      priority: rank,
       urgent,
       waiting,
-      needed: beside(needed),
-      wanted: beside(urgent ? wanted * (1 + input.headroom) : Math.max(wanted, needed)),
+      requiredSlots: beside(needed),
+      desiredSlots: beside(urgent ? wanted * (1 + input.headroom) : Math.max(wanted, needed)),
     };
   });
-  return { groups: groups.sort((a, b) => a.rank - b.rank), levels };
+  return { groups: groups.sort((a, b) => a.priority - b.priority), levels };
 };
--- a/src/scheduling/fleet-plan.ts
+++ b/src/scheduling/fleet-plan.ts
@@ -1,24 +1,24 @@
 import type { MachineId, ShardId } from "@umberfold/ids";
 import type { MachineType } from "../protocol/cloud.js";
 import type { Resources } from "../protocol/jobs.js";
-import type { MoveRequest } from "../protocol/peer.js";
-import { contenders, distinctNeeds } from "./placement.js";
-import { fits, minus, plus, slots } from "./resources.js";
+import type { MachineTransferRequest } from "../protocol/peer.js";
+import { countCompetingShapes, distinctShapes } from "./placement.js";
+import { add, fits, subtract, taskSlots } from "./resources.js";
 import { shardAssigner } from "./shard-assigner.js";
 
 /** Tasks that are alike for renting: the same need and the same allowed machines. */
 export interface DemandGroup {
-  readonly needs: Resources;
-  readonly types: readonly string[] | null;
+  readonly resources: Resources;
+  readonly machineTypes: readonly string[] | null;
   readonly zone: string | null;
   readonly spotAllowed: boolean;
   /** Tasks for which there should be room, beside those running now, if it is cheap. */
-  readonly wanted: number;
+  readonly desiredSlots: number;
   /** Of these, those worth the dearer offers too. */
-  readonly needed: number;
+  readonly requiredSlots: number;
   /** Tasks that wait now, by shard. */
   readonly waiting: ReadonlyMap<ShardId, number>;
-  readonly rank: number;
+  readonly priority: number;
   /** Its objectives leave no time to wait for a boot. */
   readonly urgent: boolean;
 }
@@ -32,11 +32,11 @@
   /** Reports and takes tasks; otherwise it still boots. */
   readonly up: boolean;
   readonly use: Resources;
-  readonly open: number;
+  readonly openAttempts: number;
   /** What stands there: its rank, its need, and what stopping it would throw away. */
   readonly tasks: readonly {
-    readonly rank: number;
-    readonly needs: Resources;
+    readonly priority: number;
+    readonly resources: Resources;
     readonly lossS: number;
   }[];
   /** How long nothing has stood on it. */
@@ -44,7 +44,7 @@
   readonly heldS: number;
 }
 
-export interface Rent {
+export interface PlannedRental {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -53,8 +53,8 @@
 }
 
 export interface FleetPlan {
-  readonly rents: readonly Rent[];
-  readonly moves: readonly MoveRequest[];
+  readonly rentals: readonly PlannedRental[];
+  readonly transfers: readonly MachineTransferRequest[];
   readonly returns: readonly MachineId[];
 }
 
@@ -63,14 +63,14 @@
   readonly machines: readonly FleetMachine[];
   readonly demand: readonly DemandGroup[];
   /** Offers refused of late, and not asked for again yet. */
-  readonly refused: ReadonlySet<string>;
+  readonly refusedOffers: ReadonlySet<string>;
   /** Least charge and hysteresis: an idle machine is kept this long. */
   readonly idleReturnS: number;
-  readonly maxRents: number;
+  readonly maxRentals: number;
   /** How long a rented machine is kept, on the whole: what its boot costs is spread over that. */
-  readonly lifeS: number;
+  readonly machineLifeS: number;
   /** How many shards there are. */
-  readonly size: number;
+  readonly shardCount: number;
   /** Shards whose owners don't keep up with the machines they have: they are given no more. */
   readonly overloaded: ReadonlySet<ShardId>;
 }
@@ -92,7 +92,7 @@
   g: DemandGroup,
   o: { readonly type: string; readonly zone: string; readonly spot: boolean },
 ): boolean =>
-  (g.types === null || g.types.includes(o.type)) &&
+  (g.machineTypes === null || g.machineTypes.includes(o.type)) &&
   (g.zone === null || g.zone === o.zone) &&
   (g.spotAllowed || !o.spot);
 
@@ -102,8 +102,8 @@
   for (const r of rooms) {
     if (left === 0) break;
     if (!allows(g, { type: r.m.type.name, zone: r.m.zone, spot: r.m.spot })) continue;
-    while (left > 0 && fits(g.needs, r.free)) {
-      r.free = minus(r.free, g.needs);
+    while (left > 0 && fits(g.resources, r.free)) {
+      r.free = subtract(r.free, g.resources);
       r.taken++;
       left--;
     }
@@ -121,15 +121,15 @@
   let best: { type: MachineType; zone: string; spot: boolean; perMachine: number } | undefined;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const type of input.types) {
-    const perMachine = slots(g.needs, type.capacity);
+    const perMachine = taskSlots(g.resources, type.capacity);
     if (perMachine === 0) continue;
     for (const spot of spotOnly ? [true] : [true, false]) {
-      const price = (spot ? type.spotPrice : type.price) * (1 + type.bootS / input.lifeS);
+      const price = (spot ? type.spotPrice : type.price) * (1 + type.bootS / input.machineLifeS);
       const cost = price / perMachine;
       for (const zone of type.zones) {
         if (!allows(g, { type: type.name, zone, spot })) continue;
         const key = offerKey(type.name, zone, spot);
-        if (input.refused.has(key)) continue;
+        if (input.refusedOffers.has(key)) continue;
         // Spread over zones: what one cut or wave can take is limited.
         const spread = (asked.get(key) ?? 0) * 1e-6;
         if (cost + spread < bestCost) {
@@ -151,8 +151,8 @@
 /** What of a machine's tasks a group may stop counts as free for it from here on. */
 const yieldTo = (g: DemandGroup, r: Room): void => {
   for (const t of r.m.tasks)
-    if (t.rank > g.rank && !r.yielded.has(t)) {
-      r.free = plus(r.free, t.needs);
+    if (t.priority > g.priority && !r.yielded.has(t)) {
+      r.free = add(r.free, t.resources);
       r.yielded.add(t);
     }
 };
@@ -180,16 +180,22 @@
 };
 
 /** Gives whole machines of other shards to what is short, in this order of preference. */
-const take = (short: readonly Short[], rooms: readonly Room[], drain: boolean): MoveRequest[] => {
-  const out: MoveRequest[] = [];
+const take = (
+  short: readonly Short[],
+  rooms: readonly Room[],
+  drain: boolean,
+): MachineTransferRequest[] => {
+  const out: MachineTransferRequest[] = [];
   for (const u of short) {
     if (drain && !u.g.urgent) continue;
     const others = rooms.filter(
       (r) => r.m.shard !== u.shard && r.m.up && !r.moved && r.taken === 0 && r.yielded.size === 0,
     );
     const candidates = drain
-      ? others.filter((r) => r.m.open > 0 && r.m.tasks.every((t) => t.rank > u.g.rank))
-      : others.filter((r) => r.m.open === 0);
+      ? others.filter(
+          (r) => r.m.openAttempts > 0 && r.m.tasks.every((t) => t.priority > u.g.priority),
+        )
+      : others.filter((r) => r.m.openAttempts === 0);
     if (drain) candidates.sort((a, b) => a.lossS - b.lossS);
     else gather(candidates);
     for (const r of candidates) {
@@ -214,11 +220,11 @@
   rooms: readonly Room[],
   overloaded: ReadonlySet<ShardId>,
 ): {
-  readonly moves: readonly MoveRequest[];
+  readonly moves: readonly MachineTransferRequest[];
   readonly short: ReadonlyMap<ShardId, number>;
 } => {
   const unmet: Short[] = [];
-  for (const g of [...demand].sort((a, b) => a.rank - b.rank))
+  for (const g of [...demand].sort((a, b) => a.priority - b.priority))
     for (const [shard, n] of g.waiting) {
       const own = rooms.filter((r) => r.m.shard === shard);
       let left = fill(g, n, own);
@@ -234,7 +240,7 @@
   return { moves, short };
 };
 
-type Ground = Pick<FleetInput, "types" | "machines" | "demand" | "size" | "overloaded">;
+type Ground = Pick<FleetInput, "types" | "machines" | "demand" | "shardCount" | "overloaded">;
 
 const dear = (m: FleetMachine): number =>
   (m.spot ? m.type.spotPrice : m.type.price) / Math.max(1, m.type.capacity.cpus);
@@ -244,11 +250,13 @@
  * cheap and the full, so that the dear and the empty are left to be returned.
  */
 const roomsOf = (input: Ground): Room[] => {
-  const shapes = distinctNeeds(input.demand.map((g) => g.needs));
-  const rivals = new Map(input.types.map((t) => [t.name, contenders(t.capacity, shapes)]));
+  const shapes = distinctShapes(input.demand.map((g) => g.resources));
+  const rivals = new Map(
+    input.types.map((t) => [t.name, countCompetingShapes(t.capacity, shapes)]),
+  );
   const rooms = input.machines.map((m) => ({
     m,
-    free: minus(m.type.capacity, m.use),
+    free: subtract(m.type.capacity, m.use),
     taken: 0,
     moved: false,
     yielded: new Set<FleetMachine["tasks"][number]>(),
@@ -258,7 +266,7 @@
     (a, b) =>
       (rivals.get(a.m.type.name) ?? 0) - (rivals.get(b.m.type.name) ?? 0) ||
       dear(a.m) - dear(b.m) ||
-      b.m.open - a.m.open ||
+      b.m.openAttempts - a.m.openAttempts ||
       a.m.idleS - b.m.idleS,
   );
 };
@@ -266,12 +274,12 @@
 /** Needs that few types can serve choose first. */
 const byChoice = (input: Ground): readonly DemandGroup[] => {
   const choices = (g: DemandGroup): number =>
-    input.types.filter((t) => fits(g.needs, t.capacity)).length;
+    input.types.filter((t) => fits(g.resources, t.capacity)).length;
   return [...input.demand].sort((a, b) => choices(a) - choices(b));
 };
 
 /** Which idle machines go to shards that lack room, nothing else being moved for them. */
-export const idleMoves = (input: Ground): readonly MoveRequest[] =>
+export const planIdleTransfers = (input: Ground): readonly MachineTransferRequest[] =>
   planMoves(byChoice(input), roomsOf(input), input.overloaded).moves;
 
 /**
@@ -281,8 +289,8 @@
  */
 export const planFleet = (input: FleetInput): FleetPlan => {
   const demand = byChoice(input);
-  const { moves, short } = planMoves(demand, roomsOf(input), input.overloaded);
-  const moved = new Set(moves.map((m) => m.machine));
+  const { moves: transfers, short } = planMoves(demand, roomsOf(input), input.overloaded);
+  const moved = new Set(transfers.map((m) => m.machine));
 
   const rooms = roomsOf(input);
   const asked = new Map<string, number>();
@@ -291,7 +299,7 @@
     asked.set(key, (asked.get(key) ?? 0) + 1);
   }
   const assign = shardAssigner(input, short);
-  const rents = new Map<string, Rent>();
+  const rents = new Map<string, PlannedRental>();
   let total = 0;
   // Demand is forecast for all shards together; beside an overloaded one only what others lack counts.
   let lacking =
@@ -300,7 +308,7 @@
       : [...short.values()].reduce((sum, n) => sum + n, 0);
   const rent = (g: DemandGroup, count: number, spotOnly: boolean): void => {
     let rest = count;
-    while (rest > 0 && total < input.maxRents && lacking > 0) {
+    while (rest > 0 && total < input.maxRentals && lacking > 0) {
       const offer = bestOffer(g, input, asked, spotOnly);
       if (offer === undefined) break;
       const key = offerKey(offer.type.name, offer.zone, offer.spot);
@@ -319,18 +327,19 @@
   };
   // What is needed may take any room; what is merely wanted only the cheap, or ordinary machines
   // rented for one burst would stay for the comfort of the next.
-  for (const g of demand) rent(g, fill(g, g.needed, rooms), false);
+  for (const g of demand) rent(g, fill(g, g.requiredSlots, rooms), false);
   const cheap = rooms.filter((r) => r.m.spot);
-  for (const g of demand) rent(g, fill(g, Math.max(0, g.wanted - g.needed), cheap), true);
+  for (const g of demand)
+    rent(g, fill(g, Math.max(0, g.desiredSlots - g.requiredSlots), cheap), true);
   const returns = rooms
-    .filter((r) => r.taken === 0 && r.m.open === 0 && r.m.up && !moved.has(r.m.id))
+    .filter((r) => r.taken === 0 && r.m.openAttempts === 0 && r.m.up && !moved.has(r.m.id))
     .filter((r) => r.m.idleS >= input.idleReturnS)
     .map((r) => r.m.id);
-  return { rents: [...rents.values()], moves, returns };
+  return { rentals: [...rents.values()], transfers, returns };
 };
 
 /** A level that follows what it sees, upwards and downwards each at its own pace. */
-export const follow = (
+export const smoothToward = (
   old: number,
   level: number,
   dtS: number,
--- a/src/scheduling/objectives.ts
+++ b/src/scheduling/objectives.ts
@@ -72,7 +72,7 @@
 };
 
 /** Seconds until the job's tasks should run for the next such objective that can still be met. */
-export const hurryS = (targets: readonly Target[], ageS: number): number => {
+export const startSlackS = (targets: readonly Target[], ageS: number): number => {
   let left = Number.POSITIVE_INFINITY;
   for (const t of targets)
     if (t.kind === "start" && t.withinS >= ageS) left = Math.min(left, t.withinS - ageS);
--- a/src/scheduling/placement.ts
+++ b/src/scheduling/placement.ts
@@ -1,10 +1,10 @@
 import type { MachineId } from "@umberfold/ids";
 import type { JobSpec, Resources } from "../protocol/jobs.js";
-import { fits, fitsBeside, lesser, plus } from "./resources.js";
-import { pheromone } from "./swarm.js";
+import { add, fits, fitsBeside, minimumOf } from "./resources.js";
+import { moveProbability } from "./swarm.js";
 
 /** A machine as placement sees it: use counts every open attempt and every pending move in. */
-export interface Place {
+export interface CandidateMachine {
   readonly id: MachineId;
   readonly type: string;
   readonly zone: string;
@@ -12,13 +12,13 @@
   readonly capacity: Resources;
   use: Resources;
   /** The smallest need of each resource that stands there; endless where nothing does. */
-  least: Resources;
+  smallestDemand: Resources;
   readonly price: number;
   /** Costs much more for what it holds than the cheapest about: left empty, to be returned. */
-  readonly dear: boolean;
+  readonly isCostly: boolean;
   readonly fetchGbPerS: number;
   readonly images: { readonly has: (image: string) => boolean };
-  readonly contenders: number;
+  readonly competingShapes: number;
 }
 
 /** Where a job's other open attempts stand, as `oneZone` and `apart` judge them. */
@@ -27,11 +27,11 @@
 /** What of a job decides which machines may take its tasks. */
 type PlacementRules = Pick<
   JobSpec,
-  "types" | "zone" | "spotAllowed" | "oneZone" | "apart" | "tasks"
+  "machineTypes" | "zone" | "spotAllowed" | "zoneAffinity" | "spreadAcrossZones" | "taskCount"
 >;
 
 /** At most half of the tasks, rounded up, in one zone. */
-export const apartLimit = (tasks: number): number => Math.ceil(tasks / 2);
+export const maxTasksPerZone = (tasks: number): number => Math.ceil(tasks / 2);
 
 /** The part of PROTOCOL's `wrong_place` that does not depend on the job's other tasks. */
 const permittedAlone = (
@@ -39,18 +39,18 @@
   place: { readonly type: string; readonly zone: string; readonly spot: boolean },
 ): boolean => {
   if (place.spot && !spec.spotAllowed) return false;
-  if (spec.types !== null && !spec.types.includes(place.type)) return false;
+  if (spec.machineTypes !== null && !spec.machineTypes.includes(place.type)) return false;
   return spec.zone === null || spec.zone === place.zone;
 };
 
 /** The part that depends on where the job's other tasks are. */
 const permittedBeside = (spec: PlacementRules, zone: string, zones: ZoneCounts): boolean => {
-  if (spec.oneZone) for (const [other, n] of zones) if (n > 0 && other !== zone) return false;
-  return !spec.apart || (zones.get(zone) ?? 0) < apartLimit(spec.tasks);
+  if (spec.zoneAffinity) for (const [other, n] of zones) if (n > 0 && other !== zone) return false;
+  return !spec.spreadAcrossZones || (zones.get(zone) ?? 0) < maxTasksPerZone(spec.taskCount);
 };
 
 /** PROTOCOL's `wrong_place`: type, kind, zone, and the job's other tasks. */
-export const permitted = (
+export const isPermitted = (
   spec: PlacementRules,
   place: { readonly type: string; readonly zone: string; readonly spot: boolean },
   zones: ZoneCounts,
@@ -60,18 +60,19 @@
  * How many of the needs that are about a machine of this capacity could serve. Types that few can
  * use are filled first, or tasks that fit nowhere else find the large machines full of small ones.
  */
-export const contenders = (capacity: Resources, shapes: readonly Resources[]): number =>
+export const countCompetingShapes = (capacity: Resources, shapes: readonly Resources[]): number =>
   shapes.filter((needs) => fits(needs, capacity)).length;
 
 /** The distinct needs among these. */
-export const distinctNeeds = (all: Iterable<Resources>): readonly Resources[] => {
+export const distinctShapes = (all: Iterable<Resources>): readonly Resources[] => {
   const out = new Map<string, Resources>();
   for (const n of all) out.set(`${n.cpus}|${n.gpus}|${n.ramGb}`, n);
   return [...out.values()];
 };
 
 /** Whether jobs place their tasks by rules that look at the job's other tasks. */
-export const bindsZones = (spec: PlacementRules): boolean => spec.oneZone || spec.apart;
+export const hasZoneRules = (spec: PlacementRules): boolean =>
+  spec.zoneAffinity || spec.spreadAcrossZones;
 
 const groupKeys = new WeakMap<JobSpec, string>();
 
@@ -79,20 +80,38 @@
  * Jobs with the same key are alike for placement, but for where their other tasks are and how soon
  * they must run. (A selector shared by jobs of which only one was bound to a zone broke the rule.)
  */
-export const placementGroup = (spec: JobSpec): string => {
+export const placementGroupKey = (spec: JobSpec): string => {
   const known = groupKeys.get(spec);
   if (known !== undefined) return known;
-  const { needs, types, zone, spotAllowed, image, imageGb, oneZone, apart } = spec;
+  const {
+    resources,
+    machineTypes,
+    zone,
+    spotAllowed,
+    image,
+    imageGb,
+    zoneAffinity,
+    spreadAcrossZones,
+  } = spec;
   // Jobs that are spread over zones are so by their number of tasks.
-  const spread = apart ? spec.tasks : 0;
-  const key = JSON.stringify([needs, types, zone, spotAllowed, image, imageGb, oneZone, spread]);
+  const spread = spreadAcrossZones ? spec.taskCount : 0;
+  const key = JSON.stringify([
+    resources,
+    machineTypes,
+    zone,
+    spotAllowed,
+    image,
+    imageGb,
+    zoneAffinity,
+    spread,
+  ]);
   groupKeys.set(spec, key);
   return key;
 };
 
 /** What a selector has worked out of one place, and the use that it was worked out for. */
 interface Candidate {
-  readonly place: Place;
+  readonly place: CandidateMachine;
   readonly cached: boolean;
   /** The longest that its image's fetch takes there. */
   readonly fetchS: number;
@@ -112,12 +131,12 @@
  * What it works out of a machine stands until the machine's use changes, so that a large array costs
  * a comparison for each machine and task, and the paper's formula only for machines just changed.
  */
-export class PlaceSelector {
+export class CandidateSelector {
   readonly #candidates: readonly Candidate[];
 
   constructor(
     private readonly spec: JobSpec,
-    places: Iterable<Place>,
+    places: Iterable<CandidateMachine>,
   ) {
     const candidates: Candidate[] = [];
     for (const place of places) {
@@ -133,10 +152,10 @@
   choose(
     zones: ZoneCounts,
     hurryS = Number.POSITIVE_INFINITY,
-    excluded?: (place: Place) => boolean,
-  ): Place | null {
+    excluded?: (place: CandidateMachine) => boolean,
+  ): CandidateMachine | null {
     const { spec } = this;
-    const binds = bindsZones(spec);
+    const binds = hasZoneRules(spec);
     let best: Candidate | null = null;
     for (const c of this.#candidates) {
       const before = best === null ? 0 : this.#compare(c, best, hurryS);
@@ -151,19 +170,24 @@
   /** What comes before p: what others need is spared, then what is too slow, then what costs much. */
   #compare(a: Candidate, b: Candidate, hurryS: number): number {
     return (
-      a.place.contenders - b.place.contenders ||
+      a.place.competingShapes - b.place.competingShapes ||
       Number(a.fetchS > hurryS) - Number(b.fetchS > hurryS) ||
-      Number(a.place.dear) - Number(b.place.dear)
+      Number(a.place.isCostly) - Number(b.place.isCostly)
     );
   }
 
   #hasRoom(c: Candidate): boolean {
     const { place } = c;
     if (c.use === place.use) return c.room;
-    const { needs } = this.spec;
+    const { resources } = this.spec;
     c.use = place.use;
-    c.room = fitsBeside(needs, place.use, place.capacity);
-    if (c.room) c.p = pheromone(plus(place.use, needs), place.capacity, lesser(place.least, needs));
+    c.room = fitsBeside(resources, place.use, place.capacity);
+    if (c.room)
+      c.p = moveProbability(
+        add(place.use, resources),
+        place.capacity,
+        minimumOf(place.smallestDemand, resources),
+      );
     return c.room;
   }
 }
@@ -174,7 +198,7 @@
   return a.cached !== b.cached ? a.cached : a.place.price < b.place.price;
 };
 
-export const occupy = (place: Place, needs: Resources): void => {
-  place.use = plus(place.use, needs);
-  place.least = lesser(place.least, needs);
+export const addUse = (place: CandidateMachine, needs: Resources): void => {
+  place.use = add(place.use, needs);
+  place.smallestDemand = minimumOf(place.smallestDemand, needs);
 };
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -1,11 +1,11 @@
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { Resources } from "../protocol/jobs.js";
-import { fits, minus, plus } from "./resources.js";
+import { add, fits, subtract } from "./resources.js";
 
 /** A running task that a job of higher standing may have stopped. */
 export interface Victim {
   readonly task: TaskId;
-  readonly needs: Resources;
+  readonly resources: Resources;
   /** Seconds of work its stop would throw away, its save and restart among them. */
   readonly lossS: number;
 }
@@ -20,7 +20,7 @@
 }
 
 /** A machine and the tasks to stop on it so that one more task fits. */
-export interface Room {
+export interface PreemptionPlan {
   readonly machine: MachineId;
   readonly victims: readonly Victim[];
 }
@@ -55,13 +55,13 @@
   let chosen: Victim[] = [];
   for (const victim of candidate.victims) {
     if (fits(needs, free)) break;
-    free = plus(free, victim.needs);
+    free = add(free, victim.resources);
     chosen.push(victim);
   }
   if (!fits(needs, free)) return undefined;
   for (const victim of [...chosen].sort((a, b) => b.lossS - a.lossS)) {
-    if (!fits(needs, minus(free, victim.needs))) continue;
-    free = minus(free, victim.needs);
+    if (!fits(needs, subtract(free, victim.resources))) continue;
+    free = subtract(free, victim.resources);
     chosen = chosen.filter((x) => x !== victim);
   }
   const lossS = chosen.reduce((sum, victim) => sum + victim.lossS, 0);
@@ -91,7 +91,7 @@
   }
 
   /** The next room, which then counts as taken, or null if none can be made. */
-  take(): Room | null {
+  take(): PreemptionPlan | null {
     for (;;) {
       const entry = this.#best();
       if (entry?.option === undefined) return null;
@@ -131,26 +131,26 @@
   }
 
   #without({ candidate, victims }: Option): PreemptionCandidate {
-    const freed = victims.reduce((sum, victim) => plus(sum, victim.needs), candidate.free);
+    const freed = victims.reduce((sum, victim) => add(sum, victim.resources), candidate.free);
     return {
       id: candidate.id,
-      free: minus(freed, this.needs),
+      free: subtract(freed, this.needs),
       victims: candidate.victims.filter((victim) => !victims.includes(victim)),
     };
   }
 }
 
 /** A job's standing when room is made. */
-export interface Standing {
-  readonly rank: number;
+export interface PreemptionContext {
+  readonly priority: number;
   readonly withinGuarantee: boolean;
   readonly team: string;
 }
 
 /** Who may stop whom. */
-export const mayPreempt = (by: Standing, victim: Standing): boolean => {
+export const mayPreempt = (by: PreemptionContext, victim: PreemptionContext): boolean => {
   // PROTOCOL lets rank alone decide; work within a guarantee is spared all the same, but for such.
-  if (victim.rank > by.rank) return by.withinGuarantee || !victim.withinGuarantee;
+  if (victim.priority > by.priority) return by.withinGuarantee || !victim.withinGuarantee;
   // A team is given its guarantee out of what others run beyond theirs, whatever its rank.
   return by.withinGuarantee && !victim.withinGuarantee && victim.team !== by.team;
 };
--- a/src/scheduling/queue-order.ts
+++ b/src/scheduling/queue-order.ts
@@ -1,24 +1,24 @@
 import type { JobId } from "@umberfold/ids";
 import type { Objective } from "../config/settings.js";
-import { rankOrder } from "../protocol/jobs.js";
-import { type LiveJob, waitingCount } from "../storage/records.js";
+import { priorityOrder } from "../protocol/jobs.js";
+import { type LiveJob, waitingTaskCount } from "../storage/records.js";
 import { slackS, targetsOf } from "./objectives.js";
 
 /** A job with tasks that wait, and what decides when it is its turn. */
-export interface Waiting {
+export interface WaitingJob {
   readonly id: JobId;
   readonly job: LiveJob;
   readonly ageS: number;
   /** From its order to its start: the image's fetch. */
-  readonly leadS: number;
-  readonly runS: number;
+  readonly imageFetchS: number;
+  readonly expectedRunS: number;
   /** It fits in its team's guarantee together with the team's earlier unfinished jobs. */
   readonly withinGuarantee: boolean;
 }
 
-export interface Queued extends Waiting {
+export interface QueuedJob extends WaitingJob {
   /** Seconds until its next task must start for the next objective that can still be met. */
-  readonly slack: number;
+  readonly slackS: number;
   /** It has waited so long without a start that it goes before all others. */
   readonly overdue: boolean;
 }
@@ -27,30 +27,34 @@
  * Nothing is passed over for ever: a job that has waited this long without one start goes before
  * all others, or a stream of small urgent ones would hold the largest arrays out.
  */
-const isOverdue = (q: Waiting, overdueS: number): boolean =>
+const isOverdue = (q: WaitingJob, overdueS: number): boolean =>
   q.ageS > overdueS && q.job.nextAttempt === 1;
 
 /** The overdue first, then work within a guarantee, then rank, then the least slack, then the fewest tasks left, then age. */
-export const queueOrder = (
-  waiting: readonly Waiting[],
+export const orderQueue = (
+  waiting: readonly WaitingJob[],
   objectives: readonly Objective[],
   overdueS: number,
-): readonly Queued[] => {
+): readonly QueuedJob[] => {
   const keyed = waiting.map((q) => ({
     q,
     overdue: isOverdue(q, overdueS),
-    rank: rankOrder(q.job.spec.rank),
-    slack: slackS(targetsOf(q.job.spec, objectives, q.withinGuarantee), q.ageS + q.leadS, q.runS),
-    left: waitingCount(q.job),
+    rank: priorityOrder(q.job.spec.priority),
+    slackS: slackS(
+      targetsOf(q.job.spec, objectives, q.withinGuarantee),
+      q.ageS + q.imageFetchS,
+      q.expectedRunS,
+    ),
+    left: waitingTaskCount(q.job),
   }));
   keyed.sort(
     (a, b) =>
       Number(b.overdue) - Number(a.overdue) ||
       Number(b.q.withinGuarantee) - Number(a.q.withinGuarantee) ||
       a.rank - b.rank ||
-      (a.slack === b.slack ? 0 : a.slack - b.slack) ||
+      (a.slackS === b.slackS ? 0 : a.slackS - b.slackS) ||
       a.left - b.left ||
       a.q.job.acceptedAt - b.q.job.acceptedAt,
   );
-  return keyed.map(({ q, slack, overdue }) => ({ ...q, slack, overdue }));
+  return keyed.map(({ q, slackS, overdue }) => ({ ...q, slackS, overdue }));
 };
--- a/src/scheduling/shard-assigner.ts
+++ b/src/scheduling/shard-assigner.ts
@@ -3,7 +3,7 @@
 
 /** What of the fleet decides where new machines go. */
 interface AssignmentInput {
-  readonly size: number;
+  readonly shardCount: number;
   /** Shards that are given no more machines. */
   readonly overloaded: ReadonlySet<ShardId>;
   readonly machines: Iterable<{ readonly shard: ShardId; readonly type: MachineType }>;
@@ -16,7 +16,7 @@
 ): ((cpus: number, slots: number) => ShardId) => {
   const lacks = new Map(short);
   const has = new Map<ShardId, number>();
-  for (let n = 0; n < input.size; n++)
+  for (let n = 0; n < input.shardCount; n++)
     if (!input.overloaded.has(shardId(n))) has.set(shardId(n), 0);
   for (const m of input.machines) {
     const cpus = has.get(m.shard);
--- a/src/scheduling/swarm.ts
+++ b/src/scheduling/swarm.ts
@@ -1,6 +1,6 @@
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { Resources } from "../protocol/jobs.js";
-import { fits, KINDS, minus, NOTHING, plus } from "./resources.js";
+import { add, fits, NO_RESOURCES, RESOURCE_KINDS, subtract } from "./resources.js";
 
 /**
  * The paper's repulsive "pheromone" of one machine.
@@ -12,11 +12,11 @@
  * Otherwise the squared form of eq. 9 on the least used share (eq. 2), clamped to 0..1, and 0
  * when a single smallest task already fills the machine (n0 = nmin).
  */
-export const pheromone = (use: Resources, capacity: Resources, least: Resources): number => {
-  let lowest: (typeof KINDS)[number] | undefined;
+export const moveProbability = (use: Resources, capacity: Resources, least: Resources): number => {
+  let lowest: (typeof RESOURCE_KINDS)[number] | undefined;
   let lowShare = Number.POSITIVE_INFINITY;
   let highShare = 0;
-  for (const k of KINDS) {
+  for (const k of RESOURCE_KINDS) {
     if (capacity[k] <= 0) continue;
     const share = use[k] / capacity[k];
     if (share < lowShare) {
@@ -37,7 +37,7 @@
 
 export interface SwarmTask {
   readonly task: TaskId;
-  readonly needs: Resources;
+  readonly resources: Resources;
   /** What a restart elsewhere would throw away, in seconds. */
   readonly lossS: number;
   /** May it stand on this machine (type, zone, kind, spread)? */
@@ -53,20 +53,23 @@
   readonly tasks: readonly SwarmTask[];
 }
 
-export interface Move {
+export interface SwarmMove {
   readonly task: TaskId;
   readonly from: MachineId;
   readonly to: MachineId;
 }
 
-export const leastNeed = (tasks: readonly { readonly needs: Resources }[]): Resources => {
-  if (tasks.length === 0) return NOTHING;
+export const smallestDemandOf = (
+  tasks: readonly { readonly resources: Resources }[],
+): Resources => {
+  if (tasks.length === 0) return NO_RESOURCES;
   const least = {
     cpus: Number.POSITIVE_INFINITY,
     gpus: Number.POSITIVE_INFINITY,
     ramGb: Number.POSITIVE_INFINITY,
   };
-  for (const t of tasks) for (const k of KINDS) least[k] = Math.min(least[k], t.needs[k]);
+  for (const t of tasks)
+    for (const k of RESOURCE_KINDS) least[k] = Math.min(least[k], t.resources[k]);
   return least;
 };
 
@@ -89,8 +92,12 @@
   for (const d of machines) {
     const there = now.get(d.id);
     if (d.id === from || there === undefined || there.tasks.length === 0) continue;
-    if (!t.allowed(d.id) || !fits(t.needs, minus(d.capacity, there.use))) continue;
-    const after = pheromone(plus(there.use, t.needs), d.capacity, leastNeed([...there.tasks, t]));
+    if (!t.allowed(d.id) || !fits(t.resources, subtract(d.capacity, there.use))) continue;
+    const after = moveProbability(
+      add(there.use, t.resources),
+      d.capacity,
+      smallestDemandOf([...there.tasks, t]),
+    );
     if (after < bestP) {
       bestP = after;
       best = d.id;
@@ -108,8 +115,11 @@
   const a = now.get(from);
   const b = now.get(to);
   if (a === undefined || b === undefined) return;
-  now.set(from, { use: minus(a.use, t.needs), tasks: a.tasks.filter((x) => x.task !== t.task) });
-  now.set(to, { use: plus(b.use, t.needs), tasks: [...b.tasks, t] });
+  now.set(from, {
+    use: subtract(a.use, t.resources),
+    tasks: a.tasks.filter((x) => x.task !== t.task),
+  });
+  now.set(to, { use: add(b.use, t.resources), tasks: [...b.tasks, t] });
 };
 
 /**
@@ -120,12 +130,12 @@
  * Ours: only off machines that could be emptied (all of its tasks cheap to restart, each with a
  * destination), for a half-emptied machine costs as much as a full one; and at most `cap` moves.
  */
-export const swarmRound = (
+export const planSwarmMoves = (
   machines: readonly SwarmMachine[],
   random: () => number,
   limits: { readonly cap: number; readonly maxLossS: number },
-): readonly Move[] => {
-  const moves: Move[] = [];
+): readonly SwarmMove[] => {
+  const moves: SwarmMove[] = [];
   const now = new Map<MachineId, Standing>(machines.map((m) => [m.id, m]));
   const origins = machines
     .filter((m) => m.tasks.length > 0 && m.tasks.every((t) => t.lossS <= limits.maxLossS))
@@ -135,7 +145,7 @@
     const here = now.get(origin.id);
     // A machine that has just taken tasks in is no origin in the same period.
     if (here === undefined || here.tasks.length > origin.tasks.length) continue;
-    const p = pheromone(here.use, origin.capacity, leastNeed(here.tasks));
+    const p = moveProbability(here.use, origin.capacity, smallestDemandOf(here.tasks));
     if (p <= 0) continue;
     const trial = new Map(now);
     const emptied = origin.tasks.every((t) => {
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -3,27 +3,27 @@
 import type { PackageSettings } from "../config/packages.js";
 import type { Settings } from "../config/settings.js";
 import { Cancellations } from "../coordination/cancellation/cancellations.js";
-import type { Context } from "../coordination/context.js";
+import type { ControllerContext } from "../coordination/context.js";
 import { Leader } from "../coordination/fleet/leader.js";
-import { LoopLag } from "../coordination/membership/event-loop-lag.js";
+import { EventLoopLag } from "../coordination/membership/event-loop-lag.js";
 import { Membership } from "../coordination/membership/membership.js";
 import { PauseDetector } from "../coordination/membership/pause-detector.js";
 import { ShardOwner } from "../coordination/rounds/shard-owner.js";
-import { Quotas } from "../coordination/sharding/shard-quotas.js";
+import { ShardQuotas } from "../coordination/sharding/shard-quotas.js";
 import type { Logger } from "../observability/log.js";
 import { Metrics } from "../observability/metrics.js";
 import { Replica } from "../storage/replica.js";
-import { Store } from "../storage/state-store.js";
-import type { Calls } from "../transport/client.js";
-import { steadyNow } from "../transport/clock.js";
-import type { Handler } from "../transport/server.js";
-import { StandingWatch } from "./availability-monitor.js";
-import { LoadSpreadSwitch } from "./load-spread-loader.js";
-import { type PeriodicTask, periodicTask, rested } from "./periodic-task.js";
+import { StateStore } from "../storage/state-store.js";
+import type { HttpClient } from "../transport/client.js";
+import { monotonicNow } from "../transport/clock.js";
+import type { RequestHandler } from "../transport/server.js";
+import { AvailabilityMonitor } from "./availability-monitor.js";
+import { LoadSpreadLoader } from "./load-spread-loader.js";
+import { type PeriodicTask, periodicTask, withProportionalRest } from "./periodic-task.js";
 import { ReplicaSync } from "./replica-sync.js";
 import { RoundLoop } from "./round-loop.js";
 import { frontHandler, peerHandler } from "./routes.js";
-import { Users } from "./user-api.js";
+import { UserApi } from "./user-api.js";
 
 const MEMBERSHIP_MS = 250;
 /**
@@ -43,21 +43,21 @@
 
 /** What a node reaches the world through. */
 export interface Connections {
-  readonly state: Calls;
-  readonly cloud: Calls;
-  readonly workers: Calls;
-  readonly peers: Calls;
+  readonly state: HttpClient;
+  readonly cloud: HttpClient;
+  readonly workers: HttpClient;
+  readonly peers: HttpClient;
 }
 
-export interface Node {
-  readonly front: Handler;
-  readonly inner: Handler;
+export interface Controller {
+  readonly front: RequestHandler;
+  readonly peer: RequestHandler;
   readonly tasks: readonly PeriodicTask[];
   readonly stop: () => void;
 }
 
 /** All parts of one controller, put together; whoever calls this runs the tasks and the servers. */
-export const makeNode = (
+export const makeController = (
   settings: Settings,
   operators: Operators,
   packages: PackageSettings,
@@ -65,30 +65,30 @@
   connections: Connections,
   incarnation: Incarnation,
   random: () => number,
-): Node => {
+): Controller => {
   const members = settings.seeds.length + 1;
-  const replica = new Replica(settings.size);
+  const replica = new Replica(settings.shardCount);
   const teams = new Map(settings.teams.map((t) => [t.name, t]));
-  const ctx: Context = {
+  const ctx: ControllerContext = {
     settings,
     teams,
-    quotas: new Quotas(replica, teams),
+    quotas: new ShardQuotas(replica, teams),
     operators,
-    store: new Store(settings.stateAddress, settings.state, connections.state, members),
+    store: new StateStore(settings.stateAddress, settings.state, connections.state, members),
     replica,
-    me: { label: settings.label, incarnation },
+    self: { label: settings.label, incarnation },
     log,
     random,
     metrics: new Metrics(),
     // Half of its lease: after a longer pause it may have lapsed, and others may hold what it held.
-    pauses: new PauseDetector(steadyNow(), operators.memberLeaseMs / 2),
-    lag: new LoopLag(),
+    pauses: new PauseDetector(monotonicNow(), operators.memberLeaseMs / 2),
+    loopLag: new EventLoopLag(),
     synced: false,
     stopping: false,
   };
   const rounds = new RoundLoop(operators.roundMs);
   const wake = (): void => rounds.wake();
-  const membership: Membership = new Membership(ctx, () => owner.channel.reaches());
+  const membership: Membership = new Membership(ctx, () => owner.channel.canReachMachines());
   const owner: ShardOwner = new ShardOwner(ctx, membership, connections.workers, wake);
   const leader = new Leader(
     ctx,
@@ -106,23 +106,23 @@
     connections.peers,
     connections.workers,
   );
-  const users = new Users(ctx, membership, wake, (w) => cancels.confirm(w));
+  const users = new UserApi(ctx, membership, wake, (w) => cancels.confirm(w));
 
-  const loadSpread = new LoadSpreadSwitch(ctx, membership, owner, packages.loadSpread, leader);
+  const loadSpread = new LoadSpreadLoader(ctx, membership, owner, packages.loadSpread, leader);
 
   const parts = { ctx, membership, owner, leader, cancels, users, wake };
   const sync = new ReplicaSync(ctx, membership, wake);
 
-  let watchedAt = steadyNow();
+  let watchedAt = monotonicNow();
   /** How late this task runs tells how far the process is behind. */
   const watchLoop = (): void => {
-    const now = steadyNow();
-    ctx.lag.observe(now - watchedAt - PAUSE_CHECK_MS, now);
+    const now = monotonicNow();
+    ctx.loopLag.observe(now - watchedAt - PAUSE_CHECK_MS, now);
     watchedAt = now;
     owner.detectPause();
   };
 
-  const standing = new StandingWatch(ctx, membership, owner, connections.peers);
+  const standing = new AvailabilityMonitor(ctx, membership, owner, connections.peers);
 
   const stats = async (): Promise<void> => {
     const { rss, heapUsed } = process.memoryUsage();
@@ -133,10 +133,10 @@
       owner: owner.stats(),
       cancels: cancels.stats(),
       ...(loadSpread.stats() === undefined ? {} : { loadSpread: loadSpread.stats() }),
-      ...(membership.leads() ? { leader: leader.stats() } : {}),
+      ...(membership.isLeader() ? { leader: leader.stats() } : {}),
       state: ctx.store.counters,
       questions: users.stats(),
-      lagMs: Math.round(ctx.lag.recentMs(steadyNow())),
+      lagMs: Math.round(ctx.loopLag.recentMs(monotonicNow())),
       timesMs: await ctx.metrics.drain(),
       rssMb: Math.round(rss / 1e6),
       heapMb: Math.round(heapUsed / 1e6),
@@ -146,27 +146,29 @@
 
   return {
     front: frontHandler(parts),
-    inner: peerHandler(parts),
+    peer: peerHandler(parts),
     tasks: [
       periodicTask("pauses", PAUSE_CHECK_MS, async () => watchLoop()),
-      periodicTask("lease", Math.floor(operators.memberLeaseMs / 4), () => membership.keepLease()),
+      periodicTask("lease", Math.floor(operators.memberLeaseMs / 4), () =>
+        membership.maintainLease(),
+      ),
       periodicTask("membership", MEMBERSHIP_MS, () => membership.reconcile()),
       periodicTask("standing", STANDING_MS, () => standing.update()),
       periodicTask("adopt", ADOPT_MS, () => leader.adoptAll()),
       periodicTask("cancels", CANCELS_MS, () => cancels.reconcile()),
       periodicTask("watch", operators.watchPauseMs, () => sync.follow()),
-      periodicTask("rounds", MIN_ROUND_GAP_MS, () => rounds.run(() => owner.round())),
+      periodicTask("rounds", MIN_ROUND_GAP_MS, () => rounds.run(() => owner.runRound())),
       periodicTask("cloud", operators.fleetPeriodMs, () => leader.callCloud()),
-      periodicTask("failing", FAILING_EVERY_MS, () => leader.tellFailing()),
+      periodicTask("failing", FAILING_EVERY_MS, () => leader.reportFailingJobs()),
       periodicTask(
         "rebalance",
         REBALANCE_MS,
-        rested(REBALANCE_REST, () => leader.rebalance()),
+        withProportionalRest(REBALANCE_REST, () => leader.rebalance()),
       ),
       periodicTask(
         "fleet",
         operators.fleetPeriodMs,
-        rested(PLAN_REST, () => {
+        withProportionalRest(PLAN_REST, () => {
           const planned = leader.plan();
           // Spans of a time at which load spreading was on are drained home.
           const leftOver = !packages.loadSpread.enabled && ctx.quotas.divided;
@@ -178,7 +180,7 @@
             periodicTask(
               "load-spread",
               packages.loadSpread.periodMs,
-              rested(PLAN_REST, () => loadSpread.tick()),
+              withProportionalRest(PLAN_REST, () => loadSpread.tick()),
             ),
           ]
         : []),
--- a/src/service/periodic-task.ts
+++ b/src/service/periodic-task.ts
@@ -1,4 +1,4 @@
-import { sleep, steadyNow } from "../transport/clock.js";
+import { monotonicNow, sleep } from "../transport/clock.js";
 
 /** Work that is done again and again, `everyMs` after it last ended. */
 export interface PeriodicTask {
@@ -20,13 +20,14 @@
 const MOST_REST_MS = 2000;
 
 /** A decision that rests for `times` as long as it took, so that it takes a bounded part of the time. */
-export const rested = (times: number, run: () => Promise<unknown>) => async (): Promise<void> => {
-  const began = steadyNow();
-  const done = run();
-  const tookMs = steadyNow() - began;
-  await done;
-  if (tookMs >= LEAST_REST_MS) await sleep(Math.min(MOST_REST_MS, times * tookMs));
-};
+export const withProportionalRest =
+  (times: number, run: () => Promise<unknown>) => async (): Promise<void> => {
+    const began = monotonicNow();
+    const done = run();
+    const tookMs = monotonicNow() - began;
+    await done;
+    if (tookMs >= LEAST_REST_MS) await sleep(Math.min(MOST_REST_MS, times * tookMs));
+  };
 
 /**
  * Runs a task again and again until the returned function is called. A failure is logged and the
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -1,6 +1,6 @@
-import type { Context } from "../coordination/context.js";
+import type { ControllerContext } from "../coordination/context.js";
 import type { Membership } from "../coordination/membership/membership.js";
-import { classify, NOW } from "../storage/records.js";
+import { CURRENT_PREFIX, classifyKey } from "../storage/records.js";
 import { sleep } from "../transport/clock.js";
 
 /** How long a watch may wait for changes. */
@@ -10,7 +10,7 @@
 /** Keeps the replica up to date: one scan at the start, and then the watch. */
 export class ReplicaSync {
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     /** Has a round run soon. */
     private readonly wake: () => void,
@@ -20,7 +20,7 @@
   async follow(): Promise<void> {
     const { store, replica } = this.ctx;
     if (!this.ctx.synced && !(await this.#start())) return sleep(RETRY_MS);
-    const watched = await store.watch(NOW, replica.position, WATCH_MS);
+    const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_MS);
     if (watched.kind === "unavailable") return sleep(RETRY_MS);
     if (watched.kind === "too_old") {
       await this.#scan();
@@ -30,12 +30,12 @@
     for (const change of watched.changes) {
       // What is news is not ours: our own is taken in when it is answered.
       // (Deletes of our own counted as others' writes: in a flood of ends the owner throttled itself.)
-      if (replica.knows(change)) continue;
+      if (replica.isKnown(change)) continue;
       // The end of a job also writes its final record, which no watch shows.
-      others += change.kind === "delete" && classify(change.key).kind === "live" ? 2 : 1;
+      others += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
       replica.apply(change);
     }
-    this.membership.othersWrote(others);
+    this.membership.recordForeignWrites(others);
     replica.advance(watched.rev);
     if (watched.changes.length > 0) this.#reconcileSoon();
   }
@@ -44,13 +44,13 @@
     const { ctx } = this;
     if (!(await this.#scan())) return false;
     ctx.synced = true;
-    ctx.log.info("synced", { rev: ctx.replica.position, jobs: ctx.replica.accepted.size });
+    ctx.log.info("synced", { rev: ctx.replica.syncedRevision, jobs: ctx.replica.accepted.size });
     this.#reconcileSoon();
     return true;
   }
 
   async #scan(): Promise<boolean> {
-    const scan = await this.ctx.store.scan(NOW);
+    const scan = await this.ctx.store.scan(CURRENT_PREFIX);
     if (scan === undefined) return false;
     this.ctx.replica.reset(scan.items, scan.rev);
     return true;
--- a/src/service/round-loop.ts
+++ b/src/service/round-loop.ts
@@ -1,5 +1,5 @@
-import type { Next } from "../coordination/rounds/shard-owner.js";
-import { sleep, steadyNow } from "../transport/clock.js";
+import type { RoundOutcome } from "../coordination/rounds/shard-owner.js";
+import { monotonicNow, sleep } from "../transport/clock.js";
 
 /**
  * How many times as long as it took a round rests, and for how long at most. (Resting for as long as
@@ -23,21 +23,21 @@
   }
 
   /** Waits until one is due, runs it, and rests. */
-  async run(round: () => Promise<Next>): Promise<void> {
+  async run(round: () => Promise<RoundOutcome>): Promise<void> {
     if (!this.#due) await this.#wait();
     this.#wakeUp = undefined;
     this.#due = false;
-    const began = steadyNow();
+    const began = monotonicNow();
     const running = round();
     // For several times as long as was decided for, what happens gathers into a wider batch: however
     // much there is to decide, reports, users and leases keep most of the processor.
-    const tookMs = steadyNow() - began;
-    const restUntil = steadyNow() + Math.min(MOST_ROUND_REST_MS, ROUND_REST * tookMs);
+    const tookMs = monotonicNow() - began;
+    const restUntil = monotonicNow() + Math.min(MOST_ROUND_REST_MS, ROUND_REST * tookMs);
     const next = await running;
     if (next !== "idle") this.#due = true;
     // The same until the budget lets the next one through.
     const pauseMs = typeof next === "object" ? Math.min(this.periodMs, next.pauseMs) : 0;
-    const restMs = Math.max(pauseMs, restUntil - steadyNow());
+    const restMs = Math.max(pauseMs, restUntil - monotonicNow());
     if (restMs > 0) await sleep(restMs);
   }
 
--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -9,10 +9,10 @@
 import type { PackageSettings } from "../config/packages.js";
 import type { Settings } from "../config/settings.js";
 import type { Logger } from "../observability/log.js";
-import { Caller } from "../transport/client.js";
+import { PooledHttpClient } from "../transport/client.js";
 import { makeServer } from "../transport/server.js";
 import { socketParts } from "../transport/sockets.js";
-import { makeNode } from "./controller.js";
+import { makeController } from "./controller.js";
 import { type PeriodicTask, startPeriodic } from "./periodic-task.js";
 
 const listen = (server: http.Server, address: string, backlog: number) =>
@@ -45,21 +45,25 @@
     // Each kind of host has its part of the sockets, so that none can take them all.
     const parts = socketParts(maxSockets, members);
     const connections = {
-      state: new Caller(parts.state, parts.state),
-      cloud: new Caller(parts.cloud, parts.cloud),
-      peers: new Caller(2, parts.peers),
-      workers: new Caller(2, parts.workers, parts.idleWorkers),
+      state: new PooledHttpClient(parts.state, parts.state),
+      cloud: new PooledHttpClient(parts.cloud, parts.cloud),
+      peers: new PooledHttpClient(2, parts.peers),
+      workers: new PooledHttpClient(2, parts.workers, parts.idleWorkers),
     };
     const node = yield* Effect.acquireRelease(
       Effect.sync(() =>
-        makeNode(settings, operators, packages, log, connections, incarnation(seed), () =>
+        makeController(settings, operators, packages, log, connections, incarnation(seed), () =>
           uniformFloat64(rng),
         ),
       ),
       (n) => Effect.sync(n.stop),
     );
-    yield* listen(makeServer(node.front, parts.front, log), settings.front, parts.frontBacklog);
-    yield* listen(makeServer(node.inner, parts.inner, log), settings.internal, parts.inner);
+    yield* listen(
+      makeServer(node.front, parts.front, log),
+      settings.frontAddress,
+      parts.frontBacklog,
+    );
+    yield* listen(makeServer(node.peer, parts.inner, log), settings.internalAddress, parts.inner);
 
     yield* Effect.acquireRelease(
       Effect.sync(() => node.tasks.map((task) => startPeriodic(task, failureOf(task, log)))),
--- a/src/storage/cluster-records.ts
+++ b/src/storage/cluster-records.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from "../protocol/cloud.js";
 
 /** Records of the whole cluster, of which there is one each: machine types, and teams' home shards. */
-export const typesValue = (types: readonly MachineType[]): unknown =>
+export const encodeMachineTypes = (types: readonly MachineType[]): unknown =>
   types.map((t) => ({
     l: t.name,
     u: [t.capacity.cpus, t.capacity.gpus, t.capacity.ramGb],
@@ -15,7 +15,7 @@
     z: t.zones,
   }));
 
-export const parseTypesRecord = (v: unknown): readonly MachineType[] =>
+export const parseMachineTypesRecord = (v: unknown): readonly MachineType[] =>
   (list(v) ?? []).flatMap((row) => {
     if (!isMap(row)) return [];
     const u = list(row.u)?.map(amount) ?? [];
@@ -33,7 +33,7 @@
     ];
   });
 
-export const teamsValue = (teams: ReadonlyMap<TeamName, ShardId>): unknown =>
+export const encodeTeams = (teams: ReadonlyMap<TeamName, ShardId>): unknown =>
   Object.fromEntries(teams);
 
 export const parseTeams = (v: unknown): ReadonlyMap<TeamName, ShardId> => {
--- a/src/storage/fleet-index.ts
+++ b/src/storage/fleet-index.ts
@@ -1,7 +1,7 @@
 import type { MachineId, Revision, ShardId } from "@umberfold/ids";
 import type { MachineRecord } from "./records.js";
 
-export interface FleetPage {
+export interface MachinePage {
   readonly shard: ShardId;
   readonly rev: Revision;
   readonly machines: ReadonlyMap<MachineId, MachineRecord>;
@@ -10,7 +10,7 @@
 /** The machines of all pages: which page each stands in, and which are proved gone. */
 export class FleetIndex {
   readonly machines = new Map<MachineId, MachineRecord>();
-  readonly pages = new Map<string, FleetPage>();
+  readonly pages = new Map<string, MachinePage>();
   readonly gone = new Set<MachineId>();
   /** Rises with every change. */
   version = 0;
@@ -23,7 +23,7 @@
     return this.#pageOf.get(id);
   }
 
-  put(key: string, next: FleetPage): void {
+  put(key: string, next: MachinePage): void {
     this.#leave(key, next);
     this.pages.set(key, next);
     for (const [id, m] of next.machines) {
@@ -46,7 +46,7 @@
     this.version++;
   }
 
-  #leave(key: string, next: FleetPage | undefined): void {
+  #leave(key: string, next: MachinePage | undefined): void {
     this.version++;
     for (const id of this.pages.get(key)?.machines.keys() ?? []) {
       // A machine that moved to another page stands there already.
--- a/src/storage/group-commit.ts
+++ b/src/storage/group-commit.ts
@@ -1,20 +1,20 @@
-import type { Op, Txn } from "../protocol/store.js";
-import type { Store, TxnResult } from "./state-store.js";
+import type { Transaction, WriteOperation } from "../protocol/store.js";
+import type { StateStore, TransactionResult } from "./state-store.js";
 
 /** Transactions in flight at a time: one without an answer must not hold all others up. */
 const MOST_IN_FLIGHT = 2;
 /** What the values of one transaction may take, measured as the state service does. */
 const MOST_BYTES = 56 * 1024;
 
-export interface GroupLimits {
-  readonly mostOps: number;
-  readonly mostConditions: number;
+export interface GroupCommitLimits {
+  readonly maxOps: number;
+  readonly maxConditions: number;
 }
 
 interface Entry {
-  readonly txn: Txn;
+  readonly txn: Transaction;
   readonly bytes: number;
-  readonly answer: (r: TxnResult) => void;
+  readonly answer: (r: TransactionResult) => void;
   /** Goes by itself: what it shared a transaction with failed, and nobody said for whose sake. */
   alone: boolean;
 }
@@ -29,11 +29,11 @@
   #inFlight = 0;
 
   constructor(
-    private readonly store: Store,
-    private readonly limits: GroupLimits,
+    private readonly store: StateStore,
+    private readonly limits: GroupCommitLimits,
   ) {}
 
-  commit(txn: Txn): Promise<TxnResult> {
+  commit(txn: Transaction): Promise<TransactionResult> {
     return new Promise((answer) => {
       this.#waiting.push({ txn, bytes: bytesOf(txn.ops), answer, alone: false });
       this.#next();
@@ -65,8 +65,8 @@
       const fits =
         !entry.alone &&
         !group.some((e) => e.alone) &&
-        ops + txn.ops.length <= this.limits.mostOps &&
-        conditions + txn.conditions.length <= this.limits.mostConditions &&
+        ops + txn.ops.length <= this.limits.maxOps &&
+        conditions + txn.conditions.length <= this.limits.maxConditions &&
         bytes + entry.bytes <= MOST_BYTES &&
         txn.conditions.every((c) => !keys.has(c.key));
       if (!first && !fits) {
@@ -85,11 +85,11 @@
 
   async #send(group: readonly Entry[]): Promise<void> {
     const result = await this.store
-      .txnSoon({
+      .transactWithRetry({
         conditions: group.flatMap((e) => e.txn.conditions),
         ops: group.flatMap((e) => e.txn.ops),
       })
-      .catch((): TxnResult => ({ kind: "unknown" }));
+      .catch((): TransactionResult => ({ kind: "unknown" }));
     if (group.length === 1 || (result.kind !== "conflict" && result.kind !== "refused")) {
       for (const entry of group) entry.answer(result);
       return;
@@ -104,5 +104,5 @@
   }
 }
 
-const bytesOf = (ops: readonly Op[]): number =>
+const bytesOf = (ops: readonly WriteOperation[]): number =>
   ops.reduce((sum, op) => sum + (op.kind === "put" ? JSON.stringify(op.value).length : 0), 0);
--- a/src/storage/job-index.ts
+++ b/src/storage/job-index.ts
@@ -1,6 +1,6 @@
 import type { JobId, TeamName } from "@umberfold/ids";
 import type { JobSpec, Resources } from "../protocol/jobs.js";
-import { doneCount, type LiveJob, waitingCount } from "./records.js";
+import { completedTaskCount, type LiveJob, waitingTaskCount } from "./records.js";
 
 /** A team as far as guarantees go. */
 export interface Guarantee {
@@ -9,8 +9,8 @@
   readonly gpus: number;
 }
 
-export interface CountedNeeds {
-  readonly needs: Resources;
+export interface ResourceCount {
+  readonly resources: Resources;
   count: number;
 }
 
@@ -25,10 +25,10 @@
 
 const needsKey = (n: Resources): string => `${n.cpus}|${n.gpus}|${n.ramGb}`;
 
-const addCount = (map: Map<string, CountedNeeds>, needs: Resources, by: number): void => {
-  const key = needsKey(needs);
+const addCount = (map: Map<string, ResourceCount>, resources: Resources, by: number): void => {
+  const key = needsKey(resources);
   const entry = map.get(key);
-  if (entry === undefined) map.set(key, { needs, count: by });
+  if (entry === undefined) map.set(key, { resources, count: by });
   else if (entry.count + by === 0) map.delete(key);
   else entry.count += by;
 };
@@ -46,8 +46,8 @@
   readonly cancelled = new Map<JobId, LiveJob>();
   /** Jobs whose tasks have all completed and that have no final record yet. */
   readonly complete = new Map<JobId, LiveJob>();
-  readonly #needs = new Map<string, CountedNeeds>();
-  readonly #openByTeam = new Map<TeamName, Map<string, CountedNeeds>>();
+  readonly #needs = new Map<string, ResourceCount>();
+  readonly #openByTeam = new Map<TeamName, Map<string, ResourceCount>>();
   /** Jobs that were not cancelled, in the order in which they were accepted. */
   readonly #order = new Map<TeamName, Ordered[]>();
 
@@ -58,20 +58,20 @@
   }
 
   /** The distinct needs of all live jobs. */
-  *needs(): Iterable<Resources> {
-    for (const entry of this.#needs.values()) yield entry.needs;
+  *distinctResources(): Iterable<Resources> {
+    for (const entry of this.#needs.values()) yield entry.resources;
   }
 
   /** What the open attempts of each team take: every one counts until it is closed. */
-  openUse(): Map<TeamName, Resources> {
+  teamUse(): Map<TeamName, Resources> {
     const out = new Map<TeamName, Resources>();
     for (const [team, counts] of this.#openByTeam) {
       let use = { cpus: 0, gpus: 0, ramGb: 0 };
-      for (const { needs, count } of counts.values())
+      for (const { resources, count } of counts.values())
         use = {
-          cpus: use.cpus + count * needs.cpus,
-          gpus: use.gpus + count * needs.gpus,
-          ramGb: use.ramGb + count * needs.ramGb,
+          cpus: use.cpus + count * resources.cpus,
+          gpus: use.gpus + count * resources.gpus,
+          ramGb: use.ramGb + count * resources.ramGb,
         };
       out.set(team, use);
     }
@@ -79,7 +79,7 @@
   }
 
   /** What the open attempts of each team need, as counts of attempts with the same needs. */
-  openByTeam(): ReadonlyMap<TeamName, ReadonlyMap<string, Readonly<CountedNeeds>>> {
+  openByTeam(): ReadonlyMap<TeamName, ReadonlyMap<string, Readonly<ResourceCount>>> {
     return this.#openByTeam;
   }
 
@@ -94,7 +94,7 @@
    */
   *withinGuarantee(
     teams: Iterable<Guarantee>,
-    tasksOf: (id: JobId, spec: JobSpec) => number = (_id, spec) => spec.tasks,
+    tasksOf: (id: JobId, spec: JobSpec) => number = (_id, spec) => spec.taskCount,
   ): Iterable<JobId> {
     for (const team of teams) {
       if (team.cpus <= 0 && team.gpus <= 0) continue;
@@ -102,8 +102,8 @@
       let gpus = 0;
       for (const { id, spec } of this.#order.get(team.name) ?? []) {
         const tasks = tasksOf(id, spec);
-        cpus += tasks * spec.needs.cpus;
-        gpus += tasks * spec.needs.gpus;
+        cpus += tasks * spec.resources.cpus;
+        gpus += tasks * spec.resources.gpus;
         if (cpus > team.cpus + TOLERANCE || gpus > team.gpus + TOLERANCE) break;
         yield id;
       }
@@ -117,11 +117,11 @@
       this.cancelled.delete(id);
       this.complete.delete(id);
     }
-    if (after?.spec !== spec) addCount(this.#needs, spec.needs, -1);
+    if (after?.spec !== spec) addCount(this.#needs, spec.resources, -1);
     if (before.open.length > 0) {
       const counts = this.#openByTeam.get(spec.team);
       if (counts !== undefined) {
-        addCount(counts, spec.needs, -before.open.length);
+        addCount(counts, spec.resources, -before.open.length);
         if (counts.size === 0) this.#openByTeam.delete(spec.team);
       }
     }
@@ -130,17 +130,18 @@
 
   #add(id: JobId, before: LiveJob | undefined, after: LiveJob): void {
     const { spec } = after;
-    if (waitingCount(after) > 0) this.waiting.set(id, after);
+    if (waitingTaskCount(after) > 0) this.waiting.set(id, after);
     else this.waiting.delete(id);
     if (after.cancelledAt !== null) this.cancelled.set(id, after);
     else this.cancelled.delete(id);
-    if (after.cancelledAt === null && doneCount(after) === spec.tasks) this.complete.set(id, after);
+    if (after.cancelledAt === null && completedTaskCount(after) === spec.taskCount)
+      this.complete.set(id, after);
     else this.complete.delete(id);
-    if (before?.spec !== spec) addCount(this.#needs, spec.needs, 1);
+    if (before?.spec !== spec) addCount(this.#needs, spec.resources, 1);
     if (after.open.length > 0) {
-      const counts = this.#openByTeam.get(spec.team) ?? new Map<string, CountedNeeds>();
+      const counts = this.#openByTeam.get(spec.team) ?? new Map<string, ResourceCount>();
       this.#openByTeam.set(spec.team, counts);
-      addCount(counts, spec.needs, after.open.length);
+      addCount(counts, spec.resources, after.open.length);
     }
     if (after.cancelledAt === null && !sameOrder(before, after)) this.#enterOrder(id, after);
   }
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -1,18 +1,24 @@
-import { ABSENT, type JobId, type Mono, type Revision } from "@umberfold/ids";
+import { type JobId, KEY_ABSENT, type MonotonicMs, type Revision } from "@umberfold/ids";
 import type { Condition } from "../protocol/store.js";
-import { sleep, steadyNow } from "../transport/clock.js";
-import { type Accepted, type FinalJob, keys, parseFinal, parseLive } from "./records.js";
+import { monotonicNow, sleep } from "../transport/clock.js";
+import {
+  type AcceptedJob,
+  type FinalJob,
+  keys,
+  parseAcceptedJob,
+  parseFinalJob,
+} from "./records.js";
 import type { Replica } from "./replica.js";
-import type { Store } from "./state-store.js";
+import type { StateStore } from "./state-store.js";
 
 /** What the state service holds of a job. */
-export type FoundJob =
+export type JobLookup =
   | {
       readonly kind: "live";
-      readonly job: Accepted;
+      readonly job: AcceptedJob;
       readonly rev: Revision;
       /** When the request was sent that proved it: no older than that. */
-      readonly askedAt: Mono;
+      readonly askedAt: MonotonicMs;
     }
   | { readonly kind: "final"; readonly job: FinalJob }
   | { readonly kind: "none" }
@@ -35,7 +41,7 @@
 /** All who ask about one job and wait for the next comparison. */
 interface Question {
   readonly id: JobId;
-  readonly answers: ((found: FoundJob) => void)[];
+  readonly answers: ((found: JobLookup) => void)[];
   tries: number;
 }
 
@@ -43,11 +49,11 @@
 interface Claim {
   readonly question: Question;
   readonly conditions: readonly Condition[];
-  readonly known: { readonly job: Accepted; readonly rev: Revision } | undefined;
+  readonly known: { readonly job: AcceptedJob; readonly rev: Revision } | undefined;
 }
 
-const UNAVAILABLE: FoundJob = { kind: "unavailable" };
-const NONE: FoundJob = { kind: "none" };
+const UNAVAILABLE: JobLookup = { kind: "unavailable" };
+const NONE: JobLookup = { kind: "none" };
 
 /**
  * Reads of jobs that never answer anything older than what the state service holds, at a cost that
@@ -59,7 +65,7 @@
  */
 export class JobReader {
   readonly #finals = new Map<JobId, FinalJob>();
-  readonly #finalReads = new Map<JobId, Promise<FoundJob>>();
+  readonly #finalReads = new Map<JobId, Promise<JobLookup>>();
   /** In the order in which they were first asked about. */
   readonly #waiting = new Map<JobId, Question>();
   #inFlight = 0;
@@ -67,7 +73,7 @@
   readonly counters = { compared: 0, comparisons: 0, changed: 0, refused: 0 };
 
   constructor(
-    private readonly store: Store,
+    private readonly store: StateStore,
     private readonly replica: Replica,
     /** The most conditions that a transaction takes. */
     private readonly mostConditions: number,
@@ -79,7 +85,7 @@
   }
 
   /** What the state service held of a job at some moment after this call. */
-  async read(id: JobId): Promise<FoundJob> {
+  async read(id: JobId): Promise<JobLookup> {
     const known = this.#finals.get(id);
     if (known !== undefined) return { kind: "final", job: known };
     if (!this.replica.accepted.has(id)) {
@@ -98,7 +104,7 @@
   }
 
   /** A read of a final record may be shared by all who ask: what it finds is true for ever. */
-  #sharedFinal(id: JobId): Promise<FoundJob> {
+  #sharedFinal(id: JobId): Promise<JobLookup> {
     const reading = this.#finalReads.get(id);
     if (reading !== undefined) return reading;
     const read = this.#readFinal(id).finally(() => this.#finalReads.delete(id));
@@ -106,41 +112,41 @@
     return read;
   }
 
-  async #readFinal(id: JobId): Promise<FoundJob> {
+  async #readFinal(id: JobId): Promise<JobLookup> {
     if (!(await this.#admitted())) return UNAVAILABLE;
     const read = await this.store.get(keys.final(id));
     if (read.kind === "unavailable") return UNAVAILABLE;
     if (read.kind === "absent") return { kind: "none" };
-    const job = parseFinal(read.item.value);
+    const job = parseFinalJob(read.item.value);
     if (job === undefined) return UNAVAILABLE;
     this.#remember(id, job);
     return { kind: "final", job };
   }
 
   /** Live first, then final: jobs move only that way, so only both absent means unknown. */
-  async #readAnew(id: JobId): Promise<FoundJob> {
+  async #readAnew(id: JobId): Promise<JobLookup> {
     if (!(await this.#admitted())) return UNAVAILABLE;
-    const askedAt = steadyNow();
+    const askedAt = monotonicNow();
     const read = await this.store.get(keys.live(id));
     if (read.kind === "unavailable") return UNAVAILABLE;
     if (read.kind === "absent") return this.#readFinal(id);
     this.replica.apply({ kind: "put", ...read.item });
-    const job = parseLive(id, read.item.value);
+    const job = parseAcceptedJob(id, read.item.value);
     if (job === undefined) return UNAVAILABLE;
     return { kind: "live", job, rev: read.item.rev, askedAt };
   }
 
   /** Waits a little for a part of the state service's requests; false if there is none. */
   async #admitted(): Promise<boolean> {
-    const until = steadyNow() + PATIENCE_MS;
+    const until = monotonicNow() + PATIENCE_MS;
     while (!this.store.mayRead()) {
-      if (steadyNow() >= until) return false;
+      if (monotonicNow() >= until) return false;
       await sleep(LOOK_AGAIN_MS);
     }
     return true;
   }
 
-  #compare(id: JobId): Promise<FoundJob> {
+  #compare(id: JobId): Promise<JobLookup> {
     const question = this.#waiting.get(id) ?? { id, answers: [], tries: 0 };
     if (question.answers.length === 0 && this.#crowded()) {
       this.counters.refused++;
@@ -194,7 +200,7 @@
     const { id } = question;
     const accepted = this.replica.accepted.get(id);
     if (accepted === undefined) {
-      const absent = [keys.live(id), keys.final(id)].map((key) => ({ key, rev: ABSENT }));
+      const absent = [keys.live(id), keys.final(id)].map((key) => ({ key, rev: KEY_ABSENT }));
       return { question, conditions: absent, known: undefined };
     }
     const { value: job, rev } = accepted;
@@ -202,7 +208,7 @@
   }
 
   async #settle(claims: readonly Claim[]): Promise<void> {
-    const askedAt = steadyNow();
+    const askedAt = monotonicNow();
     this.counters.comparisons++;
     this.counters.compared += claims.length;
     const conditions = new Map(claims.flatMap((c) => c.conditions.map((x) => [x.key, x] as const)));
@@ -241,6 +247,6 @@
   }
 }
 
-const answerAll = (question: Question, found: FoundJob): void => {
+const answerAll = (question: Question, found: JobLookup): void => {
   for (const answer of question.answers) answer(found);
 };
--- a/src/storage/pages.ts
+++ b/src/storage/pages.ts
@@ -1,17 +1,17 @@
 import {
-  attemptNo,
+  attemptNumber,
   type JobId,
   jobId,
   type MachineId,
   machineId,
   revision,
   type ShardId,
-  wall,
+  wallClockMs,
 } from "@umberfold/ids";
 import { amount, count, isMap, list, text } from "../protocol/cbor.js";
 import { isJobId } from "../protocol/jobs.js";
 import { parseRanges } from "./ranges.js";
-import type { MachineRecord, OpenAttempt, Progress } from "./records.js";
+import type { JobProgress, MachineRecord, OpenAttempt } from "./records.js";
 
 /**
  * Pages: records that hold many things of one shard, so that a round changes a few keys however
@@ -34,26 +34,26 @@
 const digits = (n: number): number => (n < 10 ? 1 : Math.floor(Math.log10(n)) + 1);
 
 /** What one open attempt takes of a page, beside its machine's name. */
-export const openBytes = (o: Pick<OpenAttempt, "index" | "attempt">): number =>
+export const openAttemptBytes = (o: Pick<OpenAttempt, "index" | "attempt">): number =>
   OPEN_FIXED_BYTES + digits(o.index) + digits(o.attempt);
 
 /** What naming a machine takes, once for all that is open on it. */
 export const machineNameBytes = (id: MachineId): number => id.length + NAME_FIXED_BYTES;
 
-const knownBytes = new WeakMap<Progress, number>();
+const knownBytes = new WeakMap<JobProgress, number>();
 
 /**
  * An upper bound of what a job's progress takes of its page. It is close, for it decides how many
  * tasks of a large array run at a time.
  */
-export const progressBytes = (p: Progress): number => {
+export const progressBytes = (p: JobProgress): number => {
   const known = knownBytes.get(p);
   if (known !== undefined) return known;
   const machines = new Set<MachineId>();
   let bytes = ENTRY_BYTES;
   for (const n of p.done) bytes += digits(n) + 1;
   for (const o of p.open) {
-    bytes += openBytes(o);
+    bytes += openAttemptBytes(o);
     machines.add(o.machine);
   }
   for (const id of machines) bytes += machineNameBytes(id);
@@ -63,7 +63,7 @@
 
 export const MACHINE_BYTES = 80;
 
-export const workPageValue = (entries: Iterable<readonly [JobId, Progress]>): unknown => {
+export const encodeJobPage = (entries: Iterable<readonly [JobId, JobProgress]>): unknown => {
   const rows = [...entries];
   const machines = numbersOf(rows.flatMap(([, p]) => p.open.map((o) => o.machine)));
   return {
@@ -77,12 +77,12 @@
 };
 
 /** Undefined if the page as a whole can't be read; a row that can't is passed over by itself. */
-export const parseWorkPage = (v: unknown): ReadonlyMap<JobId, Progress> | undefined => {
+export const parseJobPage = (v: unknown): ReadonlyMap<JobId, JobProgress> | undefined => {
   if (!isMap(v)) return undefined;
   const machines = list(v.m)?.map((m) => machineId(String(m)));
   const rows = list(v.j);
   if (machines === undefined || rows === undefined) return undefined;
-  const out = new Map<JobId, Progress>();
+  const out = new Map<JobId, JobProgress>();
   for (const row of rows) {
     const [id, next, done, flat] = list(row) ?? [];
     const nextAttempt = count(next);
@@ -93,7 +93,7 @@
     for (let i = 0; i + 2 < numbers.length; i += 3)
       open.push({
         index: Number(numbers[i]),
-        attempt: attemptNo(Number(numbers[i + 1])),
+        attempt: attemptNumber(Number(numbers[i + 1])),
         machine: machines[Number(numbers[i + 2])] ?? machineId(""),
       });
     out.set(jobId(id), { done: parseRanges(done), open, nextAttempt });
@@ -104,7 +104,7 @@
 const RETIRING = 2;
 const SPOT = 1;
 
-export const fleetPageValue = (
+export const encodeMachinePage = (
   machines: Iterable<readonly [MachineId, MachineRecord]>,
 ): unknown => {
   const rows = [...machines];
@@ -117,15 +117,15 @@
       id,
       types.get(m.type),
       zones.get(m.zone),
-      (m.spot ? SPOT : 0) | (m.stage === "retiring" ? RETIRING : 0),
+      (m.spot ? SPOT : 0) | (m.phase === "retiring" ? RETIRING : 0),
       Math.round(m.rentedAt),
       m.endpoint,
-      m.floor,
+      m.tokenFloor,
     ]),
   };
 };
 
-export const parseFleetPage = (
+export const parseMachinePage = (
   shard: ShardId,
   v: unknown,
 ): ReadonlyMap<MachineId, MachineRecord> | undefined => {
@@ -145,9 +145,9 @@
       zone: zones[Number(zone)] ?? "",
       spot: (bits & SPOT) !== 0,
       endpoint: text(endpoint) ?? "",
-      stage: (bits & RETIRING) !== 0 ? "retiring" : "up",
-      rentedAt: wall(amount(rentedAt) ?? 0),
-      floor: revision(count(floor) ?? 0),
+      phase: (bits & RETIRING) !== 0 ? "retiring" : "up",
+      rentedAt: wallClockMs(amount(rentedAt) ?? 0),
+      tokenFloor: revision(count(floor) ?? 0),
     });
   }
   return out;
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,5 +1,5 @@
 import {
-  type AttemptNo,
+  type AttemptNumber,
   type ControllerLabel,
   controllerLabel,
   type Incarnation,
@@ -12,32 +12,32 @@
   shardId,
   type TeamName,
   teamName,
-  type Wall,
-  wall,
+  type WallClockMs,
+  wallClockMs,
 } from "@umberfold/ids";
 import { amount, count, isMap, list, text } from "../protocol/cbor.js";
-import { type JobSpec, RANKS } from "../protocol/jobs.js";
+import { type JobSpec, PRIORITIES } from "../protocol/jobs.js";
 import { type Ranges, rangesCount } from "./ranges.js";
 
 /**
  * The layout of the state service. All keys under `now/` are scanned at a start and watched;
  * those under `final/` are kept for good and only ever read one by one.
  */
-export const NOW = "now/";
+export const CURRENT_PREFIX = "now/";
 const PREFIX = {
-  member: `${NOW}member/`,
-  shard: `${NOW}share/`,
-  work: `${NOW}work/`,
-  fleet: `${NOW}fleet/`,
-  rental: `${NOW}hire/`,
-  gone: `${NOW}gone/`,
-  live: `${NOW}live/`,
-  span: `${NOW}span/`,
+  member: `${CURRENT_PREFIX}member/`,
+  shard: `${CURRENT_PREFIX}share/`,
+  work: `${CURRENT_PREFIX}work/`,
+  fleet: `${CURRENT_PREFIX}fleet/`,
+  rental: `${CURRENT_PREFIX}hire/`,
+  gone: `${CURRENT_PREFIX}gone/`,
+  live: `${CURRENT_PREFIX}live/`,
+  span: `${CURRENT_PREFIX}span/`,
 } as const;
 export const keys = {
-  leader: `${NOW}leader`,
-  types: `${NOW}types`,
-  teams: `${NOW}teams`,
+  leader: `${CURRENT_PREFIX}leader`,
+  types: `${CURRENT_PREFIX}types`,
+  teams: `${CURRENT_PREFIX}teams`,
   member: (l: ControllerLabel): string => PREFIX.member + l,
   shard: (n: ShardId): string => PREFIX.shard + n,
   /** Progress of jobs of a shard. Such a page is never deleted, so its name may be used again. */
@@ -54,7 +54,7 @@
 
 export type KeyKind = keyof typeof PREFIX | "leader" | "types" | "teams" | "other";
 
-export const classify = (key: string): { readonly kind: KeyKind; readonly name: string } => {
+export const classifyKey = (key: string): { readonly kind: KeyKind; readonly name: string } => {
   for (const kind of Object.keys(PREFIX) as (keyof typeof PREFIX)[])
     if (key.startsWith(PREFIX[kind])) return { kind, name: key.slice(PREFIX[kind].length) };
   if (key === keys.leader) return { kind: "leader", name: "" };
@@ -85,7 +85,7 @@
 export const sameController = (a: ControllerId | undefined, b: ControllerId): boolean =>
   a !== undefined && a.label === b.label && a.incarnation === b.incarnation;
 
-export const controllerIdValue = (h: ControllerId): unknown => ({ l: h.label, i: h.incarnation });
+export const encodeControllerId = (h: ControllerId): unknown => ({ l: h.label, i: h.incarnation });
 export const parseControllerId = (v: unknown): ControllerId | undefined => {
   if (!isMap(v)) return undefined;
   const l = text(v.l);
@@ -100,7 +100,7 @@
  * starts there. One that an answer of the cloud proves gone is named by a `gone` record until its
  * owner has closed its attempts and dropped it.
  */
-export type MachineStage = "up" | "retiring";
+export type MachinePhase = "up" | "retiring";
 
 export interface MachineRecord {
   readonly shard: ShardId;
@@ -109,24 +109,24 @@
   readonly spot: boolean;
   /** Empty until its worker has reported. */
   readonly endpoint: string;
-  readonly stage: MachineStage;
-  readonly rentedAt: Wall;
+  readonly phase: MachinePhase;
+  readonly rentedAt: WallClockMs;
   /** No token for it may be lower: a revision known when it was last bumped or moved. */
-  readonly floor: Revision;
+  readonly tokenFloor: Revision;
 }
 
 /** Machines that the cloud says are gone. */
 export interface GoneRecord {
   readonly ids: readonly MachineId[];
-  readonly at: Wall;
+  readonly at: WallClockMs;
 }
 
-export const goneValue = (g: GoneRecord): unknown => ({ m: g.ids, a: g.at });
-export const parseGone = (v: unknown): GoneRecord | undefined => {
+export const encodeGoneRecord = (g: GoneRecord): unknown => ({ m: g.ids, a: g.at });
+export const parseGoneRecord = (v: unknown): GoneRecord | undefined => {
   if (!isMap(v)) return undefined;
   const ids = list(v.m);
   if (ids === undefined) return undefined;
-  return { ids: ids.map((id) => machineId(String(id))), at: wall(amount(v.a) ?? 0) };
+  return { ids: ids.map((id) => machineId(String(id))), at: wallClockMs(amount(v.a) ?? 0) };
 };
 
 /** The intent to rent, written before the call. */
@@ -136,10 +136,10 @@
   readonly spot: boolean;
   /** The shard that each of the machines is for; as many are asked for. */
   readonly shards: readonly ShardId[];
-  readonly at: Wall;
+  readonly at: WallClockMs;
 }
 
-export const rentalIntentValue = (h: RentalIntent): unknown => ({
+export const encodeRentalIntent = (h: RentalIntent): unknown => ({
   t: h.type,
   z: h.zone,
   p: h.spot,
@@ -158,22 +158,22 @@
     zone: z,
     spot: v.p === true,
     shards: shards.map((n) => shardId(n ?? 0)),
-    at: wall(amount(v.a) ?? 0),
+    at: wallClockMs(amount(v.a) ?? 0),
   };
 };
 
 export interface OpenAttempt {
   readonly index: number;
-  readonly attempt: AttemptNo;
+  readonly attempt: AttemptNumber;
   readonly machine: MachineId;
 }
 
 /** What a user was told of, and whether it was taken back: one record a job, seldom rewritten. */
-export interface Accepted {
+export interface AcceptedJob {
   readonly spec: JobSpec;
-  readonly acceptedAt: Wall;
+  readonly acceptedAt: WallClockMs;
   /** When its user asked to cancel it, or null. */
-  readonly cancelledAt: Wall | null;
+  readonly cancelledAt: WallClockMs | null;
   /** The shard that it was placed in, for good, or null for its team's home shard. */
   readonly shard: ShardId | null;
 }
@@ -182,18 +182,18 @@
  * How far a job has come, kept in a page of its shard. Attempt numbers come from one counter for
  * the whole job, so none is used twice for a task and none need be kept for tasks not open.
  */
-export interface Progress {
+export interface JobProgress {
   readonly done: Ranges;
   readonly open: readonly OpenAttempt[];
   readonly nextAttempt: number;
 }
 
-export const NO_PROGRESS: Progress = { done: [], open: [], nextAttempt: 1 };
+export const NO_PROGRESS: JobProgress = { done: [], open: [], nextAttempt: 1 };
 
 /** An accepted job that is not over. */
-export interface LiveJob extends Accepted, Progress {}
+export interface LiveJob extends AcceptedJob, JobProgress {}
 
-export const newJob = (spec: JobSpec, at: Wall, shard: ShardId | null = null): LiveJob => ({
+export const newJob = (spec: JobSpec, at: WallClockMs, shard: ShardId | null = null): LiveJob => ({
   spec,
   acceptedAt: at,
   cancelledAt: null,
@@ -201,26 +201,26 @@
   ...NO_PROGRESS,
 });
 
-export const doneCount = (j: Progress): number => rangesCount(j.done);
-export const waitingCount = (j: LiveJob): number =>
-  j.cancelledAt !== null ? 0 : j.spec.tasks - doneCount(j) - j.open.length;
+export const completedTaskCount = (j: JobProgress): number => rangesCount(j.done);
+export const waitingTaskCount = (j: LiveJob): number =>
+  j.cancelledAt !== null ? 0 : j.spec.taskCount - completedTaskCount(j) - j.open.length;
 
-export const liveValue = (j: Accepted): unknown => {
+export const encodeAcceptedJob = (j: AcceptedJob): unknown => {
   const s = j.spec;
   return {
     c: s.jobClass,
     t: s.team,
-    r: s.rank,
-    n: s.tasks,
-    u: [s.needs.cpus, s.needs.gpus, s.needs.ramGb],
+    r: s.priority,
+    n: s.taskCount,
+    u: [s.resources.cpus, s.resources.gpus, s.resources.ramGb],
     i: s.image,
     ig: s.imageGb,
-    ty: s.types,
+    ty: s.machineTypes,
     z: s.zone,
-    f: (s.oneZone ? 1 : 0) | (s.apart ? 2 : 0) | (s.spotAllowed ? 4 : 0),
-    e: s.expectS,
-    k: s.checkpointS,
-    sv: s.saveS,
+    f: (s.zoneAffinity ? 1 : 0) | (s.spreadAcrossZones ? 2 : 0) | (s.spotAllowed ? 4 : 0),
+    e: s.expectedRunS,
+    k: s.checkpointIntervalS,
+    sv: s.checkpointSaveS,
     d: s.deadlineS,
     a: j.acceptedAt,
     ca: j.cancelledAt,
@@ -228,50 +228,53 @@
   };
 };
 
-export const parseLive = (id: JobId, v: unknown): Accepted | undefined => {
+export const parseAcceptedJob = (id: JobId, v: unknown): AcceptedJob | undefined => {
   if (!isMap(v)) return undefined;
   const needs = list(v.u)?.map(amount);
-  const tasks = count(v.n);
-  const rank = RANKS.find((r) => r === v.r);
+  const taskCount = count(v.n);
+  const priority = PRIORITIES.find((r) => r === v.r);
   const flags = count(v.f);
   const shard = count(v.s);
-  if (needs === undefined || tasks === undefined || rank === undefined) return undefined;
+  if (needs === undefined || taskCount === undefined || priority === undefined) return undefined;
   if (flags === undefined) return undefined;
   return {
     spec: {
       id,
       jobClass: text(v.c) ?? "",
       team: teamName(text(v.t) ?? ""),
-      rank,
-      tasks,
-      needs: { cpus: needs[0] ?? 0, gpus: needs[1] ?? 0, ramGb: needs[2] ?? 0 },
+      priority,
+      taskCount,
+      resources: { cpus: needs[0] ?? 0, gpus: needs[1] ?? 0, ramGb: needs[2] ?? 0 },
       image: text(v.i) ?? "",
       imageGb: amount(v.ig) ?? 0,
-      types: list(v.ty)?.filter((t): t is string => typeof t === "string") ?? null,
+      machineTypes: list(v.ty)?.filter((t): t is string => typeof t === "string") ?? null,
       zone: text(v.z) ?? null,
-      oneZone: (flags & 1) !== 0,
-      apart: (flags & 2) !== 0,
+      zoneAffinity: (flags & 1) !== 0,
+      spreadAcrossZones: (flags & 2) !== 0,
       spotAllowed: (flags & 4) !== 0,
-      expectS: amount(v.e) ?? 0,
-      checkpointS: amount(v.k) ?? 0,
-      saveS: amount(v.sv) ?? 0,
+      expectedRunS: amount(v.e) ?? 0,
+      checkpointIntervalS: amount(v.k) ?? 0,
+      checkpointSaveS: amount(v.sv) ?? 0,
       deadlineS: amount(v.d) ?? null,
     },
-    acceptedAt: wall(amount(v.a) ?? 0),
-    cancelledAt: v.ca === undefined || v.ca === null ? null : wall(amount(v.ca) ?? 0),
+    acceptedAt: wallClockMs(amount(v.a) ?? 0),
+    cancelledAt: v.ca === undefined || v.ca === null ? null : wallClockMs(amount(v.ca) ?? 0),
     shard: shard === undefined ? null : shardId(shard),
   };
 };
 
 /** What remains of a job that is over. */
 export interface FinalJob {
-  readonly stage: "done" | "cancelled";
+  readonly phase: "done" | "cancelled";
   readonly done: number;
 }
 
-export const finalValue = (f: FinalJob): unknown => ({ g: f.stage === "done" ? 1 : 2, n: f.done });
-export const parseFinal = (v: unknown): FinalJob | undefined => {
+export const encodeFinalJob = (f: FinalJob): unknown => ({
+  g: f.phase === "done" ? 1 : 2,
+  n: f.done,
+});
+export const parseFinalJob = (v: unknown): FinalJob | undefined => {
   if (!isMap(v)) return undefined;
   if (v.g !== 1 && v.g !== 2) return undefined;
-  return { stage: v.g === 1 ? "done" : "cancelled", done: count(v.n) ?? 0 };
+  return { phase: v.g === 1 ? "done" : "cancelled", done: count(v.n) ?? 0 };
 };
--- a/src/storage/replica.ts
+++ b/src/storage/replica.ts
@@ -1,9 +1,9 @@
 import {
-  ABSENT,
   type ControllerLabel,
   controllerLabel,
   type JobId,
   jobId,
+  KEY_ABSENT,
   type MachineId,
   type Revision,
   revision,
@@ -12,20 +12,20 @@
   type TeamName,
 } from "@umberfold/ids";
 import type { MachineType } from "../protocol/cloud.js";
-import type { Change, Item } from "../protocol/store.js";
-import { parseTeams, parseTypesRecord } from "./cluster-records.js";
-import { FleetIndex, type FleetPage } from "./fleet-index.js";
-import { parseFleetPage } from "./pages.js";
+import type { KeyValue, StoreChange } from "../protocol/store.js";
+import { parseMachineTypesRecord, parseTeams } from "./cluster-records.js";
+import { FleetIndex, type MachinePage } from "./fleet-index.js";
+import { parseMachinePage } from "./pages.js";
 import {
-  type Accepted,
+  type AcceptedJob,
   type ControllerId,
-  classify,
+  classifyKey,
   type GoneRecord,
   type LiveJob,
   type MachineRecord,
+  parseAcceptedJob,
   parseControllerId,
-  parseGone,
-  parseLive,
+  parseGoneRecord,
   parseRentalIntent,
   type RentalIntent,
   shardOfPage,
@@ -37,23 +37,23 @@
 /** What this controller knows of the state service's `now/` keys, kept up by the watch. */
 export class Replica {
   /** Accepted jobs that are not over. */
-  readonly accepted = new Map<JobId, Versioned<Accepted>>();
-  readonly #fleet = new FleetIndex((key) => this.rev(key));
-  readonly shards = new Map<ShardId, Versioned<ControllerId>>();
+  readonly accepted = new Map<JobId, Versioned<AcceptedJob>>();
+  readonly #fleet = new FleetIndex((key) => this.revisionOf(key));
+  readonly shardOwners = new Map<ShardId, Versioned<ControllerId>>();
   readonly members = new Map<ControllerLabel, Versioned<ControllerId>>();
   readonly rentals = new Map<string, Versioned<RentalIntent>>();
   readonly goneRecords = new Map<string, Versioned<GoneRecord>>();
   leader: Versioned<ControllerId> | undefined;
-  types: Versioned<readonly MachineType[]> | undefined;
+  machineTypes: Versioned<readonly MachineType[]> | undefined;
   teams: Versioned<ReadonlyMap<TeamName, ShardId>> | undefined;
   readonly spans: SpanIndex;
   /** All changes up to here are in. */
-  position = revision(0);
+  syncedRevision = revision(0);
   /** The highest revision heard of: some change up to here is known, not all need be. */
-  latest = revision(0);
+  latestSeenRevision = revision(0);
   /** Jobs whose records were rewritten and machines proved gone since these were last emptied. */
   readonly rewrittenJobs = new Set<JobId>();
-  readonly goneLately = new Set<MachineId>();
+  readonly recentlyGone = new Set<MachineId>();
   /** Puts and deletes under `now/` that came with the watch, our own among them. */
   changesSeen = 0;
   readonly #work = new Map<ShardId, ShardJobs>();
@@ -71,7 +71,7 @@
     return this.#fleet.machines;
   }
 
-  get fleetPages(): ReadonlyMap<string, FleetPage> {
+  get machinePages(): ReadonlyMap<string, MachinePage> {
     return this.#fleet.pages;
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** The jobs of a shard and their open attempts. */
-  work(shard: ShardId): ShardJobs {
+  shardJobs(shard: ShardId): ShardJobs {
     let w = this.#work.get(shard);
     if (w === undefined) {
       w = new ShardJobs((id) => this.accepted.get(id)?.value);
@@ -98,7 +98,7 @@
 
   job(id: JobId): LiveJob | undefined {
     const shard = this.shardOf(id);
-    return shard === undefined ? undefined : this.work(shard).jobs.get(id);
+    return shard === undefined ? undefined : this.shardJobs(shard).jobs.get(id);
   }
 
   /** The live jobs of all shards. */
@@ -107,15 +107,15 @@
   }
 
   /** The work of each shard of which something is known. */
-  works(): Iterable<readonly [ShardId, ShardJobs]> {
+  allShardJobs(): Iterable<readonly [ShardId, ShardJobs]> {
     return this.#work;
   }
 
-  openOn(id: MachineId): ReturnType<ShardJobs["openOn"]> {
-    return this.work(this.machines.get(id)?.shard ?? shardId(0)).openOn(id);
+  openAttemptsOn(id: MachineId): ReturnType<ShardJobs["openAttemptsOn"]> {
+    return this.shardJobs(this.machines.get(id)?.shard ?? shardId(0)).openAttemptsOn(id);
   }
 
-  fleetPageOf(id: MachineId): string | undefined {
+  machinePageOf(id: MachineId): string | undefined {
     return this.#fleet.pageOf(id);
   }
 
@@ -124,40 +124,40 @@
     return this.#fleet.gone.has(id);
   }
 
-  rev(key: string): Revision {
-    return this.#revs.get(key) ?? ABSENT;
+  revisionOf(key: string): Revision {
+    return this.#revs.get(key) ?? KEY_ABSENT;
   }
 
   /** Whether a change is in already: written here, or heard of by another way. */
-  knows(c: Change): boolean {
-    return c.rev <= (this.#revs.get(c.key) ?? this.#dropped.get(c.key) ?? ABSENT);
+  isKnown(c: StoreChange): boolean {
+    return c.rev <= (this.#revs.get(c.key) ?? this.#dropped.get(c.key) ?? KEY_ABSENT);
   }
 
   /** Takes one change in; older news than what is known is passed over. */
-  apply(c: Change): void {
-    if (c.rev > this.latest) this.latest = c.rev;
-    if (this.knows(c)) return;
+  apply(c: StoreChange): void {
+    if (c.rev > this.latestSeenRevision) this.latestSeenRevision = c.rev;
+    if (this.isKnown(c)) return;
     if (c.kind === "put") {
       this.#revs.set(c.key, c.rev);
       this.#dropped.delete(c.key);
       this.#put(c.key, c.value, c.rev);
     } else {
       this.#revs.delete(c.key);
-      if (c.rev > this.position) this.#dropped.set(c.key, c.rev);
+      if (c.rev > this.syncedRevision) this.#dropped.set(c.key, c.rev);
       this.#drop(c.key);
     }
   }
 
   /** The watch has told everything up to `rev`. */
   advance(rev: Revision): void {
-    if (rev <= this.position) return;
-    this.position = rev;
-    if (rev > this.latest) this.latest = rev;
+    if (rev <= this.syncedRevision) return;
+    this.syncedRevision = rev;
+    if (rev > this.latestSeenRevision) this.latestSeenRevision = rev;
     for (const [key, at] of this.#dropped) if (at <= rev) this.#dropped.delete(key);
   }
 
   /** A full scan: keys that it lacks are gone, unless they are younger than the scan. */
-  reset(items: readonly Item[], rev: Revision): void {
+  reset(items: readonly KeyValue[], rev: Revision): void {
     const present = new Set(items.map((i) => i.key));
     for (const [key, at] of [...this.#revs])
       if (!present.has(key) && at <= rev) this.apply({ kind: "delete", key, rev });
@@ -166,35 +166,35 @@
   }
 
   #put(key: string, value: unknown, rev: Revision): void {
-    const { kind, name } = classify(key);
+    const { kind, name } = classifyKey(key);
     switch (kind) {
       case "live": {
         const id = jobId(name);
         this.#jobChanged(id);
         const was = this.accepted.get(id);
-        keep(this.accepted, id, parseLive(id, value), rev);
+        keep(this.accepted, id, parseAcceptedJob(id, value), rev);
         this.spans.jobChanged(was?.value, this.accepted.get(id)?.value);
         if (was !== undefined) this.rewrittenJobs.add(id);
         this.#jobChanged(id);
         return;
       }
       case "work":
-        this.work(shardOfPage(name)).pageChanged(key, value, rev);
+        this.shardJobs(shardOfPage(name)).pageChanged(key, value, rev);
         return;
       case "fleet": {
         const shard = shardOfPage(name);
         // An unreadable page leaves what was last known of its machines.
-        const machines = parseFleetPage(shard, value) ?? this.fleetPages.get(key)?.machines;
+        const machines = parseMachinePage(shard, value) ?? this.machinePages.get(key)?.machines;
         this.#fleet.put(key, { shard, rev, machines: machines ?? new Map() });
         return;
       }
       case "gone":
-        keep(this.goneRecords, name, parseGone(value), rev);
-        for (const id of this.goneRecords.get(name)?.value.ids ?? []) this.goneLately.add(id);
+        keep(this.goneRecords, name, parseGoneRecord(value), rev);
+        for (const id of this.goneRecords.get(name)?.value.ids ?? []) this.recentlyGone.add(id);
         this.#fleet.setGone([...this.goneRecords.values()].flatMap((g) => g.value.ids));
         return;
       case "shard":
-        keep(this.shards, shardId(Number(name)), parseControllerId(value), rev);
+        keep(this.shardOwners, shardId(Number(name)), parseControllerId(value), rev);
         this.#fleet.version++;
         return;
       case "member":
@@ -209,7 +209,7 @@
         return;
       }
       case "types":
-        this.types = { value: parseTypesRecord(value), rev };
+        this.machineTypes = { value: parseMachineTypesRecord(value), rev };
         return;
       case "teams":
         this.teams = { value: parseTeams(value), rev };
@@ -225,7 +225,7 @@
   }
 
   #drop(key: string): void {
-    const { kind, name } = classify(key);
+    const { kind, name } = classifyKey(key);
     switch (kind) {
       case "live":
         this.#jobChanged(jobId(name));
@@ -233,7 +233,7 @@
         this.accepted.delete(jobId(name));
         return;
       case "work":
-        this.work(shardOfPage(name)).pageChanged(key, { m: [], j: [] }, ABSENT);
+        this.shardJobs(shardOfPage(name)).pageChanged(key, { m: [], j: [] }, KEY_ABSENT);
         return;
       case "fleet":
         this.#fleet.drop(key);
@@ -243,7 +243,7 @@
         this.#fleet.setGone([...this.goneRecords.values()].flatMap((g) => g.value.ids));
         return;
       case "shard":
-        this.shards.delete(shardId(Number(name)));
+        this.shardOwners.delete(shardId(Number(name)));
         this.#fleet.version++;
         return;
       case "member":
@@ -256,7 +256,7 @@
         this.leader = undefined;
         return;
       case "types":
-        this.types = undefined;
+        this.machineTypes = undefined;
         return;
       case "teams":
         this.teams = undefined;
@@ -272,7 +272,7 @@
 
   #jobChanged(id: JobId): void {
     const shard = this.shardOf(id);
-    if (shard !== undefined) this.work(shard).jobChanged(id);
+    if (shard !== undefined) this.shardJobs(shard).jobChanged(id);
   }
 }
 
--- a/src/storage/shard-jobs.ts
+++ b/src/storage/shard-jobs.ts
@@ -1,5 +1,5 @@
 import {
-  type AttemptNo,
+  type AttemptNumber,
   attemptKey,
   type JobId,
   type MachineId,
@@ -8,13 +8,13 @@
   taskId,
 } from "@umberfold/ids";
 import { JobIndex } from "./job-index.js";
-import { parseWorkPage } from "./pages.js";
-import { type Accepted, type LiveJob, NO_PROGRESS, type Progress } from "./records.js";
+import { parseJobPage } from "./pages.js";
+import { type AcceptedJob, type JobProgress, type LiveJob, NO_PROGRESS } from "./records.js";
 
-export interface OpenOn {
+export interface IndexedAttempt {
   readonly job: JobId;
   readonly index: number;
-  readonly attempt: AttemptNo;
+  readonly attempt: AttemptNumber;
   /** See `attemptKey`: worked out once, for each round looks at all that is open. */
   readonly key: string;
 }
@@ -22,13 +22,13 @@
 interface Page {
   rev: Revision;
   value: unknown;
-  entries: ReadonlyMap<JobId, Progress>;
+  entries: ReadonlyMap<JobId, JobProgress>;
 }
 
-const NO_ENTRIES: ReadonlyMap<JobId, Progress> = new Map();
-const NONE: ReadonlyMap<TaskId, OpenOn> = new Map();
+const NO_ENTRIES: ReadonlyMap<JobId, JobProgress> = new Map();
+const NONE: ReadonlyMap<TaskId, IndexedAttempt> = new Map();
 
-const sameOpen = (a: Progress, b: Progress): boolean => {
+const sameOpen = (a: JobProgress, b: JobProgress): boolean => {
   if (a.open.length !== b.open.length) return false;
   for (let i = 0; i < a.open.length; i++) {
     const x = a.open[i];
@@ -48,13 +48,13 @@
   readonly #index = new JobIndex();
   readonly #pages = new Map<string, Page>();
   readonly #pageOf = new Map<JobId, string>();
-  readonly #openOn = new Map<MachineId, Map<TaskId, OpenOn>>();
+  readonly #openOn = new Map<MachineId, Map<TaskId, IndexedAttempt>>();
   /** Rises whenever something changes in what is open on a machine. */
   readonly #changesOn = new Map<MachineId, number>();
   readonly #dirtyPages = new Set<string>();
   readonly #dirtyJobs = new Set<JobId>();
 
-  constructor(private readonly accepted: (id: JobId) => Accepted | undefined) {}
+  constructor(private readonly accepted: (id: JobId) => AcceptedJob | undefined) {}
 
   /** Accepted jobs that are not over, by id. */
   get jobs(): ReadonlyMap<JobId, LiveJob> {
@@ -70,7 +70,7 @@
 
   get pages(): ReadonlyMap<
     string,
-    { readonly rev: Revision; readonly entries: ReadonlyMap<JobId, Progress> }
+    { readonly rev: Revision; readonly entries: ReadonlyMap<JobId, JobProgress> }
   > {
     this.#settle();
     return this.#pages;
@@ -81,13 +81,13 @@
     return this.#pageOf.get(id);
   }
 
-  openOn(id: MachineId): ReadonlyMap<TaskId, OpenOn> {
+  openAttemptsOn(id: MachineId): ReadonlyMap<TaskId, IndexedAttempt> {
     this.#settle();
     return this.#openOn.get(id) ?? NONE;
   }
 
   /** The same number as before means that the same is open on the machine, with the same needs. */
-  changesOn(id: MachineId): number {
+  openVersionOn(id: MachineId): number {
     this.#settle();
     return this.#changesOn.get(id) ?? 0;
   }
@@ -129,12 +129,12 @@
 
   /** All leave the index before any enters it: a job may have moved from one page to another. */
   #readPages(): void {
-    const enter: (readonly [JobId, Progress])[] = [];
+    const enter: (readonly [JobId, JobProgress])[] = [];
     for (const key of this.#dirtyPages) {
       const p = this.#pages.get(key);
       if (p === undefined) continue;
       // An unreadable page leaves what was last known of its jobs.
-      const next = parseWorkPage(p.value) ?? p.entries;
+      const next = parseJobPage(p.value) ?? p.entries;
       for (const [id, was] of p.entries) {
         const is = next.get(id);
         if (is !== undefined && sameOpen(was, is)) continue;
@@ -156,12 +156,12 @@
     this.#dirtyPages.clear();
   }
 
-  #progress(id: JobId): Progress {
+  #progress(id: JobId): JobProgress {
     const key = this.#pageOf.get(id);
     return (key === undefined ? undefined : this.#pages.get(key)?.entries.get(id)) ?? NO_PROGRESS;
   }
 
-  #unindexAttempts(id: JobId, p: Progress): void {
+  #unindexAttempts(id: JobId, p: JobProgress): void {
     for (const o of p.open) {
       const on = this.#openOn.get(o.machine);
       const task = taskId(id, o.index);
@@ -173,7 +173,7 @@
     }
   }
 
-  #indexAttempts(id: JobId, p: Progress): void {
+  #indexAttempts(id: JobId, p: JobProgress): void {
     for (const o of p.open) {
       let on = this.#openOn.get(o.machine);
       if (on === undefined) {
--- a/src/storage/span-index.ts
+++ b/src/storage/span-index.ts
@@ -1,6 +1,6 @@
 import type { Revision, TeamName } from "@umberfold/ids";
 import { parseSpan, type Span } from "@umberfold/spans";
-import { type Accepted, teamOfSpan } from "./records.js";
+import { type AcceptedJob, teamOfSpan } from "./records.js";
 import type { Versioned } from "./versioned.js";
 
 /** Teams that span several shards, and how many jobs were placed outside their team's home shard. */
@@ -30,7 +30,7 @@
   }
 
   /** A job's record was replaced; undefined stands for none. */
-  jobChanged(before: Accepted | undefined, after: Accepted | undefined): void {
+  jobChanged(before: AcceptedJob | undefined, after: AcceptedJob | undefined): void {
     if (before !== undefined && before.shard !== null) this.placedJobs--;
     if (after !== undefined && after.shard !== null) this.placedJobs++;
   }
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -1,25 +1,25 @@
-import { type LeaseId, type Mono, mono, type Revision } from "@umberfold/ids";
+import { type LeaseId, type MonotonicMs, monotonicMs, type Revision } from "@umberfold/ids";
 import {
-  type Change,
   type Condition,
   compareBody,
   grantBody,
-  type Item,
+  type KeyValue,
   parseChanges,
-  parseFailed,
-  parseGrant,
-  parseItem,
-  parsePage,
+  parseFailedKeys,
+  parseKeyValue,
+  parseLease,
   parseRevision,
+  parseScanPage,
+  type StoreChange,
   storePaths,
-  type Txn,
-  txnBody,
+  type Transaction,
+  transactionBody,
 } from "../protocol/store.js";
-import type { Calls, Reply } from "../transport/client.js";
-import { sleep, steadyNow } from "../transport/clock.js";
-import { Budget } from "./token-bucket.js";
+import type { CallResult, HttpClient } from "../transport/client.js";
+import { monotonicNow, sleep } from "../transport/clock.js";
+import { TokenBucket } from "./token-bucket.js";
 
-export type TxnResult =
+export type TransactionResult =
   | { readonly kind: "applied"; readonly rev: Revision }
   | { readonly kind: "conflict"; readonly failed: readonly string[] }
   /** Our lease has lapsed, or the request is malformed: it never will be applied. */
@@ -36,12 +36,12 @@
   | { readonly kind: "unavailable" };
 
 export type ReadResult =
-  | { readonly kind: "found"; readonly item: Item }
+  | { readonly kind: "found"; readonly item: KeyValue }
   | { readonly kind: "absent"; readonly rev: Revision }
   | { readonly kind: "unavailable" };
 
 export type WatchResult =
-  | { readonly kind: "changes"; readonly rev: Revision; readonly changes: readonly Change[] }
+  | { readonly kind: "changes"; readonly rev: Revision; readonly changes: readonly StoreChange[] }
   | { readonly kind: "too_old" }
   | { readonly kind: "unavailable" };
 
@@ -55,34 +55,42 @@
 const MOST_PARTS = 2.5;
 
 /** The state service's client: its calls, its limits, and what an answer does and doesn't prove. */
-export class Store {
-  readonly #requests: Budget;
-  readonly #writes: Budget;
+export class StateStore {
+  readonly #requests: TokenBucket;
+  readonly #writes: TokenBucket;
   /** What users wait for: apart, or a wide batch would leave accepts a second without any. */
-  readonly #urgent: Budget;
+  readonly #urgent: TokenBucket;
   readonly counters = { requests: 0, refused: 0 };
   /** Steady time of the last answer other than 503, and of the last call without any answer. */
-  answeredAt = steadyNow();
-  refusedAt: Mono = mono(Number.NEGATIVE_INFINITY);
-  unansweredAt: Mono = mono(Number.NEGATIVE_INFINITY);
+  answeredAt = monotonicNow();
+  refusedAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
+  unansweredAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
 
   constructor(
     private readonly address: string,
     private readonly limits: { readonly rps: number; readonly writeRps: number },
-    private readonly calls: Calls,
+    private readonly calls: HttpClient,
     members: number,
   ) {
-    this.#requests = new Budget(limits.rps / members, limits.rps / members, steadyNow());
-    this.#writes = new Budget(limits.writeRps / members, limits.writeRps / members, steadyNow());
-    this.#urgent = new Budget(limits.writeRps / members, limits.writeRps / members, steadyNow());
+    this.#requests = new TokenBucket(limits.rps / members, limits.rps / members, monotonicNow());
+    this.#writes = new TokenBucket(
+      limits.writeRps / members,
+      limits.writeRps / members,
+      monotonicNow(),
+    );
+    this.#urgent = new TokenBucket(
+      limits.writeRps / members,
+      limits.writeRps / members,
+      monotonicNow(),
+    );
   }
 
   /**
    * The limits hold for all controllers together. Each live one is sure of an equal part; what the
    * watch shows the others not to use may be used as well, up to a few equal parts.
    */
-  shareWith(members: number, othersWrites: number): void {
-    const now = steadyNow();
+  updateShares(members: number, othersWrites: number): void {
+    const now = monotonicNow();
     const requests = this.limits.rps / members;
     this.#requests.set(requests, requests, now);
     const equal = (this.limits.writeRps * USABLE) / members;
@@ -93,21 +101,21 @@
   }
 
   /** The newest call was refused or came to nothing. */
-  failing(): boolean {
+  isFailing(): boolean {
     return Math.max(this.refusedAt, this.unansweredAt) > this.answeredAt;
   }
 
   mayRead(reserve = 0): boolean {
-    return this.#requests.take(1, steadyNow(), reserve);
+    return this.#requests.take(1, monotonicNow(), reserve);
   }
 
   mayWrite(ops: number, reserve = 0): boolean {
-    return this.#writes.take(ops, steadyNow(), reserve);
+    return this.#writes.take(ops, monotonicNow(), reserve);
   }
 
   /** For what can't wait: an equal part of the limit at the most, which all others pay off first. */
   mayWriteNow(ops: number): boolean {
-    const now = steadyNow();
+    const now = monotonicNow();
     if (!this.#urgent.take(ops, now)) return false;
     this.#writes.owe(ops, now);
     return true;
@@ -115,43 +123,43 @@
 
   /** For batches: lets one through once a little is there, and makes the next wait for it. */
   mayWriteBatch(ops: number, least: number): boolean {
-    return this.#writes.spend(ops, least, steadyNow());
+    return this.#writes.spend(ops, least, monotonicNow());
   }
 
   /** Milliseconds until this many changes may be written, and how full the budget is. */
   writeWaitMs(ops: number): number {
-    return this.#writes.waitMs(ops, steadyNow());
+    return this.#writes.waitMs(ops, monotonicNow());
   }
 
   writeLevel(): number {
-    return this.#writes.level(steadyNow());
+    return this.#writes.level(monotonicNow());
   }
 
-  async #call(method: string, path: string, body: unknown, ms = CALL_MS): Promise<Reply> {
+  async #call(method: string, path: string, body: unknown, ms = CALL_MS): Promise<CallResult> {
     this.counters.requests++;
     const r = await this.calls.call(this.address, method, path, body, ms);
     if (r.kind === "answer" && r.status === 429) {
       this.counters.refused++;
-      this.#requests.drain(steadyNow());
-      this.#writes.drain(steadyNow());
+      this.#requests.drain(monotonicNow());
+      this.#writes.drain(monotonicNow());
     }
     if (r.kind !== "answer") {
       // For want of a socket or a turn of our own: that says nothing of the service.
-      if (r.kind !== "unsent" || r.own !== true) this.unansweredAt = steadyNow();
-    } else if (r.status === 503) this.refusedAt = steadyNow();
-    else this.answeredAt = steadyNow();
+      if (r.kind !== "unsent" || r.own !== true) this.unansweredAt = monotonicNow();
+    } else if (r.status === 503) this.refusedAt = monotonicNow();
+    else this.answeredAt = monotonicNow();
     return r;
   }
 
-  async txn(t: Txn): Promise<TxnResult> {
-    const r = await this.#call("POST", storePaths.txn, txnBody(t));
+  async transact(t: Transaction): Promise<TransactionResult> {
+    const r = await this.#call("POST", storePaths.txn, transactionBody(t));
     if (r.kind === "unsent") return { kind: "unavailable" };
     if (r.kind === "lost") return { kind: "unknown" };
     if (r.status === 200) {
       const rev = parseRevision(r.body);
       return rev === undefined ? { kind: "unknown" } : { kind: "applied", rev };
     }
-    if (r.status === 409) return { kind: "conflict", failed: parseFailed(r.body) };
+    if (r.status === 409) return { kind: "conflict", failed: parseFailedKeys(r.body) };
     if (r.status === 400) return { kind: "refused" };
     if (r.status === 429) return { kind: "unavailable", throttled: true };
     if (r.status === 503) return { kind: "unavailable" };
@@ -164,9 +172,9 @@
    * revisions they named have passed. (A key once created under an `absent` condition leaves a
    * final record or is never created under the same name again.)
    */
-  async settle(t: Txn, giveUp: () => boolean): Promise<TxnResult> {
+  async commitUntilDecided(t: Transaction, giveUp: () => boolean): Promise<TransactionResult> {
     for (let wait = 50; ; wait = Math.min(500, wait * 2)) {
-      const r = await this.txn(t);
+      const r = await this.transact(t);
       if (r.kind !== "unknown" && r.kind !== "unavailable") return r;
       if (giveUp()) return r;
       await sleep(wait);
@@ -174,9 +182,9 @@
   }
 
   /** For what a user waits for: asks a few times more if only the limits stood in the way. */
-  async txnSoon(t: Txn): Promise<TxnResult> {
+  async transactWithRetry(t: Transaction): Promise<TransactionResult> {
     for (let tries = 1; ; tries++) {
-      const r = await this.txn(t);
+      const r = await this.transact(t);
       if (r.kind !== "unavailable" || r.throttled !== true || tries >= SOON_TRIES) return r;
       await sleep(SOON_MS);
     }
@@ -187,7 +195,7 @@
     const r = await this.#call("POST", storePaths.txn, compareBody(conditions));
     if (r.kind === "answer" && r.status === 200) return { kind: "current" };
     if (r.kind === "answer" && r.status === 409)
-      return { kind: "conflict", failed: parseFailed(r.body) };
+      return { kind: "conflict", failed: parseFailedKeys(r.body) };
     return { kind: "unavailable" };
   }
 
@@ -195,7 +203,7 @@
     const r = await this.#call("GET", storePaths.key(key), undefined);
     if (r.kind !== "answer") return { kind: "unavailable" };
     if (r.status === 200) {
-      const item = parseItem(r.body);
+      const item = parseKeyValue(r.body);
       return item === undefined ? { kind: "unavailable" } : { kind: "found", item };
     }
     const rev = r.status === 404 ? parseRevision(r.body) : undefined;
@@ -205,8 +213,8 @@
   /** All items under a prefix, and a revision from which watching misses nothing. */
   async scan(
     prefix: string,
-  ): Promise<{ readonly items: readonly Item[]; readonly rev: Revision } | undefined> {
-    const items: Item[] = [];
+  ): Promise<{ readonly items: readonly KeyValue[]; readonly rev: Revision } | undefined> {
+    const items: KeyValue[] = [];
     let first: Revision | undefined;
     let after: string | undefined;
     for (;;) {
@@ -217,7 +225,7 @@
         4 * CALL_MS,
       );
       if (r.kind !== "answer" || r.status !== 200) return undefined;
-      const page = parsePage(r.body);
+      const page = parseScanPage(r.body);
       if (page === undefined) return undefined;
       // Later pages are newer; changes since the first page come again through the watch.
       first ??= page.rev;
@@ -243,7 +251,7 @@
 
   async grant(ttlMs: number): Promise<LeaseId | undefined> {
     const r = await this.#call("POST", storePaths.grants, grantBody(ttlMs));
-    return r.kind === "answer" && r.status === 200 ? parseGrant(r.body) : undefined;
+    return r.kind === "answer" && r.status === 200 ? parseLease(r.body) : undefined;
   }
 
   async renew(lease: LeaseId): Promise<"renewed" | "lapsed" | "unavailable"> {
--- a/src/storage/transaction-batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -1,7 +1,24 @@
-import { ABSENT, type JobId, type MachineId, type Revision, type ShardId } from "@umberfold/ids";
-import { CONDITIONS_PER_OP, type Condition, type Op, type Txn } from "../protocol/store.js";
-import { fleetPageValue, MACHINE_BYTES, progressBytes, workPageValue } from "./pages.js";
-import { type FinalJob, finalValue, keys, type MachineRecord, type Progress } from "./records.js";
+import {
+  type JobId,
+  KEY_ABSENT,
+  type MachineId,
+  type Revision,
+  type ShardId,
+} from "@umberfold/ids";
+import {
+  CONDITIONS_PER_OP,
+  type Condition,
+  type Transaction,
+  type WriteOperation,
+} from "../protocol/store.js";
+import { encodeJobPage, encodeMachinePage, MACHINE_BYTES, progressBytes } from "./pages.js";
+import {
+  encodeFinalJob,
+  type FinalJob,
+  type JobProgress,
+  keys,
+  type MachineRecord,
+} from "./records.js";
 import type { Replica } from "./replica.js";
 
 /** Bytes of a transaction that are left for keys, versions and names. */
@@ -15,7 +32,7 @@
 interface WorkPage {
   readonly shard: ShardId;
   readonly rev: Revision;
-  readonly entries: Map<JobId, Progress>;
+  readonly entries: Map<JobId, JobProgress>;
   bytes: number;
 }
 
@@ -24,21 +41,21 @@
   readonly machines: Map<MachineId, MachineRecord>;
 }
 
-export interface Limits {
+export interface BatchLimits {
   readonly txnOps: number;
   readonly valueKb: number;
-  readonly size: number;
+  readonly shardCount: number;
 }
 
 /** The most that one page may take. */
-export const pageLimit = (l: Limits): number =>
+export const maxPageBytes = (l: BatchLimits): number =>
   Math.min(l.valueKb * 1024 - VALUE_MARGIN, Math.floor(TXN_BYTES / PAGES_PER_TXN));
 
 /**
  * One transaction in the making. What several tasks change in one page is one change; whatever no
  * longer fits is refused and waits for the next round.
  */
-export class Batch {
+export class TransactionBatch {
   readonly #work = new Map<string, WorkPage>();
   readonly #homes = new Map<JobId, string>();
   readonly #fleet = new Map<string, FleetEdit>();
@@ -47,11 +64,11 @@
   #bytes = 0;
   #ops = 0;
   /** Something in it is waited for: a start, a job's end, a machine's record. */
-  pressing = false;
+  urgent = false;
 
   constructor(
     private readonly replica: Replica,
-    private readonly limits: Limits,
+    private readonly limits: BatchLimits,
   ) {}
 
   get empty(): boolean {
@@ -63,16 +80,16 @@
   }
 
   /** The most changes that a transaction takes. */
-  get mostOps(): number {
+  get maxOps(): number {
     return this.limits.txnOps;
   }
 
   #admits(ops: number, bytes: number, conditions: number): boolean {
-    const { txnOps, size } = this.limits;
+    const { txnOps, shardCount } = this.limits;
     return (
       this.#ops + ops <= txnOps &&
       this.#bytes + bytes <= TXN_BYTES &&
-      this.#conditions.size + conditions + size <= txnOps * CONDITIONS_PER_OP
+      this.#conditions.size + conditions + shardCount <= txnOps * CONDITIONS_PER_OP
     );
   }
 
@@ -82,15 +99,15 @@
 
   /** The shard must still be held when this is applied. */
   #guard(shard: ShardId): void {
-    this.#require(keys.shard(shard), this.replica.rev(keys.shard(shard)));
+    this.#require(keys.shard(shard), this.replica.revisionOf(keys.shard(shard)));
   }
 
   #untouched(shard: ShardId, key: string): WorkPage {
-    const page = this.replica.work(shard).pages.get(key);
+    const page = this.replica.shardJobs(shard).pages.get(key);
     const entries = new Map(page?.entries ?? []);
     let bytes = PAGE_BYTES;
     for (const p of entries.values()) bytes += progressBytes(p);
-    return { shard, rev: page?.rev ?? ABSENT, entries, bytes };
+    return { shard, rev: page?.rev ?? KEY_ABSENT, entries, bytes };
   }
 
   #page(shard: ShardId, key: string): { readonly page: WorkPage; readonly fresh: boolean } {
@@ -109,7 +126,7 @@
     this.#guard(page.shard);
   }
 
-  #set(page: WorkPage, id: JobId, p: Progress | null): void {
+  #set(page: WorkPage, id: JobId, p: JobProgress | null): void {
     const old = page.entries.get(id);
     const change =
       (p === null ? 0 : progressBytes(p)) - (old === undefined ? 0 : progressBytes(old));
@@ -121,10 +138,10 @@
 
   /** A page of the shard with room: one that is written anyway, else the first, else a new one. */
   #roomy(shard: ShardId, bytes: number, not: string | undefined): string {
-    const limit = pageLimit(this.limits);
+    const limit = maxPageBytes(this.limits);
     for (const [key, page] of this.#work)
       if (page.shard === shard && key !== not && page.bytes + bytes <= limit) return key;
-    const { pages } = this.replica.work(shard);
+    const { pages } = this.replica.shardJobs(shard);
     for (let n = 0; ; n++) {
       const key = keys.work(shard, n);
       if (key === not || this.#work.has(key)) continue;
@@ -133,15 +150,15 @@
   }
 
   /** Writes a job's progress, or with null takes it out. False if it has to wait. */
-  putJob(shard: ShardId, id: JobId, p: Progress | null): boolean {
+  putJob(shard: ShardId, id: JobId, p: JobProgress | null): boolean {
     const bytes = p === null ? 0 : progressBytes(p);
-    const at = this.#homes.get(id) ?? this.replica.work(shard).pageOf(id);
+    const at = this.#homes.get(id) ?? this.replica.shardJobs(shard).pageOf(id);
     if (at === undefined && p === null) return true;
     const home = at === undefined ? undefined : this.#page(shard, at);
     if (at !== undefined && home !== undefined) {
       const old = home.page.entries.get(id);
       const after = home.page.bytes + bytes - (old === undefined ? 0 : progressBytes(old));
-      if (after <= pageLimit(this.limits) || p === null) {
+      if (after <= maxPageBytes(this.limits) || p === null) {
         const more = home.fresh ? after : after - home.page.bytes;
         if (!this.#admits(home.fresh ? 1 : 0, more, 2)) return false;
         this.#touch(at, home.page);
@@ -168,7 +185,7 @@
   /** A start stands only while its job is as it was read: not cancelled meanwhile. */
   requireJob(id: JobId, rev: Revision): boolean {
     const key = keys.live(id);
-    this.pressing = true;
+    this.urgent = true;
     if (this.#conditions.has(key)) return true;
     if (!this.#admits(0, 0, 1)) return false;
     this.#require(key, rev);
@@ -176,25 +193,25 @@
   }
 
   /** Ends a job: its final record is written once, in the same transaction that drops the rest. */
-  finish(shard: ShardId, id: JobId, rev: Revision, final: FinalJob): boolean {
+  finishJob(shard: ShardId, id: JobId, rev: Revision, final: FinalJob): boolean {
     if (!this.#admits(3, FINAL_BYTES, 4)) return false;
     if (!this.putJob(shard, id, null)) return false;
-    this.pressing = true;
+    this.urgent = true;
     this.#finals.set(id, final);
     this.#ops += 2;
     this.#bytes += FINAL_BYTES;
     this.#require(keys.live(id), rev);
-    this.#require(keys.final(id), ABSENT);
+    this.#require(keys.final(id), KEY_ABSENT);
     this.#guard(shard);
     return true;
   }
 
   /** The machines of a page as they are to be written, or undefined if there is no room. */
-  editFleet(key: string): Map<MachineId, MachineRecord> | undefined {
-    this.pressing = true;
+  editMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
+    this.urgent = true;
     const known = this.#fleet.get(key);
     if (known !== undefined) return known.machines;
-    const page = this.replica.fleetPages.get(key);
+    const page = this.replica.machinePages.get(key);
     if (page === undefined) return undefined;
     const bytes = PAGE_BYTES + page.machines.size * MACHINE_BYTES;
     if (!this.#admits(1, bytes, 2)) return undefined;
@@ -208,31 +225,31 @@
   }
 
   /** A new page, which must not exist yet. */
-  newFleet(key: string): Map<MachineId, MachineRecord> | undefined {
+  newMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
     const known = this.#fleet.get(key);
     if (known !== undefined) return known.machines;
     if (!this.#admits(1, PAGE_BYTES + MACHINE_BYTES, 1)) return undefined;
     const machines = new Map<MachineId, MachineRecord>();
-    this.#fleet.set(key, { rev: ABSENT, machines });
+    this.#fleet.set(key, { rev: KEY_ABSENT, machines });
     this.#ops++;
     this.#bytes += PAGE_BYTES + MACHINE_BYTES;
-    this.#require(key, ABSENT);
+    this.#require(key, KEY_ABSENT);
     return machines;
   }
 
-  txn(): Txn {
-    const ops: Op[] = [];
+  transaction(): Transaction {
+    const ops: WriteOperation[] = [];
     for (const [key, page] of this.#work)
-      ops.push({ kind: "put", key, value: workPageValue(page.entries) });
+      ops.push({ kind: "put", key, value: encodeJobPage(page.entries) });
     for (const [id, final] of this.#finals) {
       ops.push({ kind: "delete", key: keys.live(id) });
-      ops.push({ kind: "put", key: keys.final(id), value: finalValue(final) });
+      ops.push({ kind: "put", key: keys.final(id), value: encodeFinalJob(final) });
     }
     for (const [key, edit] of this.#fleet)
       ops.push(
         edit.machines.size === 0
           ? { kind: "delete", key }
-          : { kind: "put", key, value: fleetPageValue(edit.machines) },
+          : { kind: "put", key, value: encodeMachinePage(edit.machines) },
       );
     const conditions: Condition[] = [...this.#conditions].map(([key, rev]) => ({ key, rev }));
     return { conditions, ops };
--- a/src/transport/client.ts
+++ b/src/transport/client.ts
@@ -3,7 +3,7 @@
 import { decode, encode } from "../protocol/cbor.js";
 
 /** What became of a call. `lost`: it may have been carried out, or may yet be. */
-export type Reply =
+export type CallResult =
   | {
       readonly kind: "answer";
       readonly status: number;
@@ -15,21 +15,21 @@
   | { readonly kind: "lost" };
 
 /** Calls of other hosts, over HTTP or, in tests, over a simulated network. */
-export interface Calls {
+export interface HttpClient {
   readonly call: (
     address: string,
     method: string,
     path: string,
     body: unknown,
     timeoutMs: number,
-  ) => Promise<Reply>;
-  readonly raw: (
+  ) => Promise<CallResult>;
+  readonly callRaw: (
     address: string,
     method: string,
     path: string,
     payload: Uint8Array | undefined,
     timeoutMs: number,
-  ) => Promise<Reply>;
+  ) => Promise<CallResult>;
   readonly close: () => void;
 }
 
@@ -86,7 +86,7 @@
 }
 
 /** Keep-alive calls to one kind of host, capped so that no kind takes all sockets. */
-export class Caller implements Calls {
+export class PooledHttpClient implements HttpClient {
   readonly #agent: IdleBounded;
   readonly #waiting = new Set<Turn>();
   #busy = 0;
@@ -109,8 +109,8 @@
     path: string,
     body: unknown,
     timeoutMs: number,
-  ): Promise<Reply> {
-    return this.raw(
+  ): Promise<CallResult> {
+    return this.callRaw(
       address,
       method,
       path,
@@ -127,13 +127,13 @@
     });
   }
 
-  raw(
+  callRaw(
     address: string,
     method: string,
     path: string,
     payload: Uint8Array | undefined,
     timeoutMs: number,
-  ): Promise<Reply> {
+  ): Promise<CallResult> {
     return new Promise((resolve) => {
       const send = (): void => {
         this.#busy++;
@@ -170,11 +170,11 @@
     path: string,
     payload: Uint8Array | undefined,
     timeoutMs: number,
-  ): Promise<Reply> {
+  ): Promise<CallResult> {
     return new Promise((resolve) => {
       const at = address.lastIndexOf(":");
       let settled = false;
-      const settle = (r: Reply): void => {
+      const settle = (r: CallResult): void => {
         if (settled) return;
         settled = true;
         clearTimeout(timer);
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,4 +1,4 @@
-import { type Mono, mono, type Wall, wall } from "@umberfold/ids";
+import { type MonotonicMs, monotonicMs, type WallClockMs, wallClockMs } from "@umberfold/ids";
 
 /** The process's clocks; tests put a simulated one in their place. */
 export interface Clock {
@@ -17,6 +17,6 @@
   current = clock;
 };
 
-export const steadyNow = (): Mono => mono(current.steady());
-export const timeOfDay = (): Wall => wall(current.wall());
+export const monotonicNow = (): MonotonicMs => monotonicMs(current.steady());
+export const wallClockNow = (): WallClockMs => wallClockMs(current.wall());
 export const sleep = (ms: number): Promise<void> => current.sleep(ms);
--- a/src/transport/server.ts
+++ b/src/transport/server.ts
@@ -2,23 +2,23 @@
 import type { Logger } from "../observability/log.js";
 import { decode, encode } from "../protocol/cbor.js";
 
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly body?: unknown;
   readonly retryAfterS?: number;
 }
 
-export interface Request {
+export interface HttpRequest {
   readonly method: string;
   readonly path: string;
   /** The body's bytes; empty if there is none. */
   readonly bytes: Buffer;
 }
 
-export type Handler = (req: Request) => Answer | Promise<Answer>;
+export type RequestHandler = (req: HttpRequest) => HttpResponse | Promise<HttpResponse>;
 
 /** The protocol's bound on a request body. */
-export const MAX_BODY = 64 * 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
 
 export const decodeBody = (
   bytes: Buffer,
@@ -43,7 +43,7 @@
  * Head and body go out as one string, in one write: with a buffer for the body Node's stream gathers
  * two, and a short answer costs half as much again.
  */
-const respond = (res: http.ServerResponse, answer: Answer, close: boolean): void => {
+const respond = (res: http.ServerResponse, answer: HttpResponse, close: boolean): void => {
   const bytes = bodyBytes(answer.body);
   const headers = [
     ...["content-type", "application/cbor", "content-length", String(bytes.byteLength)],
@@ -73,7 +73,7 @@
       return false;
     }
     this.#size += chunk.length;
-    if (this.#size > MAX_BODY) this.#deliver(undefined);
+    if (this.#size > MAX_BODY_BYTES) this.#deliver(undefined);
     else this.#chunks.push(chunk);
     return true;
   }
@@ -110,7 +110,11 @@
 const WORKERS_PATH = "/agent/beat";
 
 /** An HTTP server whose handler can't end the process, whatever comes in. */
-export const makeServer = (handler: Handler, maxConnections: number, log: Logger): http.Server => {
+export const makeServer = (
+  handler: RequestHandler,
+  maxConnections: number,
+  log: Logger,
+): http.Server => {
   let open = 0;
   const crowded = (path: string): boolean =>
     open > maxConnections * (path === WORKERS_PATH ? CLOSE_WORKERS_PART : CLOSE_ALL_PART);
@@ -126,7 +130,7 @@
       log.error("handler failed", { path, error: String(e) });
       if (!res.headersSent) respond(res, { status: 503, retryAfterS: 1 }, false);
     };
-    if (Number(req.headers["content-length"] ?? 0) > MAX_BODY) {
+    if (Number(req.headers["content-length"] ?? 0) > MAX_BODY_BYTES) {
       refuse();
       return;
     }
