--- a/test/architecture/layers.test.ts
+++ b/test/architecture/layers.test.ts
@@ -220,6 +220,7 @@
   "src/coordination/rounds/placement-phase.ts": 340,
   "src/coordination/rounds/machine-record-phase.ts": 310,
   "src/coordination/membership/membership.ts": 335,
+  "src/coordination/rounds/shard-owner.ts": 301,
   "src/coordination/fleet/fleet-planner.ts": 302,
   "src/scheduling/fleet-plan.ts": 351,
 };
