--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,3 +1,7 @@
+/**
+ * What all parts of one controller share, and helpers that need nothing else. The composition root
+ * (`service/controller.ts`) makes one context per process; each part below says who changes it.
+ */
 import type { ControllerLabel, Revision, TeamName } from "@umberfold/ids";
 import type { Operators } from "../config/operators.js";
 import type { Settings, Team } from "../config/settings.js";
@@ -12,29 +16,46 @@
 import type { PauseDetector } from "./membership/pause-detector.js";
 import type { ShardQuotas } from "./sharding/shard-quotas.js";
 
-/** What all parts of one controller share. */
+/**
+ * The parts that all of one controller share. The context itself owns the two flags `synced` and
+ * `stopping` and the hook `loadSpread`; everything else is owned by the part that is named.
+ */
 export interface ControllerContext {
+  /** The deploy file; never changes. */
   readonly settings: Settings;
+  /** The teams of the settings by name; never changes. */
   readonly teams: ReadonlyMap<TeamName, Team>;
-  /** What of each team's limit and guarantee a shard may use. */
+  /** What part of each team's limit and guarantee a shard may use; follows the replica's spans. */
   readonly quotas: ShardQuotas;
+  /** The operators' settings; never change. */
   readonly operators: Operators;
+  /** The state store's client. Its limits are set by `membership/write-share.ts` alone. */
   readonly store: StateStore;
+  /** Changed by `service/replica-sync.ts`, and by whoever commits or rereads a record. */
   readonly replica: Replica;
+  /** Label and incarnation of this process; never change. */
   readonly self: ControllerId;
   readonly log: Logger;
+  /** Uniform in [0, 1); simulated days replace it by a seeded generator. */
   readonly random: () => number;
+  /** Timings for the `stats` event, which empties them. */
   readonly metrics: Metrics;
+  /** Asked wherever an activity begins; a detected pause is passed to `Membership.onResume`. */
   readonly pauses: PauseDetector;
+  /** Fed by the composition root's pause check alone. */
   readonly loopLag: EventLoopLag;
-  /** Decisions of the load-spread package; absent while it is off. */
+  /** Decisions of the load-spread package, set by its loader; absent while it is off. */
   loadSpread?: LoadSpreadHooks;
-  /** False until the first scan is in. */
+  /** False until the first scan is in the replica; set by `service/replica-sync.ts`. */
   synced: boolean;
+  /** True once the process shuts down: retries of an undecided transaction end. */
   stopping: boolean;
 }
 
-/** Takes an applied transaction into the replica at once, ahead of the watch. */
+/**
+ * Applies a committed transaction to the replica at once, ahead of the watch. `rev` is the revision
+ * of its commit, under which the watch will show the same changes again.
+ */
 export const applyCommitted = (
   replica: Replica,
   ops: readonly WriteOperation[],
@@ -48,23 +69,28 @@
     );
 };
 
-/** Reads keys again whose revision was not what we thought. True if all could be read. */
+/**
+ * Reads keys from the state store into the replica, usually after a conflict showed that their
+ * revisions were stale. Doubles and empty keys are passed over. True if all could be read.
+ */
 export const rereadKeys = async (
   ctx: ControllerContext,
-  names: Iterable<string>,
+  staleKeys: Iterable<string>,
 ): Promise<boolean> => {
-  const read = await Promise.all(
-    [...new Set(names)]
+  const readable = await Promise.all(
+    [...new Set(staleKeys)]
       .filter((key) => key !== "")
       .map(async (key) => {
-        const r = await ctx.store.get(key);
-        if (r.kind === "found") ctx.replica.apply({ kind: "put", ...r.item });
-        else if (r.kind === "absent") ctx.replica.apply({ kind: "delete", key, rev: r.rev });
-        return r.kind !== "unavailable";
+        const result = await ctx.store.get(key);
+        if (result.kind === "found") ctx.replica.apply({ kind: "put", ...result.item });
+        else if (result.kind === "absent")
+          ctx.replica.apply({ kind: "delete", key, rev: result.rev });
+        return result.kind !== "unavailable";
       }),
   );
-  return read.every((ok) => ok);
+  return readable.every((ok) => ok);
 };
 
+/** Where another controller answers; undefined for this one and for labels not in the settings. */
 export const peerAddress = (settings: Settings, label: ControllerLabel): string | undefined =>
-  settings.seeds.find((s) => s.label === label)?.address;
+  settings.seeds.find((seed) => seed.label === label)?.address;
--- a/src/coordination/membership/event-loop-lag.ts
+++ b/src/coordination/membership/event-loop-lag.ts
@@ -1,35 +1,40 @@
+/**
+ * How far this process is behind its event loop. Owns the lag last observed, which decays; changed
+ * by the task that measures how late its own timer runs, and by nobody else.
+ */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
-/** What was late this long ago counts half. */
+/** An observed lag counts half after this time. */
 const HALF_LIFE_MS = 2000;
-/** A process that stood still is another matter: see the pause detector. */
-const MOST_LAG_MS = 2000;
-/** How many times its lag a process may be behind with what others sent it. */
-const TIMES = 4;
+/** Longer lags are process pauses, which are the pause detector's. */
+const MAX_LAG_MS = 2000;
+/** How many times its lag a process may be behind with reading what others sent it. */
+const READ_DELAY_FACTOR = 4;
 
 /**
- * How far this process is behind: how late its timers ran lately. While it is short of processor
- * time, reports and answers that came in time lie unread, so ages of what it last read are judged
- * as of an earlier moment: its own lag is nobody else's silence. (On machines of a third of the
- * size controllers returned healthy machines by the dozen, and took themselves for cut off.)
+ * The event-loop lag: how late timers ran lately. While the process is short of processor time,
+ * heartbeats and answers that arrived in time are not read yet, so the age of what was last read is
+ * judged as of an earlier moment: lag of this process is not silence of a machine. (On machines of
+ * a third of the size controllers returned healthy machines by the dozen, and took themselves for
+ * cut off.)
  */
 export class EventLoopLag {
   #lagMs = 0;
-  #seenAt: MonotonicMs = monotonicMs(0);
+  #observedAt: MonotonicMs = monotonicMs(0);
 
-  /** A timer ran this late. */
+  /** Records that a timer ran `lateMs` late; a negative lateness counts as none. */
   observe(lateMs: number, now: MonotonicMs): void {
-    this.#lagMs = Math.max(this.recentMs(now), Math.min(lateMs, MOST_LAG_MS), 0);
-    this.#seenAt = now;
+    this.#lagMs = Math.max(this.recentMs(now), Math.min(lateMs, MAX_LAG_MS), 0);
+    this.#observedAt = now;
   }
 
-  /** The lag seen lately, which wears off. */
+  /** The lag observed lately, decayed until `now`. */
   recentMs(now: MonotonicMs): number {
-    return this.#lagMs * 0.5 ** (Math.max(0, now - this.#seenAt) / HALF_LIFE_MS);
+    return this.#lagMs * 0.5 ** (Math.max(0, now - this.#observedAt) / HALF_LIFE_MS);
   }
 
   /** The moment up to which everything that was sent here must have been read. */
   readUpTo(now: MonotonicMs): MonotonicMs {
-    return monotonicMs(now - TIMES * this.recentMs(now));
+    return monotonicMs(now - READ_DELAY_FACTOR * this.recentMs(now));
   }
 }
--- a/src/coordination/membership/pause-detector.ts
+++ b/src/coordination/membership/pause-detector.ts
@@ -1,26 +1,34 @@
+/**
+ * Detects process pauses. Owns when the process was last seen running; changed by `detect` alone,
+ * so that each pause is reported once, to whoever calls first.
+ */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
 /**
- * Notices that this process stood still, or was starved for as long: its clocks ran on, and what
- * they say of others' silence meanwhile says nothing of the others.
+ * Notices that this process did not run, or was starved of processor time, for longer than
+ * `maxGapMs`. Its clocks ran on meanwhile: silence of others during a pause proves nothing.
  */
 export class PauseDetector {
-  #seenAt: MonotonicMs;
-  /** How often it stood still, for the logs. */
+  #lastSeenAt: MonotonicMs;
+  /** How many pauses were detected, for the log. */
   pauses = 0;
 
+  /** `now` counts as the first time that the process was seen running. */
   constructor(
     now: MonotonicMs,
-    private readonly mostMs: number,
+    private readonly maxGapMs: number,
   ) {
-    this.#seenAt = now;
+    this.#lastSeenAt = now;
   }
 
-  /** Called wherever something begins, and several times a second. The length of a pause, or 0. */
+  /**
+   * Called wherever an activity begins, and several times a second. Returns the length of a pause
+   * in milliseconds, or 0.
+   */
   detect(now: MonotonicMs): number {
-    const gapMs = now - this.#seenAt;
-    this.#seenAt = monotonicMs(now);
-    if (gapMs <= this.mostMs) return 0;
+    const gapMs = now - this.#lastSeenAt;
+    this.#lastSeenAt = monotonicMs(now);
+    if (gapMs <= this.maxGapMs) return 0;
     this.pauses++;
     return gapMs;
   }
--- a/src/coordination/sharding/shard-assignment.ts
+++ b/src/coordination/sharding/shard-assignment.ts
@@ -1,6 +1,13 @@
+/**
+ * Which controller should own which shard, and which shard each team belongs to. Pure and without
+ * state: all controllers compute the same from the same records; `ShardReconciler` carries it out.
+ */
 import { type ControllerLabel, type ShardId, shardId, type TeamName } from "@umberfold/ids";
 import type { ControllerId } from "../../storage/records.js";
 
+/** A shard is handed over only to a controller that owns at least this many fewer. */
+const MIN_IMBALANCE = 2;
+
 const byLabel = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
 /**
@@ -12,27 +19,34 @@
 export const assignTeams = (
   known: ReadonlyMap<TeamName, ShardId>,
   names: readonly TeamName[],
-  size: number,
+  shardCount: number,
 ): ReadonlyMap<TeamName, ShardId> => {
-  const out = new Map(known);
-  const load = Array.from({ length: size }, () => 0);
-  for (const n of known.values()) if (n < size) load[n] = (load[n] ?? 0) + 1;
+  const assigned = new Map(known);
+  const teamCounts = Array.from({ length: shardCount }, () => 0);
+  const countTeam = (shard: number): void => {
+    teamCounts[shard] = (teamCounts[shard] ?? 0) + 1;
+  };
+  // The record may name shards beyond today's count.
+  for (const shard of known.values()) if (shard < shardCount) countTeam(shard);
   for (const name of [...names].sort(byLabel)) {
-    if (out.has(name)) continue;
-    const least = load.indexOf(Math.min(...load));
-    load[least] = (load[least] ?? 0) + 1;
-    out.set(name, shardId(least));
+    if (assigned.has(name)) continue;
+    const emptiest = teamCounts.indexOf(Math.min(...teamCounts));
+    countTeam(emptiest);
+    assigned.set(name, shardId(emptiest));
   }
-  return out;
+  return assigned;
 };
 
+/** What a controller does about one shard: make itself the owner, or make another one. */
 export type ShardAction =
   | { readonly kind: "claim"; readonly shard: ShardId }
   | { readonly kind: "hand_over"; readonly shard: ShardId; readonly to: ControllerId };
 
+/** The records that the plan follows from, as one controller sees them. */
 export interface ShardView {
   readonly self: ControllerId;
   readonly shardCount: number;
+  /** The owner of each shard by its record; absent for shards that were never claimed. */
   readonly shards: ReadonlyMap<ShardId, ControllerId>;
   /** Live members, this controller among them. */
   readonly members: ReadonlyMap<ControllerLabel, ControllerId>;
@@ -40,47 +54,89 @@
   readonly stableMembers: ReadonlySet<ControllerLabel>;
 }
 
-/**
- * What this controller should do about the shards. All controllers compute the same from the
- * same records, so claims seldom collide; when they do, the conditional write decides.
- */
-export const planShardActions = (v: ShardView): readonly ShardAction[] => {
-  const out: ShardAction[] = [];
-  const load = new Map<ControllerLabel, number>();
-  for (const label of [...v.members.keys()].sort(byLabel)) load.set(label, 0);
-  const orphans: ShardId[] = [];
-  const mine: ShardId[] = [];
-  for (let i = 0; i < v.shardCount; i++) {
-    const n = shardId(i);
-    const h = v.shards.get(n);
-    const member = h === undefined ? undefined : v.members.get(h.label);
-    if (h === undefined || member === undefined) {
-      orphans.push(n);
+/** How many shards each member owns. The order is that of the labels, which breaks ties. */
+type ShardCounts = Map<ControllerLabel, number>;
+
+const countShard = (counts: ShardCounts, owner: ControllerLabel): void => {
+  counts.set(owner, (counts.get(owner) ?? 0) + 1);
+};
+
+/** The shards of a view by what their owner is. */
+interface ShardCensus {
+  readonly counts: ShardCounts;
+  /** Shards without an owner, or whose owner is not alive. */
+  readonly unowned: readonly ShardId[];
+  /** Shards whose owner has this controller's label. */
+  readonly own: readonly ShardId[];
+  /** Those of `own` that an earlier, dead start of this label claimed. */
+  readonly ownOfEarlierStart: readonly ShardId[];
+}
+
+const takeCensus = (view: ShardView): ShardCensus => {
+  const counts: ShardCounts = new Map();
+  for (const label of [...view.members.keys()].sort(byLabel)) counts.set(label, 0);
+  const unowned: ShardId[] = [];
+  const own: ShardId[] = [];
+  const ownOfEarlierStart: ShardId[] = [];
+  for (let n = 0; n < view.shardCount; n++) {
+    const shard = shardId(n);
+    const owner = view.shards.get(shard);
+    if (owner === undefined || !view.members.has(owner.label)) {
+      unowned.push(shard);
       continue;
     }
-    load.set(h.label, (load.get(h.label) ?? 0) + 1);
-    if (h.label !== v.self.label) continue;
-    mine.push(n);
-    // ShardState by this label's earlier start, which is dead: take it back at once.
-    if (h.incarnation !== v.self.incarnation) out.push({ kind: "claim", shard: n });
-  }
-  for (const n of orphans) {
-    const least = [...load].reduce((a, b) => (b[1] < a[1] ? b : a), [
-      v.self.label,
-      load.get(v.self.label) ?? 0,
-    ] as const);
-    const taker = [...load].find(([, k]) => k === least[1])?.[0] ?? v.self.label;
-    load.set(taker, (load.get(taker) ?? 0) + 1);
-    if (taker === v.self.label) out.push({ kind: "claim", shard: n });
+    countShard(counts, owner.label);
+    if (owner.label !== view.self.label) continue;
+    own.push(shard);
+    if (owner.incarnation !== view.self.incarnation) ownOfEarlierStart.push(shard);
   }
-  if (out.length > 0 || orphans.length > 0) return out;
-  // One at a time, and never while anything is being taken over.
-  const idle = [...load].filter(([l]) => v.stableMembers.has(l)).sort((a, b) => a[1] - b[1])[0];
-  const own = load.get(v.self.label) ?? 0;
-  if (idle !== undefined && idle[0] !== v.self.label && own >= idle[1] + 2) {
-    const to = v.members.get(idle[0]);
-    const shard = mine[mine.length - 1];
-    if (to !== undefined && shard !== undefined) out.push({ kind: "hand_over", shard, to });
+  return { counts, unowned, own, ownOfEarlierStart };
+};
+
+/** The member with the fewest shards, the first by label among equals. */
+const leastLoaded = (counts: ShardCounts, self: ControllerLabel): ControllerLabel => {
+  const fewest = Math.min(counts.get(self) ?? 0, ...counts.values());
+  for (const [label, count] of counts) if (count === fewest) return label;
+  return self;
+};
+
+/** The shards that this controller claims: its own of an earlier start, and its part of the rest. */
+const shardsToClaim = (view: ShardView, census: ShardCensus): readonly ShardId[] => {
+  const { label: self } = view.self;
+  const claimed = [...census.ownOfEarlierStart];
+  const counts = new Map(census.counts);
+  for (const shard of census.unowned) {
+    const claimant = leastLoaded(counts, self);
+    countShard(counts, claimant);
+    if (claimant === self) claimed.push(shard);
   }
-  return out;
+  return claimed;
+};
+
+/** At most one shard, from this controller to a stable member that owns clearly fewer. */
+const handOver = (view: ShardView, census: ShardCensus): ShardAction | undefined => {
+  const [emptiest] = [...census.counts]
+    .filter(([label]) => view.stableMembers.has(label))
+    .sort((a, b) => a[1] - b[1]);
+  if (emptiest === undefined) return undefined;
+  const [label, count] = emptiest;
+  const ownCount = census.counts.get(view.self.label) ?? 0;
+  if (label === view.self.label || ownCount < count + MIN_IMBALANCE) return undefined;
+  const to = view.members.get(label);
+  const shard = census.own.at(-1);
+  return to === undefined || shard === undefined ? undefined : { kind: "hand_over", shard, to };
+};
+
+/**
+ * What this controller should do about the shards. All controllers compute the same from the
+ * same records, so claims seldom collide; when they do, the conditional write decides.
+ */
+export const planShardActions = (view: ShardView): readonly ShardAction[] => {
+  const census = takeCensus(view);
+  const claims = shardsToClaim(view, census);
+  // One hand-over at a time, and never while any shard is being claimed.
+  if (claims.length > 0 || census.unowned.length > 0)
+    return claims.map((shard) => ({ kind: "claim", shard }));
+  const transfer = handOver(view, census);
+  return transfer === undefined ? [] : [transfer];
 };
--- a/src/service/availability-monitor.ts
+++ b/src/service/availability-monitor.ts
@@ -1,3 +1,8 @@
+/**
+ * Watches how this controller stands with the state store and with its machines, and asks the other
+ * controllers where that alone does not tell whose failure it is. Owns nothing but whether the
+ * shards were released at the last look.
+ */
 import type { ControllerContext } from "../coordination/context.js";
 import {
   type Membership,
@@ -9,12 +14,16 @@
 import { monotonicNow } from "../transport/clock.js";
 import { HEARTBEATS_PATH, SERVED_PATH } from "./routes.js";
 
-const PEER_MS = 800;
+/** How long another controller may take to answer how it stands. */
+const PEER_TIMEOUT_MS = 800;
+const STATUS_YES = 204;
+const STATUS_NO = 503;
 
-/** Looks at how this controller stands; in trouble, the other controllers are asked how they do. */
+/** Assesses the store's availability; `update` is run again and again as a periodic task. */
 export class AvailabilityMonitor {
-  #wasAway = false;
+  #hadReleasedShards = false;
 
+  /** `peers` calls the other controllers; state store and workers are not called from here. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
@@ -22,34 +31,40 @@
     private readonly peers: HttpClient,
   ) {}
 
+  /**
+   * One look. After an isolation or a rejoin it restarts the timers of failure detection; when no
+   * machine is reachable from here though others reach theirs, it releases the shards.
+   */
   async update(): Promise<void> {
     const { ctx, membership, owner } = this;
-    const answers = ctx.store.isFailing() ? await this.#ask(SERVED_PATH) : NO_PEER_REPORTS;
-    const before = membership.storeAvailability;
-    const away = membership.hasReleasedShards;
-    const standing = membership.updateAvailability(answers);
-    // What was not heard in a trouble of our own is held against nobody.
-    // So after it had resigned: the machines given back are heard anew. (docs/incidents, inc-58fc)
-    const returned = this.#wasAway && !away;
-    this.#wasAway = away;
-    if (returned || (before === "isolated" && standing !== "isolated"))
+    const reports = ctx.store.isFailing() ? await this.#askPeers(SERVED_PATH) : NO_PEER_REPORTS;
+    const wasIsolated = membership.storeAvailability === "isolated";
+    const hasReleasedShards = membership.hasReleasedShards;
+    const availability = membership.updateAvailability(reports);
+    // Heartbeats missed during a failure of this controller's own are no machine's failure.
+    // So after a release too: machines of a shard that came back start anew. (docs/incidents, inc-58fc)
+    const hasRejoined = this.#hadReleasedShards && !hasReleasedShards;
+    this.#hadReleasedShards = hasReleasedShards;
+    if (hasRejoined || (wasIsolated && availability !== "isolated"))
       owner.channel.resetTimers(monotonicNow());
-    const others = ctx.replica.members.size > 1;
-    if (owner.channel.connectivity !== "disconnected" || !others) return;
-    if (standing !== "available" || !membership.holdsValidLease()) return;
-    // Where the others don't hear theirs either, there is nobody to step aside for.
-    const hearing = await this.#ask(HEARTBEATS_PATH);
-    if (hearing.available > 0 || hearing.unavailable === 0) await membership.releaseShards();
+    const hasPeers = ctx.replica.members.size > 1;
+    if (owner.channel.connectivity !== "disconnected" || !hasPeers) return;
+    if (availability !== "available" || !membership.holdsValidLease()) return;
+    // Where the others receive no heartbeats either, there is nobody to release the shards to.
+    const heartbeats = await this.#askPeers(HEARTBEATS_PATH);
+    if (heartbeats.available > 0 || heartbeats.unavailable === 0) await membership.releaseShards();
   }
 
-  /** What the other controllers say of themselves: yes, no, or nothing. */
-  async #ask(path: string): Promise<PeerReports> {
+  /** Asks all other controllers one yes-or-no question about themselves; some may not answer. */
+  async #askPeers(path: string): Promise<PeerReports> {
     const { seeds } = this.ctx.settings;
     const answers = await Promise.all(
-      seeds.map((s) => this.peers.callRaw(s.address, "GET", path, undefined, PEER_MS)),
+      seeds.map((seed) =>
+        this.peers.callRaw(seed.address, "GET", path, undefined, PEER_TIMEOUT_MS),
+      ),
     );
-    const count = (status: number): number =>
-      answers.filter((w) => w.kind === "answer" && w.status === status).length;
-    return { available: count(204), unavailable: count(503) };
+    const countStatus = (status: number): number =>
+      answers.filter((answer) => answer.kind === "answer" && answer.status === status).length;
+    return { available: countStatus(STATUS_YES), unavailable: countStatus(STATUS_NO) };
   }
 }
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -1,50 +1,60 @@
+/**
+ * Keeps the replica in step with the state store: a scan at the start and whenever the watch has
+ * fallen too far behind, and the watch in between. Sets `synced` of the context, and nothing else.
+ */
 import type { ControllerContext } from "../coordination/context.js";
 import type { Membership } from "../coordination/membership/membership.js";
+import { errorFields } from "../observability/error-fields.js";
 import { CURRENT_PREFIX, classifyKey } from "../storage/records.js";
 import { sleep } from "../transport/clock.js";
 
-/** How long a watch may wait for changes. */
-const WATCH_MS = 10_000;
+/** How long the state store may hold a watch open until there is a change. */
+const WATCH_WAIT_MS = 10_000;
+/** How long to wait after a scan or a watch that came to nothing. */
 const RETRY_MS = 200;
 
-/** Keeps the replica up to date: one scan at the start, and then the watch. */
+/** The watch of this controller; `follow` is run again and again as a periodic task. */
 export class ReplicaSync {
+  /** `wakeRounds` has a scheduling round run soon. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
-    /** Has a round run soon. */
-    private readonly wake: () => void,
+    private readonly wakeRounds: () => void,
   ) {}
 
-  /** One watch; before the first, the scan. */
+  /** One watch, answered or timed out; before the first, the scan. */
   async follow(): Promise<void> {
     const { store, replica } = this.ctx;
-    if (!this.ctx.synced && !(await this.#start())) return sleep(RETRY_MS);
-    const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_MS);
+    if (!this.ctx.synced && !(await this.#startSync())) return sleep(RETRY_MS);
+    const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_WAIT_MS);
     if (watched.kind === "unavailable") return sleep(RETRY_MS);
     if (watched.kind === "too_old") {
       await this.#scan();
       return;
     }
-    let others = 0;
+    let foreignWrites = 0;
     for (const change of watched.changes) {
-      // What is news is not ours: our own is taken in when it is answered.
-      // (Deletes of our own counted as others' writes: in a flood of ends the owner throttled itself.)
+      // A change that is not known yet is foreign: own ones were applied when they were answered.
+      // (While own deletes counted as foreign writes, an owner throttled itself when many jobs
+      // finished at once.)
       if (replica.isKnown(change)) continue;
-      // The end of a job also writes its final record, which no watch shows.
-      others += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
+      // Finishing a job also writes its final record, which no watch shows.
+      foreignWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
       replica.apply(change);
     }
-    this.membership.recordForeignWrites(others);
+    this.membership.recordForeignWrites(foreignWrites);
     replica.advance(watched.rev);
     if (watched.changes.length > 0) this.#reconcileSoon();
   }
 
-  async #start(): Promise<boolean> {
+  async #startSync(): Promise<boolean> {
     const { ctx } = this;
     if (!(await this.#scan())) return false;
     ctx.synced = true;
-    ctx.log.info("synced", { rev: ctx.replica.syncedRevision, jobs: ctx.replica.accepted.size });
+    ctx.log.info("replica synced", {
+      rev: ctx.replica.syncedRevision,
+      jobs: ctx.replica.accepted.size,
+    });
     this.#reconcileSoon();
     return true;
   }
@@ -56,10 +66,11 @@
     return true;
   }
 
+  /** Not awaited: the watch must go on while membership waits for the state store. */
   #reconcileSoon(): void {
-    this.wake();
-    this.membership.reconcile().catch((e) => {
-      this.ctx.log.error("membership failed", { error: String(e) });
+    this.wakeRounds();
+    this.membership.reconcile().catch((error) => {
+      this.ctx.log.error("membership reconciliation failed", errorFields(error));
     });
   }
 }
--- a/src/service/round-loop.ts
+++ b/src/service/round-loop.ts
@@ -1,42 +1,50 @@
+/**
+ * Decides when an owner's scheduling rounds run: after a change, at the latest after a period, and
+ * never without a rest. Owns whether a round is due; changed by `wake` and by each round's outcome.
+ */
 import type { RoundOutcome } from "../coordination/rounds/shard-owner.js";
 import { monotonicNow, sleep } from "../transport/clock.js";
 
 /**
- * How many times as long as it took a round rests, and for how long at most. (Resting for as long as
- * it took, and never more than a quarter of a second, rounds took most of a small controller's
- * processor while many jobs waited, and its machines' leases ran out.)
+ * How many times as long as a round decided the loop rests after it, and for how long at most.
+ * (While it rested for as long as the round had taken, and never more than a quarter of a second,
+ * rounds took most of a small controller's processor while many jobs waited, and the leases of its
+ * machines expired.)
  */
-const ROUND_REST = 6;
-const MOST_ROUND_REST_MS = 2000;
+const REST_FACTOR = 6;
+const MAX_REST_MS = 2000;
 
-/** When the owner's rounds run: when something happened, after their rest, and now and then. */
+/** Runs rounds one after another; `run` is called again and again as a periodic task. */
 export class RoundLoop {
-  #due = true;
-  #wakeUp: (() => void) | undefined;
+  #isDue = true;
+  /** Ends the wait for the next round; undefined while none is waited for. */
+  #endWait: (() => void) | undefined;
 
+  /** A round runs at least this often, in milliseconds. */
   constructor(private readonly periodMs: number) {}
 
-  /** Has a round run soon. */
+  /** Makes a round due: it runs once the rest after the last one is over. */
   wake(): void {
-    this.#due = true;
-    this.#wakeUp?.();
+    this.#isDue = true;
+    this.#endWait?.();
   }
 
-  /** Waits until one is due, runs it, and rests. */
+  /** Waits until a round is due, runs it, and rests. Errors of the round are passed on. */
   async run(round: () => Promise<RoundOutcome>): Promise<void> {
-    if (!this.#due) await this.#wait();
-    this.#wakeUp = undefined;
-    this.#due = false;
-    const began = monotonicNow();
+    if (!this.#isDue) await this.#wait();
+    this.#endWait = undefined;
+    this.#isDue = false;
+    const startedAt = monotonicNow();
     const running = round();
-    // For several times as long as was decided for, what happens gathers into a wider batch: however
-    // much there is to decide, reports, users and leases keep most of the processor.
-    const tookMs = monotonicNow() - began;
-    const restUntil = monotonicNow() + Math.min(MOST_ROUND_REST_MS, ROUND_REST * tookMs);
-    const next = await running;
-    if (next !== "idle") this.#due = true;
-    // The same until the budget lets the next one through.
-    const pauseMs = typeof next === "object" ? Math.min(this.periodMs, next.pauseMs) : 0;
+    // Only the decisions count, which are made before the round first waits. While it rests, changes
+    // gather into a wider batch: however much there is to decide, heartbeats, users and leases keep
+    // most of the processor.
+    const decidedAt = monotonicNow();
+    const restUntil = decidedAt + Math.min(MAX_REST_MS, REST_FACTOR * (decidedAt - startedAt));
+    const outcome = await running;
+    if (outcome !== "idle") this.#isDue = true;
+    // The outcome may also ask to wait until the write limit lets the next round's commit through.
+    const pauseMs = typeof outcome === "object" ? Math.min(this.periodMs, outcome.pauseMs) : 0;
     const restMs = Math.max(pauseMs, restUntil - monotonicNow());
     if (restMs > 0) await sleep(restMs);
   }
@@ -45,7 +53,7 @@
     return Promise.race([
       sleep(this.periodMs),
       new Promise<void>((resolve) => {
-        this.#wakeUp = resolve;
+        this.#endWait = resolve;
       }),
     ]);
   }
