--- a/test/coordination/sharding/shard-quotas.test.ts
+++ b/test/coordination/sharding/shard-quotas.test.ts
@@ -1,3 +1,4 @@
+/** Limits and guarantees of one team as they hold in each shard, by its span. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { revision, shardId, teamName } from "@umberfold/ids";
@@ -11,7 +12,7 @@
 const HOME = shardId(0);
 const HALF = WHOLE / 2;
 const SHARDS = 3;
-const ANY = Number.POSITIVE_INFINITY;
+const UNLIMITED = Number.POSITIVE_INFINITY;
 
 const halves = {
   f: 1,
@@ -26,21 +27,31 @@
 const cases: readonly {
   readonly name: string;
   readonly span?: unknown;
-  readonly most: readonly number[];
-  readonly guarantee: readonly number[];
+  readonly limits: readonly number[];
+  readonly guarantees: readonly number[];
 }[] = [
-  // No other team spans anything either: each shard is asked about its own teams alone.
-  { name: "no span", most: [24, 24, 24], guarantee: [8, 8, 8] },
-  { name: "halves", span: halves, most: [12, 12, 0], guarantee: [4, 4, 0] },
-  { name: "a span that can't be read", span: { f: 2 }, most: [0, 0, 0], guarantee: [0, 0, 0] },
+  // No other team has a span either: each shard is asked about its own teams alone.
+  { name: "without a span, the whole quota", limits: [24, 24, 24], guarantees: [8, 8, 8] },
   {
-    name: "a span of another home",
+    name: "a span of halves, half the quota in each of its shards",
+    span: halves,
+    limits: [12, 12, 0],
+    guarantees: [4, 4, 0],
+  },
+  {
+    name: "a span that can't be read, nothing",
+    span: { f: 2 },
+    limits: [0, 0, 0],
+    guarantees: [0, 0, 0],
+  },
+  {
+    name: "a span of another home, nothing",
     span: { f: 1, h: 1, e: [[1, 0, WHOLE, WHOLE, 0]] },
-    most: [0, 0, 0],
-    guarantee: [0, 0, 0],
+    limits: [0, 0, 0],
+    guarantees: [0, 0, 0],
   },
   {
-    name: "a shard beyond the shards",
+    name: "a span with a shard beyond the last, nothing",
     span: {
       f: 1,
       h: 0,
@@ -49,8 +60,8 @@
         [9, 0, HALF, HALF, 0],
       ],
     },
-    most: [0, 0, 0],
-    guarantee: [0, 0, 0],
+    limits: [0, 0, 0],
+    guarantees: [0, 0, 0],
   },
 ];
 
@@ -60,22 +71,22 @@
   replica.apply({ kind: "put", key: keys.teams, value: home, rev: revision(1) });
   if (span !== undefined)
     replica.apply({ kind: "put", key: keys.span(TEAM), value: span, rev: revision(2) });
-  const team = { name: TEAM, cpus: 8, gpus: 0, cpusMax, gpusMax: ANY };
+  const team = { name: TEAM, cpus: 8, gpus: 0, cpusMax, gpusMax: UNLIMITED };
   return new ShardQuotas(replica, new Map([[TEAM, team]]));
 };
 
-for (const { name, span, most, guarantee } of cases)
+for (const { name, span, limits, guarantees } of cases)
   test(`quotas by shard: ${name}`, () => {
     const quotas = quotasOf(span, 24);
     for (let n = 0; n < SHARDS; n++) {
       const team = quotas.teamsIn(shardId(n)).get(TEAM);
-      assert.equal(team?.cpusMax, most[n]);
-      assert.equal(team?.cpus, guarantee[n]);
-      assert.equal(team?.gpusMax, ANY);
+      assert.equal(team?.cpusMax, limits[n]);
+      assert.equal(team?.cpus, guarantees[n]);
+      assert.equal(team?.gpusMax, UNLIMITED);
     }
   });
 
-test("another limit in the settings holds at once, divided as before", () => {
+test("a changed limit in the settings holds at once, divided as before", () => {
   assert.equal(quotasOf(halves, 10).teamsIn(shardId(1)).get(TEAM)?.cpusMax, 5);
-  assert.equal(quotasOf(halves, ANY).teamsIn(shardId(1)).get(TEAM)?.cpusMax, ANY);
+  assert.equal(quotasOf(halves, UNLIMITED).teamsIn(shardId(1)).get(TEAM)?.cpusMax, UNLIMITED);
 });
