--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -35,6 +35,7 @@
   readonly replica: Replica;
   /** Label and incarnation of this process; never change. */
   readonly self: ControllerId;
+  /** Adds the controller's label to each event. */
   readonly log: Logger;
   /** Uniform in [0, 1); simulated days replace it by a seeded generator. */
   readonly random: () => number;
@@ -48,7 +49,7 @@
   loadSpread?: LoadSpreadHooks;
   /** False until the first scan is in the replica; set by `service/replica-sync.ts`. */
   synced: boolean;
-  /** True once the process shuts down: retries of an undecided transaction end. */
+  /** True once the process shuts down, set by its root: retries of undecided transactions end. */
   stopping: boolean;
 }
 
--- a/src/coordination/sharding/shard-quotas.ts
+++ b/src/coordination/sharding/shard-quotas.ts
@@ -18,9 +18,9 @@
   limit === Number.POSITIVE_INFINITY ? limit : limit * fraction;
 
 /**
- * Limits and guarantees of teams as they hold for one shard (escrow). A team without a span has all of its
- * quota in its home shard and nothing elsewhere. One whose span can't be read has nothing anywhere:
- * others may hold any part of it.
+ * Limits and guarantees of teams as they hold for one shard. A team without a span has all of its
+ * quota in its home shard and nothing elsewhere; that of a team with a span is held in escrow by
+ * several shards. One whose span can't be read has nothing anywhere: others may hold any part of it.
  */
 export class ShardQuotas {
   /** The version of the spans that the cache follows from. */
@@ -78,7 +78,7 @@
     const record = this.replica.spans.records.get(team);
     if (record === undefined) return home === shard ? 1 : 0;
     const span = record.value;
-    // A span of another home was not written for this assignment: it says nothing of this team.
+    // A span of another home was not written for this team as it is assigned: it proves nothing.
     return span === undefined || span.home !== home ? 0 : usableShare(span, shard) / WHOLE;
   }
 }
--- a/src/service/round-loop.ts
+++ b/src/service/round-loop.ts
@@ -1,6 +1,6 @@
 /**
- * Decides when an owner's scheduling rounds run: after a change, at the latest after a period, and
- * never without a rest. Owns whether a round is due; changed by `wake` and by each round's outcome.
+ * Decides when an owner's scheduling rounds run: after a change or a period, and after a rest in
+ * proportion to the time that the last round's decisions took. Owns whether a round is due; changed by `wake` and by each round's outcome.
  */
 import type { RoundOutcome } from "../coordination/rounds/shard-owner.js";
 import { monotonicNow, sleep } from "../transport/clock.js";
