--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -271,10 +271,10 @@
       });
       if (step === "none") continue;
       const note = state.machineState(o.machine);
-      if (now - note.lastCallAt >= AGAIN_MS) channel.callMachine(o.machine, true);
+      if (now - note.call.lastCallAt >= AGAIN_MS) channel.callMachine(o.machine, true);
       if (step === "stop") continue;
-      if (note.decommission?.force !== true) {
-        note.decommission = { reason: "cancelled task stays", force: true };
+      if (note.departure.decommission?.force !== true) {
+        note.departure.step({ kind: "decommission_forced", reason: "cancelled task stays" });
         state.dirtyMachines.add(o.machine);
         state.wake();
       }
--- /dev/null
+++ b/src/coordination/ownership/direct-call-state.ts
@@ -0,0 +1,70 @@
+/**
+ * The direct calls to one machine: one at a time, and one more after it if something came up
+ * meanwhile.
+ *
+ * `repeat_wanted` exists because a call can outlive the soft state under which it was queued: when
+ * a machine leaves and comes back, that call ends under a new soft state in which none is in
+ * flight.
+ */
+import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
+
+/** Whether a direct call is queued or under way, and whether another follows it. */
+export type DirectCallPhase = "idle" | "in_flight" | "in_flight_again" | "repeat_wanted";
+
+/** `requested`: somebody wants a call. `repeat`: the call itself found that another is needed. */
+export type DirectCallEvent = "requested" | "repeat" | "ended";
+
+/** The one place where the phase changes. */
+export const stepDirectCall = (phase: DirectCallPhase, event: DirectCallEvent): DirectCallPhase => {
+  switch (event) {
+    case "requested":
+      return phase === "idle" ? "in_flight" : "in_flight_again";
+    case "repeat":
+      return phase === "in_flight" || phase === "in_flight_again"
+        ? "in_flight_again"
+        : "repeat_wanted";
+    case "ended":
+      return "idle";
+  }
+};
+
+/** The direct calls of one machine. */
+export class DirectCallState {
+  #phase: DirectCallPhase = "idle";
+  #lastCallAt: MonotonicMs = monotonicMs(0);
+
+  /** Whether a call is in flight. */
+  get phase(): DirectCallPhase {
+    return this.#phase;
+  }
+
+  /** When a call was last queued or sent. */
+  get lastCallAt(): MonotonicMs {
+    return this.#lastCallAt;
+  }
+
+  /** A call is wanted. True if it is to be queued now; else it follows the one in flight. */
+  request(now: MonotonicMs): boolean {
+    const queueNow = this.#phase === "idle" || this.#phase === "repeat_wanted";
+    this.#phase = stepDirectCall(this.#phase, "requested");
+    if (queueNow) this.#lastCallAt = now;
+    return queueNow;
+  }
+
+  /** The call goes out, after it waited in the queue. */
+  markSent(now: MonotonicMs): void {
+    this.#lastCallAt = now;
+  }
+
+  /** The call in flight found that another has to follow. */
+  repeat(): void {
+    this.#phase = stepDirectCall(this.#phase, "repeat");
+  }
+
+  /** The call is over. True if another has to follow. */
+  end(): boolean {
+    const again = this.#phase === "in_flight_again" || this.#phase === "repeat_wanted";
+    this.#phase = stepDirectCall(this.#phase, "ended");
+    return again;
+  }
+}
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -1,3 +1,11 @@
+/**
+ * All that a controller keeps in memory about the shards it owns: worker sessions, the soft state
+ * of machines, attempts and jobs, reservations and counters. It composes these parts and decides
+ * nothing; rounds, the worker channel and cancellations read it and change it through the methods
+ * of its parts.
+ *
+ * Nothing here outlives the process, and nothing but the worker sessions proves anything.
+ */
 import {
   type FencingToken,
   fencingToken,
@@ -5,8 +13,6 @@
   type MachineId,
   type MonotonicMs,
   monotonicMs,
-  type Revision,
-  type ShardId,
   type TaskId,
 } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
@@ -14,49 +20,52 @@
 import { monotonicNow } from "../../transport/clock.js";
 import type { ControllerContext } from "../context.js";
 import type { Membership } from "../membership/membership.js";
-import {
-  type AttemptSoftState,
-  type JobBackoff,
-  type MachineSoftState,
-  newJobBackoff,
-  newMachineSoftState,
-  type StopReason,
-} from "./soft-state.js";
-import {
-  newWorkerSession,
-  stepWorkerSession,
-  type WorkerSession,
-  type WorkerSessionEvent,
-} from "./worker-session.js";
-
-/** A job that failed on so many machines is at fault itself, for all that is known. */
-export const JOB_FAULT_MACHINES = 3;
-/** Without a report of its own for this part of its lease a machine takes nothing more. */
-const UNHEARD_PART = 0.5;
-
-/** What a owner knows of the shards it holds: sessions, notes and counters, and nothing it does. */
+import { AttemptSoftState, type StopReason } from "./attempt-soft-state.js";
+import { JobBackoff } from "./job-backoff.js";
+import { MachineSoftState } from "./machine-soft-state.js";
+import { Reservations } from "./reservations.js";
+import { RunTimeRatios } from "./run-time-ratios.js";
+import type { WorkerSession, WorkerSessionEvent } from "./worker-session.js";
+import { WorkerSessions } from "./worker-sessions.js";
+
+/** Without a heartbeat for this part of the worker's lease its machine is given nothing new. */
+const HEARTBEAT_OVERDUE_PART = 0.5;
+
+/** The value of a key, made and kept if there is none. */
+const getOrCreate = <K, V>(map: Map<K, V>, key: K, create: () => V): V => {
+  let value = map.get(key);
+  if (value === undefined) {
+    value = create();
+    map.set(key, value);
+  }
+  return value;
+};
+
+/** What one controller remembers of the shards it owns. */
 export class ShardState {
-  readonly sessions = new Map<MachineId, WorkerSession>();
-  readonly attemptStates = new Map<string, AttemptSoftState>();
+  readonly #sessions = new WorkerSessions();
+  readonly #runTimeRatios = new RunTimeRatios();
+  readonly #machineStates = new Map<MachineId, MachineSoftState>();
+  readonly #attemptStates = new Map<string, AttemptSoftState>();
+  readonly #jobBackoffs = new Map<JobId, JobBackoff>();
+  /** The worker session of each machine; changed by `stepSession`, `assignToken`, `syncSessions`. */
+  readonly sessions: ReadonlyMap<MachineId, WorkerSession> = this.#sessions.all;
+  /** The soft state of machines that have any, in the order in which they first had. */
+  readonly machineStates: ReadonlyMap<MachineId, MachineSoftState> = this.#machineStates;
+  /** The soft state of open attempts that have any, by attempt key. */
+  readonly attemptStates: ReadonlyMap<string, AttemptSoftState> = this.#attemptStates;
+  /** The backoff of jobs that had an attempt end here. */
+  readonly jobBackoffs: ReadonlyMap<JobId, JobBackoff> = this.#jobBackoffs;
   /**
-   * Attempts whose closing is decided but not yet known to be written. A report showed them
-   * absent; a start sent after that would run what the record is about to call gone.
+   * Keys of attempts whose termination is decided and not yet known to be written. A status showed
+   * them absent; a start sent after that would run what the record is about to call gone.
    */
   readonly terminating = new Set<string>();
-  readonly jobBackoffs = new Map<JobId, JobBackoff>();
-  readonly machineStates = new Map<MachineId, MachineSoftState>();
-  /** Moves whose task is to start again there: they count as use of the destination (eq. 18). */
-  readonly reservations = new Map<
-    TaskId,
-    { readonly to: MachineId; readonly until: MonotonicMs }
-  >();
-  /** Machines of which something changed since their attempts were last looked at. */
+  /** Room kept for tasks that move, and for those that others were preempted for. */
+  readonly reservations = new Reservations();
+  /** Machines of which something changed since the last round: the next one looks at them. */
   readonly dirtyMachines = new Set<MachineId>();
-  readonly #runRatio = new Map<string, number>();
-  /** Machines that left the records ahead of the watch, and up to where it must have told by then. */
-  readonly #vanished = new Map<MachineId, Revision>();
-  #syncedFleet = -1;
-  #syncedHeld = "";
+  /** Counts since the start of the process, for `stats()`. */
   readonly counters = {
     preempted: 0,
     starts: 0,
@@ -69,152 +78,130 @@
     conflicts: 0,
   };
 
+  /**
+   * @param ctx what all parts of the controller share
+   * @param membership tells which shards are owned here
+   * @param wake asks for a round soon
+   */
   constructor(
     readonly ctx: ControllerContext,
     readonly membership: Membership,
     readonly wake: () => void,
   ) {}
 
-  fencingTokenOf(m: MachineRecord): FencingToken {
-    const s = this.ctx.replica.shardOwners.get(m.shard);
-    return fencingToken(Math.max(s?.rev ?? 0, m.tokenFloor));
+  /** The fencing token under which a machine is commanded: its shard's owner's, or its floor. */
+  fencingTokenOf(machine: MachineRecord): FencingToken {
+    const owner = this.ctx.replica.shardOwners.get(machine.shard);
+    return fencingToken(Math.max(owner?.rev ?? 0, machine.tokenFloor));
+  }
+
+  /** Takes an event into a machine's session. The session after it, or undefined if none. */
+  stepSession(id: MachineId, event: WorkerSessionEvent): WorkerSession | undefined {
+    return this.#sessions.step(id, event);
   }
 
-  stepSession(id: MachineId, e: WorkerSessionEvent): WorkerSession | undefined {
-    const s = this.sessions.get(id);
-    if (s === undefined) return undefined;
-    const next = stepWorkerSession(s, e);
-    if (next !== s) this.sessions.set(id, next);
-    return next;
+  /** The machine is commanded under this token from now on; a session begins if there is none. */
+  assignToken(id: MachineId, token: FencingToken, now: MonotonicMs): void {
+    this.#sessions.assignToken(id, token, now);
   }
 
-  /** Brings sessions in line with the records: machines come, go, and get higher tokens. */
+  /** Brings sessions in line with the records, and drops soft state of what is no longer there. */
   syncSessions(now: MonotonicMs): void {
     const { replica } = this.ctx;
-    const shards = this.membership.ownedShards();
-    const shown = shards.join();
-    const same = replica.fleetVersion === this.#syncedFleet && shown === this.#syncedHeld;
-    if (same && this.#vanished.size === 0) return;
-    this.#syncedFleet = replica.fleetVersion;
-    this.#syncedHeld = shown;
-    const owned = new Set(shards);
-    for (const id of this.sessions.keys()) {
-      const m = replica.machines.get(id);
-      if (m !== undefined && owned.has(m.shard)) {
-        this.#vanished.delete(id);
-        continue;
-      }
-      if (m === undefined) {
-        // It may stand in a page that is not known yet: what was sent there must not be forgotten.
-        const by = this.#vanished.get(id) ?? replica.latestSeenRevision;
-        this.#vanished.set(id, by);
-        if (replica.syncedRevision < by) continue;
-      }
-      this.#vanished.delete(id);
-      this.sessions.delete(id);
-      // Who holds it now will hear it: what was held against it here must not meet it again when
-      // it comes back. (Some 140 machines were returned the moment their shard was handed back.)
-      this.machineStates.delete(id);
-    }
-    for (const [id, m] of replica.machines) {
-      if (!owned.has(m.shard)) continue;
-      const t = this.fencingTokenOf(m);
-      if (this.sessions.has(id)) this.stepSession(id, { kind: "token_assigned", token: t, now });
-      else this.sessions.set(id, newWorkerSession(t, now));
-    }
-    for (const id of this.machineStates.keys())
-      if (!replica.machines.has(id)) this.machineStates.delete(id);
-    for (const id of this.jobBackoffs.keys())
-      if (!replica.accepted.has(id)) this.jobBackoffs.delete(id);
-    // Attempts that another owner closed after a shard was handed over.
-    for (const [key, note] of this.attemptStates)
-      if (!replica.machines.has(note.machine)) this.attemptStates.delete(key);
+    const ended = this.#sessions.sync(
+      {
+        replica,
+        ownedShards: this.membership.ownedShards(),
+        fencingTokenOf: (machine) => this.fencingTokenOf(machine),
+      },
+      now,
+    );
+    if (ended === undefined) return;
+    // Its next owner receives its heartbeats: what was counted against it here must not count when
+    // it comes back. (Some 140 machines were returned the moment their shard was handed back.)
+    for (const id of ended) this.#machineStates.delete(id);
+    for (const id of this.#machineStates.keys())
+      if (!replica.machines.has(id)) this.#machineStates.delete(id);
+    for (const id of this.#jobBackoffs.keys())
+      if (!replica.accepted.has(id)) this.#jobBackoffs.delete(id);
+    // Attempts that another owner terminated after a shard was handed over.
+    for (const [key, attempt] of this.#attemptStates)
+      if (!replica.machines.has(attempt.machine)) this.#attemptStates.delete(key);
   }
 
+  /** The soft state of a machine, made if it has none. */
   machineState(id: MachineId): MachineSoftState {
-    let n = this.machineStates.get(id);
-    if (n === undefined) {
-      n = newMachineSoftState();
-      this.machineStates.set(id, n);
-    }
-    return n;
+    return getOrCreate(this.#machineStates, id, () => new MachineSoftState());
   }
 
-  /**
-   * Answers calls, but has not reported by itself for a good part of its lease: nothing that it is
-   * told renews that, so it takes nothing more, and what it killed is started elsewhere. (Started
-   * there again, tasks longer than a lease never came to their end.)
-   */
-  heartbeatOverdue(id: MachineId, now: MonotonicMs): boolean {
-    const at = this.machineStates.get(id)?.lastHeartbeatAt ?? null;
-    const quietMs = at === null ? 0 : this.ctx.loopLag.readUpTo(now) - at;
-    return quietMs > this.ctx.settings.workers.leaseS * 1000 * UNHEARD_PART;
+  /** The soft state of an attempt on this machine, made if it has none. */
+  attemptState(key: string, machine: MachineId): AttemptSoftState {
+    return getOrCreate(this.#attemptStates, key, () => new AttemptSoftState(machine));
   }
 
-  attemptState(key: string, machine: MachineId): AttemptSoftState {
-    let n = this.attemptStates.get(key);
-    if (n === undefined) {
-      n = { requestStop: null, runningSince: null, machine };
-      this.attemptStates.set(key, n);
-    }
-    return n;
+  /** The attempt's termination is written: nothing of it needs to be remembered. */
+  forgetAttempt(key: string): void {
+    this.#attemptStates.delete(key);
   }
 
+  /** The backoff of a job, made if it has none. */
   jobBackoff(id: JobId): JobBackoff {
-    let n = this.jobBackoffs.get(id);
-    if (n === undefined) {
-      n = newJobBackoff();
-      this.jobBackoffs.set(id, n);
-    }
-    return n;
+    return getOrCreate(this.#jobBackoffs, id, () => new JobBackoff());
+  }
+
+  /**
+   * The machine answers calls, but has sent no heartbeat for a good part of its lease. Answers to
+   * commands don't renew that, so it is given nothing new, and what it killed is started elsewhere.
+   * (Started there again, tasks longer than a lease never came to their end.)
+   */
+  heartbeatOverdue(id: MachineId, now: MonotonicMs): boolean {
+    const lastHeartbeatAt = this.machineStates.get(id)?.health.lastHeartbeatAt ?? null;
+    const silentMs =
+      lastHeartbeatAt === null ? 0 : this.ctx.loopLag.readUpTo(now) - lastHeartbeatAt;
+    return silentMs > this.ctx.settings.workers.leaseS * 1000 * HEARTBEAT_OVERDUE_PART;
   }
 
-  /** Jobs that failed on several machines in a row, with no task completing between. */
+  /** Jobs that failed on several machines in a row, with no task completing in between. */
   *failingJobs(): Iterable<JobId> {
-    for (const [id, n] of this.jobBackoffs)
-      if (
-        n.failures > 0 &&
-        n.failedOn.size >= JOB_FAULT_MACHINES &&
-        this.ctx.replica.accepted.has(id)
-      )
+    for (const [id, backoff] of this.jobBackoffs)
+      if (backoff.failures > 0 && backoff.isJobAtFault && this.ctx.replica.accepted.has(id))
         yield id;
   }
 
+  /** Asks for an attempt's stop, with so many seconds to save; the first request stands. */
   stop(key: string, machine: MachineId, reason: StopReason, graceS: number): void {
-    const note = this.attemptState(key, machine);
-    if (note.requestStop !== null) return;
-    note.requestStop = { reason, graceS };
-    this.dirtyMachines.add(machine);
+    if (this.attemptState(key, machine).requestStop({ reason, graceS }))
+      this.dirtyMachines.add(machine);
   }
 
   /** Seconds of work that stopping an attempt now would throw away. */
-  lossS(job: LiveJob, note: AttemptSoftState | undefined, now: MonotonicMs): number {
-    if (note === undefined || note.runningSince === null) return 0;
-    const ranS = (now - note.runningSince) / 1000;
+  lossS(job: LiveJob, attempt: AttemptSoftState | undefined, now: MonotonicMs): number {
+    if (attempt === undefined || attempt.runningSince === null) return 0;
+    const ranS = (now - attempt.runningSince) / 1000;
     const { checkpointIntervalS, checkpointSaveS } = job.spec;
     return checkpointIntervalS > 0 ? Math.min(ranS % checkpointIntervalS, checkpointSaveS) : ranS;
   }
 
-  recordRunTime(spec: JobSpec, note: AttemptSoftState | undefined, now: MonotonicMs): void {
-    if (note === undefined || note.runningSince === null || spec.expectedRunS <= 0) return;
-    const ratio = Math.min(10, Math.max(0.1, (now - note.runningSince) / 1000 / spec.expectedRunS));
-    const old = this.#runRatio.get(spec.jobClass);
-    this.#runRatio.set(spec.jobClass, old === undefined ? ratio : old + (ratio - old) * 0.05);
+  /** An attempt of the job completed: its class's run time is corrected by how long it ran. */
+  recordRunTime(spec: JobSpec, attempt: AttemptSoftState | undefined, now: MonotonicMs): void {
+    if (attempt === undefined || attempt.runningSince === null) return;
+    this.#runTimeRatios.record(spec, now - attempt.runningSince);
   }
 
-  /** A task's run time: its owner's estimate, put right by what its class was seen to take. */
+  /** A task's run time in seconds: its user's estimate, corrected by what its class took. */
   expectedRunS(spec: JobSpec): number {
-    return spec.expectedRunS * (this.#runRatio.get(spec.jobClass) ?? 1);
+    return this.#runTimeRatios.expectedRunS(spec);
   }
 
+  /** Keeps room for a task on a machine for so many milliseconds. */
   reserve(task: TaskId, to: MachineId, ms: number): void {
-    this.reservations.set(task, { to, until: monotonicMs(monotonicNow() + ms) });
+    this.reservations.add(task, { to, until: monotonicMs(monotonicNow() + ms) });
   }
 
+  /** The counters, the number of sessions in each state, and the owned shards, for operators. */
   stats(): Readonly<Record<string, unknown>> {
-    const states: Record<string, number> = {};
-    for (const s of this.sessions.values()) states[s.state] = (states[s.state] ?? 0) + 1;
-    const shards: readonly ShardId[] = this.membership.ownedShards();
-    return { ...this.counters, sessions: states, shards };
+    const sessions: Record<string, number> = {};
+    for (const { state } of this.sessions.values()) sessions[state] = (sessions[state] ?? 0) + 1;
+    return { ...this.counters, sessions, shards: this.membership.ownedShards() };
   }
 }
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -3,7 +3,6 @@
   type JobId,
   type MachineId,
   type MonotonicMs,
-  monotonicMs,
   type ShardId,
   type TaskId,
   taskId,
@@ -13,7 +12,7 @@
 import { type JobProgress, type LiveJob, NO_PROGRESS } from "../../storage/records.js";
 import type { IndexedAttempt } from "../../storage/shard-jobs.js";
 import type { TransactionBatch } from "../../storage/transaction-batch.js";
-import { JOB_FAULT_MACHINES, type ShardState } from "../ownership/shard-state.js";
+import type { ShardState } from "../ownership/shard-state.js";
 import { observeAttempt } from "../ownership/worker-session.js";
 
 /**
@@ -79,13 +78,13 @@
   const s = owned.sessions.get(machine);
   if (s === undefined) return null;
   const stopped =
-    job === undefined || job.cancelledAt !== null || owned.attemptStates.get(key)?.requestStop;
+    job === undefined || job.cancelledAt !== null || owned.attemptStates.get(key)?.stopRequest;
   const found = observeAttempt(s, task, attempt, key);
   if (found.kind === "present") {
     if (found.report.phase === "ended") return { report: found.report };
     // Told already, and asked again after a while: it may need time to save, and its next heartbeat
     // is answered with the same.
-    const told = round.now - owned.machineState(machine).lastCallAt < STOP_AGAIN_MS;
+    const told = round.now - owned.machineState(machine).call.lastCallAt < STOP_AGAIN_MS;
     if (stopped && told) owned.dirtyMachines.add(machine);
     else if (stopped) round.machinesToCall.add(machine);
     return null;
@@ -178,8 +177,7 @@
   if (row.report === undefined) owned.counters.lost++;
   else if (job !== undefined) learn(owned, id, job, row, row.report, round.now);
   // Empty by now, perhaps: what waits for that is looked at in the next round.
-  const { decommission, pendingTransfer } = owned.machineState(row.machine);
-  if (decommission !== null || pendingTransfer !== null) owned.dirtyMachines.add(row.machine);
+  if (owned.machineState(row.machine).departure.isPending) owned.dirtyMachines.add(row.machine);
 };
 
 const write = (
@@ -216,9 +214,8 @@
   if (t.cause === "done") {
     owned.counters.done++;
     owned.recordRunTime(job.spec, owned.attemptStates.get(o.key), now);
-    jn.failures = 0;
-    mn.failures = 0;
-    mn.failedJobs.clear();
+    jn.recordCompletion();
+    mn.faults.recordCompletion();
     return;
   }
   if (t.cause === "halted") return;
@@ -227,19 +224,14 @@
   const { log } = owned.ctx;
   log.debug("attempt failed", { task: t.task, machine: o.machine, cause: t.cause ?? "" });
   if (t.cause === "error") {
-    jn.failures++;
-    jn.failedOn.add(o.machine);
-    mn.failures++;
-    // A job that fails on one machine after the other says nothing against the next of them.
-    if (jn.failedOn.size < JOB_FAULT_MACHINES) mn.failedJobs.add(id);
     // Jobs failing on several machines are backed off; a machine failing several jobs goes.
-    if (jn.failedOn.size >= JOB_FAULT_MACHINES)
-      jn.retryAt = monotonicMs(now + Math.min(30_000, 1000 * 2 ** Math.min(5, jn.failures - 3)));
-    if (mn.failedJobs.size >= 2 && mn.decommission === null) {
-      log.info("machine quarantined", { machine: o.machine, failures: mn.failures });
-      mn.decommission = { reason: "faulty", force: false };
+    jn.recordFailure(o.machine, now);
+    mn.faults.recordFailure(id, jn.isJobAtFault);
+    if (mn.faults.isQuarantineDue && mn.departure.decommission === null) {
+      log.info("machine quarantined", { machine: o.machine, failures: mn.faults.failures });
+      mn.departure.step({ kind: "decommission_requested", reason: "faulty" });
     }
   } else {
-    jn.retryAt = monotonicMs(now + 500);
+    jn.recordInterruption(now);
   }
 };
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -39,8 +39,10 @@
   if (machine.phase !== "up" || owned.ctx.replica.isGone(id)) return false;
   if (session?.state !== "ready" || session.status?.preemptionNoticeS != null) return false;
   const note = owned.machineState(id);
-  if (note.decommission !== null || note.pendingTransfer !== null) return false;
-  return note.unreachableCalls <= MOST_UNANSWERED && !owned.heartbeatOverdue(id, monotonicNow());
+  if (note.departure.isPending) return false;
+  return (
+    note.health.unreachableCalls <= MOST_UNANSWERED && !owned.heartbeatOverdue(id, monotonicNow())
+  );
 };
 
 interface Occupancy {
--- a/src/coordination/rounds/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -24,21 +24,21 @@
           job.spec.checkpointSaveS < leftS ? job.spec.checkpointSaveS : 0,
         );
     }
-    owned.machineState(id).decommission ??= { reason: "notice", force: false };
+    owned.machineState(id).departure.step({ kind: "decommission_requested", reason: "notice" });
   }
 };
 
 /** Machines that the leader wants for urgent work of another shard are cleared for it. */
 export const drainRequestedMachines = (owned: ShardState, now: MonotonicMs): void => {
   const { replica } = owned.ctx;
-  for (const [id, note] of owned.machineStates) {
-    if (note.pendingTransfer === null) continue;
-    if (note.pendingTransfer.until <= now) note.pendingTransfer = null;
-    else if (note.pendingTransfer.drain)
+  for (const [id, { departure }] of owned.machineStates) {
+    if (departure.transfer === null) continue;
+    if (departure.transfer.until <= now) departure.step({ kind: "transfer_ended" });
+    else if (departure.transfer.drain)
       for (const o of replica.openAttemptsOn(id).values()) {
         const saveS = replica.accepted.get(o.job)?.value.spec.checkpointSaveS ?? 0;
         const { key } = o;
-        if (!owned.attemptStates.get(key)?.requestStop) owned.counters.preempted++;
+        if (!owned.attemptStates.get(key)?.stopRequest) owned.counters.preempted++;
         owned.stop(key, id, "preempted", saveS);
       }
   }
--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -123,12 +123,12 @@
         page.set(id, change.to);
         edited.add(id);
       } else {
-        owned.machineState(id).needsTokenRaise = false;
+        owned.machineState(id).tokenRaise.clear();
         if (change.lazyMs === 0 || change.to.tokenFloor !== machines.get(id)?.tokenFloor)
           edited.add(id);
         machines.set(id, change.to);
         if (change.to.phase === "up") round.machinesToCall.add(id);
-        else owned.machineState(id).pendingTransfer = null;
+        else owned.machineState(id).departure.step({ kind: "transfer_ended" });
       }
     }
     return true;
@@ -147,15 +147,14 @@
       return open === (round.terminatedByMachine.get(id)?.size ?? 0) ? { kind: "drop" } : undefined;
     const s = owned.sessions.get(id);
     if (s === undefined || m.phase !== "up") return undefined;
-    const note = owned.machineState(id);
+    const { decommission, transfer: pending } = owned.machineState(id).departure;
     const empty = open === 0;
-    if (note.decommission !== null && (note.decommission.force || empty)) {
-      owned.ctx.log.info("machine retired", { machine: id, reason: note.decommission.reason });
+    if (decommission !== null && (decommission.force || empty)) {
+      owned.ctx.log.info("machine retired", { machine: id, reason: decommission.reason });
       return { kind: "put", to: { ...m, phase: "retiring" }, lazyMs: 0 };
     }
     const endpoint = s.status?.endpoint ?? m.endpoint;
-    const transfer =
-      note.pendingTransfer === null ? undefined : this.#transfer(id, { ...m, endpoint }, s);
+    const transfer = pending === null ? undefined : this.#transfer(id, { ...m, endpoint }, s);
     const raise = this.#raise(id, { ...m, endpoint }, s, round);
     if (transfer !== undefined || raise !== undefined) return transfer ?? raise;
     if (endpoint !== m.endpoint) return { kind: "put", to: { ...m, endpoint }, lazyMs: LAZY_MS };
@@ -165,14 +164,14 @@
   /** The move to another shard that the leader asked for, once nothing is left on the machine. */
   #transfer(id: MachineId, m: MachineRecord, s: WorkerSession): Change | undefined {
     const { owned } = this;
-    const note = owned.machineState(id);
-    if (note.pendingTransfer === null) return undefined;
-    const { to, drain, whenEmpty } = note.pendingTransfer;
+    const { departure } = owned.machineState(id);
+    if (departure.transfer === null) return undefined;
+    const { to, drain, whenEmpty } = departure.transfer;
     const empty = owned.ctx.replica.shardJobs(m.shard).openAttemptsOn(id).size === 0;
     // What has exited there the next owner forgets, under its higher token.
     const idle = [...s.tasks.values()].every((x) => x.phase === "ended");
     const proved = empty && idle && (s.state === "ready" || s.status === undefined);
-    if (proved || !(drain || whenEmpty)) note.pendingTransfer = null;
+    if (proved || !(drain || whenEmpty)) departure.step({ kind: "transfer_ended" });
     const tokenFloor = this.#above(owned.fencingTokenOf(m));
     if (!proved || to === m.shard || tokenFloor === undefined) return undefined;
     return { kind: "move", to: { ...m, shard: to, tokenFloor } };
@@ -188,8 +187,8 @@
       return false;
     };
     const kept = s.startDeliveries.size > 0 && s.state === "ready";
-    if (!kept) note.needsTokenRaise = false;
-    const pressing = mustRaiseToken(s) || (kept && (note.needsTokenRaise || blocked()));
+    if (!kept) note.tokenRaise.clear();
+    const pressing = mustRaiseToken(s) || (kept && (note.tokenRaise.pending || blocked()));
     if (!pressing && !(shouldRaiseToken(s) && s.state === "ready")) return undefined;
     const tokenFloor = this.#above(owned.fencingTokenOf(m));
     if (tokenFloor === undefined) return undefined;
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -282,8 +282,8 @@
   /** The only place is held up by an exit that is kept: the machine's token must rise for it. */
   #raiseToken(place: CandidateMachine): void {
     const note = this.owned.machineState(place.id);
-    if (!note.needsTokenRaise) this.owned.dirtyMachines.add(place.id);
-    note.needsTokenRaise = true;
+    if (!note.tokenRaise.pending) this.owned.dirtyMachines.add(place.id);
+    note.tokenRaise.request();
   }
 
   #lingers(task: TaskId, place: CandidateMachine): boolean {
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -118,7 +118,7 @@
       const note = owned.attemptStates.get(o.key);
       const { resources, checkpointSaveS } = job.spec;
       // On its way out: its room may be kept for somebody, but is not there to start on yet.
-      if (job.cancelledAt !== null || note?.requestStop != null) {
+      if (job.cancelledAt !== null || note?.stopRequest != null) {
         if (round.terminatedByMachine.get(place.id)?.has(task) !== true)
           free = add(free, resources);
         continue;
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -91,9 +91,9 @@
 
   requestTransfer(m: MachineTransferRequest): void {
     if (!this.state.sessions.has(m.machine)) return;
-    const until = monotonicMs(monotonicNow() + MOVE_MS);
     const { to, drain, whenEmpty = false } = m;
-    this.state.machineState(m.machine).pendingTransfer = { to, drain, whenEmpty, until };
+    const transfer = { to, drain, whenEmpty, until: monotonicMs(monotonicNow() + MOVE_MS) };
+    this.state.machineState(m.machine).departure.step({ kind: "transfer_requested", transfer });
     this.state.dirtyMachines.add(m.machine);
     this.state.wake();
   }
@@ -101,9 +101,9 @@
   /** Without a reason it is surplus, and goes once it is empty; else it is lost, and goes at once. */
   requestDecommission(id: MachineId, reason?: string): void {
     if (!this.state.sessions.has(id)) return;
-    const note = this.state.machineState(id);
-    if (reason !== undefined && reason !== "") note.decommission = { reason, force: true };
-    else note.decommission ??= { reason: "surplus", force: false };
+    const { departure } = this.state.machineState(id);
+    if (reason) departure.step({ kind: "decommission_forced", reason });
+    else departure.step({ kind: "decommission_requested", reason: "surplus" });
     this.state.dirtyMachines.add(id);
     this.state.wake();
   }
@@ -154,7 +154,7 @@
     if (this.ctx.replica.syncedRevision < this.#catchUp) return { pauseMs: CATCH_UP_MS };
     const pauseMs = ctx.store.writeWaitMs(LEAST_WRITES);
     if (pauseMs > 0) return { pauseMs };
-    for (const [task, x] of state.reservations) if (x.until <= now) state.reservations.delete(task);
+    state.reservations.expire(now);
     handleSpotNotices(state, now);
     // What is stopped to make room could not be started again while nothing can be written.
     const writes = !ctx.store.isFailing();
@@ -192,7 +192,7 @@
       for (const id of looked) state.dirtyMachines.add(id);
       return "again";
     }
-    for (const key of closedKeys) state.attemptStates.delete(key);
+    for (const key of closedKeys) state.forgetAttempt(key);
     state.syncSessions(monotonicNow());
     callAll();
     await this.#endJobs();
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -38,7 +38,7 @@
     const note = owned.attemptStates.get(o.key);
     // A job that fails everywhere would draw tasks back and forth: it is no part of n.
     const failing = (owned.jobBackoffs.get(o.job)?.failures ?? 0) > 0;
-    if (note?.requestStop != null || failing || job.cancelledAt !== null) {
+    if (note?.stopRequest != null || failing || job.cancelledAt !== null) {
       use = subtract(use, job.spec.resources);
       continue;
     }
--- a/src/coordination/workers/failure-detection.ts
+++ b/src/coordination/workers/failure-detection.ts
@@ -1,5 +1,5 @@
 import type { MonotonicMs } from "@umberfold/ids";
-import type { MachineSoftState } from "../ownership/soft-state.js";
+import type { MachineSoftState } from "../ownership/machine-soft-state.js";
 
 /** Calls in a row without an answer that make a machine silent, or unreachable though it reports. */
 export const UNANSWERED_CALLS_UNTIL_SILENT = 2;
@@ -16,16 +16,17 @@
 
 /** Why a machine is given up, if it is. */
 export const detectMachineFailure = (
-  note: MachineSoftState,
+  { health }: MachineSoftState,
   quietMs: number,
   now: MonotonicMs,
   limits: FailureLimits,
 ): string | undefined => {
-  if (quietMs >= limits.patienceMs && note.failedCalls >= UNANSWERED_CALLS_UNTIL_SILENT)
+  if (quietMs >= limits.patienceMs && health.failedCalls >= UNANSWERED_CALLS_UNTIL_SILENT)
     return "silent";
-  const unreachableMs = now - note.unreachableSince;
-  if (note.unreachableCalls >= UNREACHABLE_CALLS && unreachableMs >= limits.silenceMs)
+  const unreachableMs = now - health.unreachableSince;
+  if (health.unreachableCalls >= UNREACHABLE_CALLS && unreachableMs >= limits.silenceMs)
     return "unreachable";
-  const missing = note.lastHeartbeatAt !== null && now - note.lastHeartbeatAt > limits.heartbeatMs;
+  const missing =
+    health.lastHeartbeatAt !== null && now - health.lastHeartbeatAt > limits.heartbeatMs;
   return missing ? "heartbeats missing" : undefined;
 };
--- a/src/coordination/workers/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -21,12 +21,11 @@
 import type { HttpResponse } from "../../transport/server.js";
 import { socketParts } from "../../transport/sockets.js";
 import { rereadKeys } from "../context.js";
+import type { MachineSoftState } from "../ownership/machine-soft-state.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { type MachineSoftState, recordImageUse, resetHealth } from "../ownership/soft-state.js";
 import {
   type DesiredAttempt,
   hasNoStartInFlight,
-  newWorkerSession,
   reconcileCommands,
   type WorkerSession,
 } from "../ownership/worker-session.js";
@@ -98,7 +97,7 @@
     this.#connectivity = "connected";
     for (const id of this.owned.sessions.keys()) {
       this.owned.stepSession(id, { kind: "timers_reset", now });
-      resetHealth(this.owned.machineState(id));
+      this.owned.machineState(id).health.reset();
     }
   }
 
@@ -134,7 +133,7 @@
       const note = owned.attemptStates.get(key);
       // Nothing of a cancelled job is of use: it stops without saving.
       const stopGraceS =
-        job === undefined || job.cancelledAt !== null ? 0 : (note?.requestStop?.graceS ?? null);
+        job === undefined || job.cancelledAt !== null ? 0 : (note?.stopRequest?.graceS ?? null);
       const startForbidden = owned.terminating.has(key) || !up;
       out.set(task, { task, attempt: o.attempt, stopGraceS, startForbidden });
     }
@@ -177,9 +176,7 @@
       void rereadKeys(ctx, [keys.shard(m.shard), replica.machinePageOf(report.machine) ?? ""]);
       return { status: 503, retryAfterS: 1 };
     }
-    if (!owned.sessions.has(report.machine))
-      owned.sessions.set(report.machine, newWorkerSession(t, now));
-    owned.stepSession(report.machine, { kind: "token_assigned", token: t, now });
+    owned.assignToken(report.machine, t, now);
     this.#hear(report, "heartbeat", now);
     const s = owned.sessions.get(report.machine);
     if (s === undefined) return { status: 503, retryAfterS: 1 };
@@ -198,9 +195,7 @@
     if (after === undefined || after === before) return;
     this.#heardAt = now;
     const note = owned.machineState(report.machine);
-    note.failedCalls = 0;
-    if (via === "heartbeat") note.lastHeartbeatAt = now;
-    if (via === "direct") note.unreachableCalls = 0;
+    note.health.recordStatus(via, now);
     for (const t of report.tasks) this.#look(report.machine, t, now);
     // A report that says nothing new is no reason for a round.
     if (before !== undefined && sameNews(before, after)) return;
@@ -218,11 +213,11 @@
     if (o === undefined || o.attempt !== t.attempt) return;
     const job = replica.accepted.get(o.job)?.value;
     if (job === undefined) return;
-    owned.attemptState(key, machine).runningSince = now;
+    owned.attemptState(key, machine).markRunning(now);
     owned.ctx.metrics.record(`begin ${job.spec.jobClass}`, wallClockNow() - job.acceptedAt);
     const type = replica.machines.get(machine)?.type;
     const cache = replica.machineTypes?.value.find((x) => x.name === type)?.cacheGb ?? 0;
-    recordImageUse(owned.machineState(machine), job.spec.image, job.spec.imageGb, cache);
+    owned.machineState(machine).images.recordUse(job.spec.image, job.spec.imageGb, cache);
   }
 
   /**
@@ -230,13 +225,7 @@
    * many at once, or a user's request waits behind all the answers of a takeover.
    */
   callMachine(id: MachineId, first = false): void {
-    const note = this.owned.machineState(id);
-    if (note.callInFlight) {
-      note.callAgain = true;
-      return;
-    }
-    note.callInFlight = true;
-    note.lastCallAt = monotonicNow();
+    if (!this.owned.machineState(id).call.request(monotonicNow())) return;
     if (first) this.#queue.unshift(id);
     else this.#queue.push(id);
     this.#callNext();
@@ -252,11 +241,7 @@
         .catch((e) => this.owned.ctx.log.error("call failed", { machine: id, error: String(e) }))
         .finally(() => {
           this.#calling--;
-          note.callInFlight = false;
-          if (note.callAgain) {
-            note.callAgain = false;
-            this.callMachine(id);
-          }
+          if (note.call.end()) this.callMachine(id);
           this.#callNext();
         });
     }
@@ -270,7 +255,7 @@
     if (s === undefined || m === undefined || replica.isGone(id)) return;
     const endpoint = s.status?.endpoint ?? m.endpoint;
     if (endpoint === "") return;
-    note.lastCallAt = monotonicNow();
+    note.call.markSent(monotonicNow());
     if (s.status === undefined) {
       // The session is unknown, but most are in their first: if so, one call shows it our token;
       // if not, the refusal tells the session.
@@ -278,7 +263,7 @@
       const r = await this.workers.call(endpoint, "POST", "/orders", body, DIRECT_MS);
       if (ownFault(r)) return;
       this.#directReport(id, note, r.kind === "answer" ? r.body : undefined);
-      if (owned.sessions.get(id)?.state === "fencing") note.callAgain = true;
+      if (owned.sessions.get(id)?.state === "fencing") note.call.repeat();
       return;
     }
     const orders = reconcileCommands(s, this.#wantedOn(id));
@@ -305,15 +290,14 @@
       // It has shown our token just now: what waited for that goes at once.
       const now = owned.sessions.get(id);
       if (s.state === "fencing" && now?.state === "ready")
-        note.callAgain ||= reconcileCommands(now, this.#wantedOn(id)).length > 0;
+        if (reconcileCommands(now, this.#wantedOn(id)).length > 0) note.call.repeat();
       return;
     }
     if (!ownFault(r)) this.#callFailed(id, note);
   }
 
   #callFailed(id: MachineId, note: MachineSoftState): void {
-    note.failedCalls++;
-    if (note.unreachableCalls++ === 0) note.unreachableSince = note.lastCallAt;
+    note.health.recordFailedCall(note.call.lastCallAt);
     this.owned.dirtyMachines.add(id);
     this.owned.wake();
   }
@@ -326,7 +310,7 @@
       this.#callFailed(id, note);
       return;
     }
-    note.unreachableCalls = 0;
+    note.health.recordAnsweredCall();
     const s = owned.sessions.get(id);
     if (s === undefined) return;
     if (report.token > s.token) {
@@ -347,8 +331,8 @@
     now: MonotonicMs,
   ): boolean {
     const claim = s.state === "fencing" || (s.state === "unknown" && m.endpoint !== "");
-    const asked = overdue || claim || note.unreachableCalls > 0;
-    return asked && now - note.lastCallAt >= PROBE_EVERY_MS;
+    const asked = overdue || claim || note.health.unreachableCalls > 0;
+    return asked && now - note.call.lastCallAt >= PROBE_EVERY_MS;
   }
 
   /**
@@ -382,11 +366,11 @@
       if (this.#worthAsking(s, m, note, quietMs > overdueMs + OVERDUE_MS, now))
         this.callMachine(id);
       if (m.endpoint === "" && s.status === undefined) continue;
-      if (note.decommission?.force === true || m.phase !== "up") continue;
+      if (note.departure.decommission?.force === true || m.phase !== "up") continue;
       known++;
-      const unanswered = note.failedCalls > 0 && quietMs > reportMs;
-      if (unanswered || note.unreachableCalls >= UNANSWERED_CALLS_UNTIL_SILENT) unreached++;
-      if (s.status !== undefined) note.lastHeartbeatAt ??= now;
+      const unanswered = note.health.failedCalls > 0 && quietMs > reportMs;
+      if (unanswered || note.health.unreachableCalls >= UNANSWERED_CALLS_UNTIL_SILENT) unreached++;
+      if (s.status !== undefined) note.health.expectHeartbeats(now);
       const why = detectMachineFailure(note, quietMs, judgedAt, {
         silenceMs,
         patienceMs,
@@ -409,7 +393,7 @@
     for (const l of lost) {
       owned.stepSession(l.id, { kind: "became_unresponsive" });
       log.info(`machine ${l.why}`, { machine: l.id, quietMs: Math.round(l.quietMs) });
-      owned.machineState(l.id).decommission = { reason: l.why, force: true };
+      owned.machineState(l.id).departure.step({ kind: "decommission_forced", reason: l.why });
       owned.dirtyMachines.add(l.id);
       this.#lostAt.push(now);
     }
--- /dev/null
+++ b/test/coordination/ownership/direct-call-state.test.ts
@@ -0,0 +1,54 @@
+/** The state machine of direct calls: one in flight, and one more after it. */
+import assert from "node:assert/strict";
+import test from "node:test";
+import { monotonicMs } from "@umberfold/ids";
+import {
+  type DirectCallEvent,
+  type DirectCallPhase,
+  DirectCallState,
+  stepDirectCall,
+} from "../../../src/coordination/ownership/direct-call-state.js";
+
+const transitions: readonly (readonly [DirectCallPhase, DirectCallEvent, DirectCallPhase])[] = [
+  ["idle", "requested", "in_flight"],
+  ["in_flight", "requested", "in_flight_again"],
+  ["in_flight_again", "requested", "in_flight_again"],
+  ["repeat_wanted", "requested", "in_flight_again"],
+  ["idle", "repeat", "repeat_wanted"],
+  ["in_flight", "repeat", "in_flight_again"],
+  ["in_flight_again", "repeat", "in_flight_again"],
+  ["repeat_wanted", "repeat", "repeat_wanted"],
+  ["idle", "ended", "idle"],
+  ["in_flight", "ended", "idle"],
+  ["in_flight_again", "ended", "idle"],
+  ["repeat_wanted", "ended", "idle"],
+];
+
+for (const [from, event, to] of transitions)
+  test(`direct call: ${from} goes to ${to} on ${event}`, () => {
+    assert.equal(stepDirectCall(from, event), to);
+  });
+
+test("direct call: a request while one is in flight is not queued, but follows it", () => {
+  const call = new DirectCallState();
+  assert.equal(call.request(monotonicMs(10)), true);
+  assert.equal(call.request(monotonicMs(20)), false);
+  assert.equal(call.lastCallAt, 10, "only a call that is queued counts");
+  assert.equal(call.end(), true);
+  assert.equal(call.phase, "idle");
+});
+
+test("direct call: nothing follows a call during which nobody asked for another", () => {
+  const call = new DirectCallState();
+  call.request(monotonicMs(10));
+  call.markSent(monotonicMs(15));
+  assert.equal(call.lastCallAt, 15);
+  assert.equal(call.end(), false);
+});
+
+test("direct call: a call that ends under a new soft state can ask for another", () => {
+  const call = new DirectCallState();
+  call.repeat();
+  assert.equal(call.request(monotonicMs(5)), true, "its request is queued at once");
+  assert.equal(call.end(), true);
+});
--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -76,7 +76,7 @@
 test("machines whose reports don't come", () => {
   for (const [name, at, now, mute] of unheard) {
     const { held } = setUp();
-    held.machineState(ID).lastHeartbeatAt = at === null ? null : monotonicMs(at);
+    if (at !== null) held.machineState(ID).health.recordStatus("heartbeat", monotonicMs(at));
     assert.equal(held.heartbeatOverdue(ID, monotonicMs(now)), mute, name);
   }
 });
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -28,7 +28,7 @@
 import type { JobSpec } from "../../src/protocol/jobs.js";
 import { encodeMachineTypes, encodeTeams } from "../../src/storage/cluster-records.js";
 import { encodeJobPage, encodeMachinePage } from "../../src/storage/pages.js";
-import { type JobProgress, keys } from "../../src/storage/records.js";
+import { type JobProgress, keys, type MachineRecord } from "../../src/storage/records.js";
 import { Replica } from "../../src/storage/replica.js";
 import { TransactionBatch } from "../../src/storage/transaction-batch.js";
 import { SimulatedClock } from "../sim/clock.js";
@@ -118,7 +118,7 @@
       tokenFloor: revision(1),
     } as const;
     const ids = Array.from({ length: MACHINES }, (_, i) => machineId(`m-${i}`));
-    this.#put(keys.fleet(SHARD, "1"), encodeMachinePage(ids.map((id) => [id, record])));
+    this.#writeMachines(ids.map((id) => [id, record]));
     this.state.syncSessions(monotonicMs(0));
     for (const machine of ids) {
       const empty = {
@@ -138,6 +138,19 @@
     }
   }
 
+  #writeMachines(rows: readonly (readonly [MachineId, MachineRecord])[]): void {
+    this.#put(keys.fleet(SHARD, "1"), encodeMachinePage(rows));
+  }
+
+  /** The record of a machine, as the round that decommissions it writes it. */
+  writeRetired(id: MachineId): void {
+    const rows = [...this.replica.machines].map(
+      ([other, row]) =>
+        [other, other === id ? { ...row, phase: "retiring" as const } : row] as const,
+    );
+    this.#writeMachines(rows);
+  }
+
   #jobs(running: number, complete: number): void {
     const page = new Map<ReturnType<typeof jobId>, JobProgress>();
     for (let i = 0; i < running + WAITING + complete; i++) {
@@ -244,12 +257,14 @@
   const [first, second] = [machineId("m-0"), machineId("m-1")];
   assert.deepEqual(setup.records(records, []), { asked: 0, ops: 0 });
   assert.deepEqual(setup.records(records, [first, second]), { asked: 2, ops: 0 });
-  setup.state.machineState(first).decommission = { reason: "surplus", force: true };
+  setup.state
+    .machineState(first)
+    .departure.step({ kind: "decommission_forced", reason: "surplus" });
   assert.deepEqual(setup.records(records, [second]), { asked: 1, ops: 0 });
   assert.deepEqual(setup.records(records, [first]), { asked: 1, ops: 1 });
   // Nothing of that was written: it comes up again by itself until it is.
   assert.deepEqual(setup.records(records, []), { asked: 1, ops: 1 });
-  setup.state.machineState(first).decommission = null;
+  setup.writeRetired(first);
   assert.deepEqual(setup.records(records, []), { asked: 1, ops: 0 });
   assert.deepEqual(setup.records(records, []), { asked: 0, ops: 0 });
 });
