--- a/src/storage/token-bucket.ts
+++ b/src/storage/token-bucket.ts
@@ -1,77 +1,85 @@
+/**
+ * A token bucket, counted as the state store and the cloud count their limits: tokens come in at a
+ * steady rate up to the bucket's capacity, and a call takes as many as it costs. The level may be
+ * below zero: such a debt is paid off before the next call is let through.
+ */
 import type { MonotonicMs } from "@umberfold/ids";
 
-/** A token bucket, as the state service and the cloud count. */
+/** Keeps the division in `waitMs` finite at a rate of 0. */
+const MIN_TOKENS_PER_S = 1e-6;
+
+/** A rate limit on this side. All times are the caller's monotonic clock and must not go back. */
 export class TokenBucket {
   #tokens: number;
-  #at: MonotonicMs;
+  #refilledAt: MonotonicMs;
 
+  /** `burst` is the capacity, of which it starts full; a bucket never has room for less than 1. */
   constructor(
-    private rate: number,
+    private tokensPerS: number,
     private burst: number,
     now: MonotonicMs,
   ) {
     this.#tokens = burst;
-    this.#at = now;
+    this.#refilledAt = now;
   }
 
-  set(rate: number, burst: number, now: MonotonicMs): void {
-    this.#fill(now);
-    this.rate = rate;
+  /** Changes rate and capacity from now on; what is in the bucket stays, up to the new capacity. */
+  reconfigure(tokensPerS: number, burst: number, now: MonotonicMs): void {
+    this.#refill(now);
+    this.tokensPerS = tokensPerS;
     this.burst = burst;
   }
 
-  #most(): number {
+  #capacity(): number {
     return Math.max(1, this.burst);
   }
 
-  #fill(now: MonotonicMs): void {
-    this.#tokens = Math.min(this.#most(), this.#tokens + ((now - this.#at) / 1000) * this.rate);
-    this.#at = now;
+  #refill(now: MonotonicMs): void {
+    const gained = ((now - this.#refilledAt) / 1000) * this.tokensPerS;
+    this.#tokens = Math.min(this.#capacity(), this.#tokens + gained);
+    this.#refilledAt = now;
   }
 
-  /** Whether `n` could be taken now, as `take` sees it. */
-  has(n: number, now: MonotonicMs, reserve = 0): boolean {
-    this.#fill(now);
+  #has(count: number, now: MonotonicMs): boolean {
+    this.#refill(now);
     // A batch above the whole bucket is let through when the bucket is full, and paid off after.
-    return this.#tokens >= Math.min(n + reserve, this.#most());
+    return this.#tokens >= Math.min(count, this.#capacity());
   }
 
-  /** Takes `n` if at least `reserve` remains for more urgent callers. */
-  take(n: number, now: MonotonicMs, reserve = 0): boolean {
-    if (!this.has(n, now, reserve)) return false;
-    this.#tokens -= n;
-    return true;
+  /** Takes `count` tokens, or none and answers false if there are fewer. */
+  take(count: number, now: MonotonicMs): boolean {
+    return this.takeWithDebt(count, count, now);
   }
 
-  /** Takes `n` as soon as `least` is there; what is lacking is paid off before the next. */
-  spend(n: number, least: number, now: MonotonicMs): boolean {
-    if (!this.has(Math.min(n, least), now)) return false;
-    this.#tokens -= n;
+  /** Takes `count` tokens as soon as `minTokens` are there: what is lacking is a debt. */
+  takeWithDebt(count: number, minTokens: number, now: MonotonicMs): boolean {
+    if (!this.#has(Math.min(count, minTokens), now)) return false;
+    this.#tokens -= count;
     return true;
   }
 
-  /** Takes `n` whatever is there. */
-  owe(n: number, now: MonotonicMs): void {
-    this.#fill(now);
-    this.#tokens -= n;
+  /** Takes `count` tokens however many there are. */
+  forceTake(count: number, now: MonotonicMs): void {
+    this.#refill(now);
+    this.#tokens -= count;
   }
 
-  /** Milliseconds until `n` can be taken. */
-  waitMs(n: number, now: MonotonicMs): number {
-    this.#fill(now);
-    const lacks = Math.min(n, this.#most()) - this.#tokens;
-    return lacks <= 0 ? 0 : (lacks / Math.max(this.rate, 1e-6)) * 1000;
+  /** Milliseconds until `take(count)` succeeds if nobody else takes any. */
+  waitMs(count: number, now: MonotonicMs): number {
+    this.#refill(now);
+    const lacking = Math.min(count, this.#capacity()) - this.#tokens;
+    return lacking <= 0 ? 0 : (lacking / Math.max(this.tokensPerS, MIN_TOKENS_PER_S)) * 1000;
   }
 
-  /** How full it is, from 0 to 1. */
-  level(now: MonotonicMs): number {
-    this.#fill(now);
-    return Math.max(0, this.#tokens / this.#most());
+  /** How full it is, from 0 (empty or in debt) to 1. */
+  fillLevel(now: MonotonicMs): number {
+    this.#refill(now);
+    return Math.max(0, this.#tokens / this.#capacity());
   }
 
-  /** The other side says that we are above its limit: start from nothing. */
+  /** The other side answers that its limit was exceeded: starts from nothing; a debt stays. */
   drain(now: MonotonicMs): void {
-    this.#fill(now);
+    this.#refill(now);
     this.#tokens = Math.min(0, this.#tokens);
   }
 }
