--- a/src/storage/cluster-records.ts
+++ b/src/storage/cluster-records.ts
@@ -1,47 +1,69 @@
+/**
+ * The records of which there is one for the whole cluster, both written by the leader: the machine
+ * types that the cloud offers (`now/types`) and the home shard of each team (`now/teams`).
+ */
 import { type ShardId, shardId, type TeamName, teamName } from "@umberfold/ids";
 import { amount, count, isMap, list, text } from "../protocol/cbor.js";
 import type { MachineType } from "../protocol/cloud.js";
 
-/** Records of the whole cluster, of which there is one each: machine types, and teams' home shards. */
+/** The stored name of each field of a machine type, in the order in which they are stored. */
+const FIELD = {
+  name: "l",
+  /** A list: processors, devices, memory in GB. */
+  capacity: "u",
+  cacheGb: "c",
+  fetchGbPerS: "f",
+  price: "p",
+  spotPrice: "s",
+  bootS: "b",
+  zones: "z",
+} as const;
+
+/** The stored form of the machine types: a list. */
 export const encodeMachineTypes = (types: readonly MachineType[]): unknown =>
-  types.map((t) => ({
-    l: t.name,
-    u: [t.capacity.cpus, t.capacity.gpus, t.capacity.ramGb],
-    c: t.cacheGb,
-    f: t.fetchGbPerS,
-    p: t.price,
-    s: t.spotPrice,
-    b: t.bootS,
-    z: t.zones,
+  types.map((type) => ({
+    [FIELD.name]: type.name,
+    [FIELD.capacity]: [type.capacity.cpus, type.capacity.gpus, type.capacity.ramGb],
+    [FIELD.cacheGb]: type.cacheGb,
+    [FIELD.fetchGbPerS]: type.fetchGbPerS,
+    [FIELD.price]: type.price,
+    [FIELD.spotPrice]: type.spotPrice,
+    [FIELD.bootS]: type.bootS,
+    [FIELD.zones]: type.zones,
   }));
 
-export const parseMachineTypesRecord = (v: unknown): readonly MachineType[] =>
-  (list(v) ?? []).flatMap((row) => {
+/** Rows that are no maps are ignored; a field that can't be read is empty or 0. */
+export const parseMachineTypesRecord = (value: unknown): readonly MachineType[] =>
+  (list(value) ?? []).flatMap((row) => {
     if (!isMap(row)) return [];
-    const u = list(row.u)?.map(amount) ?? [];
+    const [cpus, gpus, ramGb] = list(row[FIELD.capacity])?.map(amount) ?? [];
     return [
       {
-        name: text(row.l) ?? "",
-        capacity: { cpus: u[0] ?? 0, gpus: u[1] ?? 0, ramGb: u[2] ?? 0 },
-        cacheGb: amount(row.c) ?? 0,
-        fetchGbPerS: amount(row.f) ?? 0,
-        price: amount(row.p) ?? 0,
-        spotPrice: amount(row.s) ?? 0,
-        bootS: amount(row.b) ?? 0,
-        zones: (list(row.z) ?? []).filter((z): z is string => typeof z === "string"),
+        name: text(row[FIELD.name]) ?? "",
+        capacity: { cpus: cpus ?? 0, gpus: gpus ?? 0, ramGb: ramGb ?? 0 },
+        cacheGb: amount(row[FIELD.cacheGb]) ?? 0,
+        fetchGbPerS: amount(row[FIELD.fetchGbPerS]) ?? 0,
+        price: amount(row[FIELD.price]) ?? 0,
+        spotPrice: amount(row[FIELD.spotPrice]) ?? 0,
+        bootS: amount(row[FIELD.bootS]) ?? 0,
+        zones: (list(row[FIELD.zones]) ?? []).filter(
+          (zone): zone is string => typeof zone === "string",
+        ),
       },
     ];
   });
 
-export const encodeTeams = (teams: ReadonlyMap<TeamName, ShardId>): unknown =>
-  Object.fromEntries(teams);
+/** The stored form of teams' home shards: a map by team name, in the map's order. */
+export const encodeTeams = (homes: ReadonlyMap<TeamName, ShardId>): unknown =>
+  Object.fromEntries(homes);
 
-export const parseTeams = (v: unknown): ReadonlyMap<TeamName, ShardId> => {
-  const out = new Map<TeamName, ShardId>();
-  if (!isMap(v)) return out;
-  for (const [name, n] of Object.entries(v)) {
-    const shard = count(n);
-    if (shard !== undefined) out.set(teamName(name), shardId(shard));
+/** Teams whose shard can't be read are left out. */
+export const parseTeams = (value: unknown): ReadonlyMap<TeamName, ShardId> => {
+  const homes = new Map<TeamName, ShardId>();
+  if (!isMap(value)) return homes;
+  for (const [name, stored] of Object.entries(value)) {
+    const shard = count(stored);
+    if (shard !== undefined) homes.set(teamName(name), shardId(shard));
   }
-  return out;
+  return homes;
 };
--- a/src/storage/job-index.ts
+++ b/src/storage/job-index.ts
@@ -1,20 +1,28 @@
+/**
+ * Views of a shard's live jobs that a round needs, kept up to date by each change of a job. A round
+ * then costs what waits or changed, not what lives: a job whose tasks all run costs it nothing.
+ *
+ * Invariant: each view equals the one that a pass over all live jobs would give.
+ */
 import type { JobId, TeamName } from "@umberfold/ids";
 import type { JobSpec, Resources } from "../protocol/jobs.js";
-import { completedTaskCount, type LiveJob, waitingTaskCount } from "./records.js";
+import { completedTaskCount, type LiveJob, waitingTaskCount } from "./job-records.js";
 
-/** A team as far as guarantees go. */
+/** A team's guarantee; of cpus and gpus alone, for memory is not guaranteed. */
 export interface Guarantee {
   readonly name: TeamName;
   readonly cpus: number;
   readonly gpus: number;
 }
 
+/** How many attempts or jobs ask for the same resources. */
 export interface ResourceCount {
   readonly resources: Resources;
   count: number;
 }
 
-interface Ordered {
+/** A job in its team's order of acceptance. */
+interface OrderedJob {
   readonly id: JobId;
   readonly acceptedAt: number;
   readonly spec: JobSpec;
@@ -23,22 +31,21 @@
 /** Sums of decimal amounts drift by a few units in the last place. */
 const TOLERANCE = 1e-9;
 
-const needsKey = (n: Resources): string => `${n.cpus}|${n.gpus}|${n.ramGb}`;
-
-const addCount = (map: Map<string, ResourceCount>, resources: Resources, by: number): void => {
-  const key = needsKey(resources);
-  const entry = map.get(key);
-  if (entry === undefined) map.set(key, { resources, count: by });
-  else if (entry.count + by === 0) map.delete(key);
-  else entry.count += by;
+const resourcesKey = ({ cpus, gpus, ramGb }: Resources): string => `${cpus}|${gpus}|${ramGb}`;
+
+const addCount = (
+  counts: Map<string, ResourceCount>,
+  resources: Resources,
+  change: number,
+): void => {
+  const key = resourcesKey(resources);
+  const entry = counts.get(key);
+  if (entry === undefined) counts.set(key, { resources, count: change });
+  else if (entry.count + change === 0) counts.delete(key);
+  else entry.count += change;
 };
 
-/**
- * Views of a shard's live jobs that a round needs, kept up to date by each change of a job. A round
- * then costs what waits or changed, not what lives: a job whose tasks all run costs it nothing.
- *
- * Invariant: each view equals the one that a pass over all live jobs would give.
- */
+/** The views; see the module's head for what holds of them. */
 export class JobIndex {
   /** Jobs with tasks that wait. */
   readonly waiting = new Map<JobId, LiveJob>();
@@ -46,10 +53,10 @@
   readonly cancelled = new Map<JobId, LiveJob>();
   /** Jobs whose tasks have all completed and that have no final record yet. */
   readonly complete = new Map<JobId, LiveJob>();
-  readonly #needs = new Map<string, ResourceCount>();
+  readonly #jobsByResources = new Map<string, ResourceCount>();
   readonly #openByTeam = new Map<TeamName, Map<string, ResourceCount>>();
   /** Jobs that were not cancelled, in the order in which they were accepted. */
-  readonly #order = new Map<TeamName, Ordered[]>();
+  readonly #orderByTeam = new Map<TeamName, OrderedJob[]>();
 
   /** Replaces what is known of one job; `undefined` stands for a job that is not live. */
   replace(id: JobId, before: LiveJob | undefined, after: LiveJob | undefined): void {
@@ -57,14 +64,14 @@
     if (after !== undefined) this.#add(id, before, after);
   }
 
-  /** The distinct needs of all live jobs. */
+  /** The distinct resources that a task of any live job asks for. */
   *distinctResources(): Iterable<Resources> {
-    for (const entry of this.#needs.values()) yield entry.resources;
+    for (const entry of this.#jobsByResources.values()) yield entry.resources;
   }
 
-  /** What the open attempts of each team take: every one counts until it is closed. */
+  /** What the open attempts of each team use: every one counts until it is terminated. */
   teamUse(): Map<TeamName, Resources> {
-    const out = new Map<TeamName, Resources>();
+    const useByTeam = new Map<TeamName, Resources>();
     for (const [team, counts] of this.#openByTeam) {
       let use = { cpus: 0, gpus: 0, ramGb: 0 };
       for (const { resources, count } of counts.values())
@@ -73,24 +80,25 @@
           gpus: use.gpus + count * resources.gpus,
           ramGb: use.ramGb + count * resources.ramGb,
         };
-      out.set(team, use);
+      useByTeam.set(team, use);
     }
-    return out;
+    return useByTeam;
   }
 
-  /** What the open attempts of each team need, as counts of attempts with the same needs. */
+  /** The open attempts of each team, as counts of attempts with the same resources. */
   openByTeam(): ReadonlyMap<TeamName, ReadonlyMap<string, Readonly<ResourceCount>>> {
     return this.#openByTeam;
   }
 
-  /** How many jobs of each team were not cancelled. */
+  /** How many jobs of each team are live and not cancelled. */
   *liveJobs(): Iterable<readonly [TeamName, number]> {
-    for (const [team, rows] of this.#order) yield [team, rows.length];
+    for (const [team, ordered] of this.#orderByTeam) yield [team, ordered.length];
   }
 
   /**
    * Jobs within their team's guarantee: those that fit in it together with the team's earlier
-   * unfinished jobs. Looks no further than the first job beyond it, for sums only grow.
+   * unfinished jobs. Looks no further than the first job beyond it, for sums only grow. `tasksOf`
+   * says how many of a job's tasks count.
    */
   *withinGuarantee(
     teams: Iterable<Guarantee>,
@@ -100,7 +108,7 @@
       if (team.cpus <= 0 && team.gpus <= 0) continue;
       let cpus = 0;
       let gpus = 0;
-      for (const { id, spec } of this.#order.get(team.name) ?? []) {
+      for (const { id, spec } of this.#orderByTeam.get(team.name) ?? []) {
         const tasks = tasksOf(id, spec);
         cpus += tasks * spec.resources.cpus;
         gpus += tasks * spec.resources.gpus;
@@ -117,7 +125,7 @@
       this.cancelled.delete(id);
       this.complete.delete(id);
     }
-    if (after?.spec !== spec) addCount(this.#needs, spec.resources, -1);
+    if (after?.spec !== spec) addCount(this.#jobsByResources, spec.resources, -1);
     if (before.open.length > 0) {
       const counts = this.#openByTeam.get(spec.team);
       if (counts !== undefined) {
@@ -137,7 +145,7 @@
     if (after.cancelledAt === null && completedTaskCount(after) === spec.taskCount)
       this.complete.set(id, after);
     else this.complete.delete(id);
-    if (before?.spec !== spec) addCount(this.#needs, spec.resources, 1);
+    if (before?.spec !== spec) addCount(this.#jobsByResources, spec.resources, 1);
     if (after.open.length > 0) {
       const counts = this.#openByTeam.get(spec.team) ?? new Map<string, ResourceCount>();
       this.#openByTeam.set(spec.team, counts);
@@ -148,21 +156,22 @@
 
   #enterOrder(id: JobId, job: LiveJob): void {
     const { spec, acceptedAt } = job;
-    const rows = this.#order.get(spec.team) ?? [];
-    this.#order.set(spec.team, rows);
-    rows.splice(firstAfter(rows, acceptedAt), 0, { id, acceptedAt, spec });
+    const ordered = this.#orderByTeam.get(spec.team) ?? [];
+    this.#orderByTeam.set(spec.team, ordered);
+    ordered.splice(positionAfter(ordered, acceptedAt), 0, { id, acceptedAt, spec });
   }
 
   #leaveOrder(id: JobId, job: LiveJob): void {
-    const rows = this.#order.get(job.spec.team);
-    if (rows === undefined) return;
-    let at = firstAfter(rows, job.acceptedAt) - 1;
-    while (at >= 0 && rows[at]?.id !== id) at--;
-    if (at >= 0) rows.splice(at, 1);
-    if (rows.length === 0) this.#order.delete(job.spec.team);
+    const ordered = this.#orderByTeam.get(job.spec.team);
+    if (ordered === undefined) return;
+    let position = positionAfter(ordered, job.acceptedAt) - 1;
+    while (position >= 0 && ordered[position]?.id !== id) position--;
+    if (position >= 0) ordered.splice(position, 1);
+    if (ordered.length === 0) this.#orderByTeam.delete(job.spec.team);
   }
 }
 
+/** Whether a job keeps its place in its team's order, and what the order says of it. */
 const sameOrder = (before: LiveJob | undefined, after: LiveJob | undefined): boolean =>
   before !== undefined &&
   after !== undefined &&
@@ -170,13 +179,13 @@
   before.acceptedAt === after.acceptedAt &&
   (before.cancelledAt === null) === (after.cancelledAt === null);
 
-/** Where the rows accepted after `acceptedAt` begin. */
-const firstAfter = (rows: readonly Ordered[], acceptedAt: number): number => {
+/** The position of the first job accepted later than `acceptedAt`, by binary search. */
+const positionAfter = (ordered: readonly OrderedJob[], acceptedAt: number): number => {
   let low = 0;
-  let high = rows.length;
+  let high = ordered.length;
   while (low < high) {
     const middle = (low + high) >> 1;
-    if ((rows[middle]?.acceptedAt ?? 0) <= acceptedAt) low = middle + 1;
+    if ((ordered[middle]?.acceptedAt ?? 0) <= acceptedAt) low = middle + 1;
     else high = middle;
   }
   return low;
--- a/src/storage/pages.ts
+++ b/src/storage/pages.ts
@@ -1,3 +1,15 @@
+/**
+ * Pages: records that hold many rows of one shard, so that a round changes a few keys however many
+ * tasks started or ended in it. A job page (`now/work/`) holds the progress of jobs, a machine page
+ * (`now/fleet/`) machines. Texts that many rows share (machine ids, machine types, zones) are
+ * written once a page, and rows refer to them by number.
+ *
+ * The stored forms, field by field:
+ * - job page: `m` machine ids, `j` rows `[job, nextAttempt, done, open]`, where `done` is ranges and
+ *   `open` is flat: `[index, attempt, machine number, ...]`.
+ * - machine page: `t` machine types, `z` zones, `m` rows `[machine, type number, zone number, flags,
+ *   rentedAt, endpoint, tokenFloor]`.
+ */
 import {
   attemptNumber,
   type JobId,
@@ -10,145 +22,160 @@
 } from "@umberfold/ids";
 import { amount, count, isMap, list, text } from "../protocol/cbor.js";
 import { isJobId } from "../protocol/jobs.js";
+import type { JobProgress, OpenAttempt } from "./job-records.js";
+import type { MachineRecord } from "./machine-records.js";
 import { parseRanges } from "./ranges.js";
-import type { JobProgress, MachineRecord, OpenAttempt } from "./records.js";
-
-/**
- * Pages: records that hold many things of one shard, so that a round changes a few keys however
- * many tasks started or ended in it. A work page holds the progress of jobs, a fleet page machines.
- * Names are written once a page and referred to by number.
- */
 
-const numbersOf = (names: Iterable<string>): Map<string, number> => {
-  const out = new Map<string, number>();
-  for (const n of names) if (!out.has(n)) out.set(n, out.size);
-  return out;
+/** Numbers distinct texts from 0, in the order in which they first appear. */
+const numberDistinct = (texts: Iterable<string>): Map<string, number> => {
+  const numbers = new Map<string, number>();
+  for (const value of texts) if (!numbers.has(value)) numbers.set(value, numbers.size);
+  return numbers;
 };
 
-const ENTRY_BYTES = 48;
+/** What a job's row takes beside its numbers and machine ids. */
+const JOB_ROW_BYTES = 48;
 /** The number by which an open attempt names its machine, and the commas after its numbers. */
-const OPEN_FIXED_BYTES = 7;
-/** Quotes and comma around a machine's name. */
-const NAME_FIXED_BYTES = 3;
+const OPEN_ATTEMPT_FIXED_BYTES = 7;
+/** Quotes and comma around a machine's id. */
+const MACHINE_ID_FIXED_BYTES = 3;
 
-const digits = (n: number): number => (n < 10 ? 1 : Math.floor(Math.log10(n)) + 1);
+/** What a machine's row takes at the most. */
+export const MACHINE_BYTES = 80;
 
-/** What one open attempt takes of a page, beside its machine's name. */
-export const openAttemptBytes = (o: Pick<OpenAttempt, "index" | "attempt">): number =>
-  OPEN_FIXED_BYTES + digits(o.index) + digits(o.attempt);
+const digitCount = (value: number): number => (value < 10 ? 1 : Math.floor(Math.log10(value)) + 1);
 
-/** What naming a machine takes, once for all that is open on it. */
-export const machineNameBytes = (id: MachineId): number => id.length + NAME_FIXED_BYTES;
+/** The bytes that one open attempt takes of a page, beside its machine's id. */
+export const openAttemptBytes = (attempt: Pick<OpenAttempt, "index" | "attempt">): number =>
+  OPEN_ATTEMPT_FIXED_BYTES + digitCount(attempt.index) + digitCount(attempt.attempt);
 
-const knownBytes = new WeakMap<JobProgress, number>();
+/** The bytes that a machine's id takes, once for all that is open on it. */
+export const machineNameBytes = (id: MachineId): number => id.length + MACHINE_ID_FIXED_BYTES;
+
+/** Progress is never changed in place, so what it takes is computed once. */
+const computedBytes = new WeakMap<JobProgress, number>();
 
 /**
- * An upper bound of what a job's progress takes of its page. It is close, for it decides how many
- * tasks of a large array run at a time.
+ * An upper bound of the bytes that a job's progress takes of its page. It is close, for it decides
+ * how many tasks of a large array run at a time.
  */
-export const progressBytes = (p: JobProgress): number => {
-  const known = knownBytes.get(p);
+export const progressBytes = (progress: JobProgress): number => {
+  const known = computedBytes.get(progress);
   if (known !== undefined) return known;
   const machines = new Set<MachineId>();
-  let bytes = ENTRY_BYTES;
-  for (const n of p.done) bytes += digits(n) + 1;
-  for (const o of p.open) {
-    bytes += openAttemptBytes(o);
-    machines.add(o.machine);
+  let bytes = JOB_ROW_BYTES;
+  for (const bound of progress.done) bytes += digitCount(bound) + 1;
+  for (const attempt of progress.open) {
+    bytes += openAttemptBytes(attempt);
+    machines.add(attempt.machine);
   }
   for (const id of machines) bytes += machineNameBytes(id);
-  knownBytes.set(p, bytes);
+  computedBytes.set(progress, bytes);
   return bytes;
 };
 
-export const MACHINE_BYTES = 80;
+/** The stored form of a job page without rows: what a deleted one is taken for. */
+export const EMPTY_JOB_PAGE: unknown = { m: [], j: [] };
 
+/** The stored form of a job page. */
 export const encodeJobPage = (entries: Iterable<readonly [JobId, JobProgress]>): unknown => {
   const rows = [...entries];
-  const machines = numbersOf(rows.flatMap(([, p]) => p.open.map((o) => o.machine)));
+  const machines = numberDistinct(
+    rows.flatMap(([, progress]) => progress.open.map((attempt) => attempt.machine)),
+  );
   return {
     m: [...machines.keys()],
-    j: rows.map(([id, p]) => {
+    j: rows.map(([id, progress]) => {
       const open: number[] = [];
-      for (const o of p.open) open.push(o.index, o.attempt, machines.get(o.machine) ?? 0);
-      return [id, p.nextAttempt, p.done, open];
+      for (const { index, attempt, machine } of progress.open)
+        open.push(index, attempt, machines.get(machine) ?? 0);
+      return [id, progress.nextAttempt, progress.done, open];
     }),
   };
 };
 
-/** Undefined if the page as a whole can't be read; a row that can't is passed over by itself. */
-export const parseJobPage = (v: unknown): ReadonlyMap<JobId, JobProgress> | undefined => {
-  if (!isMap(v)) return undefined;
-  const machines = list(v.m)?.map((m) => machineId(String(m)));
-  const rows = list(v.j);
+/** Undefined if the page as a whole can't be read; a row that can't be is left out by itself. */
+export const parseJobPage = (value: unknown): ReadonlyMap<JobId, JobProgress> | undefined => {
+  if (!isMap(value)) return undefined;
+  const machines = list(value.m)?.map((id) => machineId(String(id)));
+  const rows = list(value.j);
   if (machines === undefined || rows === undefined) return undefined;
-  const out = new Map<JobId, JobProgress>();
+  const entries = new Map<JobId, JobProgress>();
   for (const row of rows) {
-    const [id, next, done, flat] = list(row) ?? [];
+    const [id, next, done, openField] = list(row) ?? [];
     const nextAttempt = count(next);
-    const numbers = list(flat) as readonly number[] | undefined;
+    const openNumbers = list(openField) as readonly number[] | undefined;
     if (typeof id !== "string" || !isJobId(id)) continue;
-    if (nextAttempt === undefined || numbers === undefined) continue;
-    const open: OpenAttempt[] = [];
-    for (let i = 0; i + 2 < numbers.length; i += 3)
-      open.push({
-        index: Number(numbers[i]),
-        attempt: attemptNumber(Number(numbers[i + 1])),
-        machine: machines[Number(numbers[i + 2])] ?? machineId(""),
-      });
-    out.set(jobId(id), { done: parseRanges(done), open, nextAttempt });
+    if (nextAttempt === undefined || openNumbers === undefined) continue;
+    const open = parseOpenAttempts(openNumbers, machines);
+    entries.set(jobId(id), { done: parseRanges(done), open, nextAttempt });
   }
-  return out;
+  return entries;
+};
+
+const parseOpenAttempts = (
+  numbers: readonly number[],
+  machines: readonly MachineId[],
+): readonly OpenAttempt[] => {
+  const open: OpenAttempt[] = [];
+  for (let i = 0; i + 2 < numbers.length; i += 3)
+    open.push({
+      index: Number(numbers[i]),
+      attempt: attemptNumber(Number(numbers[i + 1])),
+      machine: machines[Number(numbers[i + 2])] ?? machineId(""),
+    });
+  return open;
 };
 
-const RETIRING = 2;
-const SPOT = 1;
+const FLAG = { spot: 1, retiring: 2 } as const;
 
+/** The stored form of a machine page. */
 export const encodeMachinePage = (
   machines: Iterable<readonly [MachineId, MachineRecord]>,
 ): unknown => {
   const rows = [...machines];
-  const types = numbersOf(rows.map(([, m]) => m.type));
-  const zones = numbersOf(rows.map(([, m]) => m.zone));
+  const types = numberDistinct(rows.map(([, machine]) => machine.type));
+  const zones = numberDistinct(rows.map(([, machine]) => machine.zone));
   return {
     t: [...types.keys()],
     z: [...zones.keys()],
-    m: rows.map(([id, m]) => [
+    m: rows.map(([id, machine]) => [
       id,
-      types.get(m.type),
-      zones.get(m.zone),
-      (m.spot ? SPOT : 0) | (m.phase === "retiring" ? RETIRING : 0),
-      Math.round(m.rentedAt),
-      m.endpoint,
-      m.tokenFloor,
+      types.get(machine.type),
+      zones.get(machine.zone),
+      (machine.spot ? FLAG.spot : 0) | (machine.phase === "retiring" ? FLAG.retiring : 0),
+      Math.round(machine.rentedAt),
+      machine.endpoint,
+      machine.tokenFloor,
     ]),
   };
 };
 
+/** Undefined if the page as a whole can't be read; a row that can't be is left out by itself. */
 export const parseMachinePage = (
   shard: ShardId,
-  v: unknown,
+  value: unknown,
 ): ReadonlyMap<MachineId, MachineRecord> | undefined => {
-  if (!isMap(v)) return undefined;
-  const types = list(v.t)?.map(String);
-  const zones = list(v.z)?.map(String);
-  const rows = list(v.m);
+  if (!isMap(value)) return undefined;
+  const types = list(value.t)?.map(String);
+  const zones = list(value.z)?.map(String);
+  const rows = list(value.m);
   if (types === undefined || zones === undefined || rows === undefined) return undefined;
-  const out = new Map<MachineId, MachineRecord>();
+  const machines = new Map<MachineId, MachineRecord>();
   for (const row of rows) {
-    const [id, type, zone, flags, rentedAt, endpoint, floor] = list(row) ?? [];
-    const bits = count(flags);
-    if (typeof id !== "string" || id === "" || bits === undefined) continue;
-    out.set(machineId(id), {
+    const [id, type, zone, flagsField, rentedAt, endpoint, tokenFloor] = list(row) ?? [];
+    const flags = count(flagsField);
+    if (typeof id !== "string" || id === "" || flags === undefined) continue;
+    machines.set(machineId(id), {
       shard,
       type: types[Number(type)] ?? "",
       zone: zones[Number(zone)] ?? "",
-      spot: (bits & SPOT) !== 0,
+      spot: (flags & FLAG.spot) !== 0,
       endpoint: text(endpoint) ?? "",
-      phase: (bits & RETIRING) !== 0 ? "retiring" : "up",
+      phase: (flags & FLAG.retiring) !== 0 ? "retiring" : "up",
       rentedAt: wallClockMs(amount(rentedAt) ?? 0),
-      tokenFloor: revision(count(floor) ?? 0),
+      tokenFloor: revision(count(tokenFloor) ?? 0),
     });
   }
-  return out;
+  return machines;
 };
