--- a/src/storage/fleet-index.ts
+++ b/src/storage/fleet-index.ts
@@ -1,57 +1,75 @@
+/**
+ * The machines of all machine pages, the page that each is in, and which of them are proved gone.
+ * Changed by the replica alone.
+ *
+ * A machine that moves from one page to another is written into the new page and deleted from the
+ * old one by one transaction, whose changes come in any order: the page of the higher revision has
+ * the machine.
+ */
 import type { MachineId, Revision, ShardId } from "@umberfold/ids";
-import type { MachineRecord } from "./records.js";
+import type { MachineRecord } from "./machine-records.js";
 
+/** One machine page, as it was last read. */
 export interface MachinePage {
   readonly shard: ShardId;
   readonly rev: Revision;
   readonly machines: ReadonlyMap<MachineId, MachineRecord>;
 }
 
-/** The machines of all pages: which page each stands in, and which are proved gone. */
+/** The machines of all shards. */
 export class FleetIndex {
+  /** Machines by id. */
   readonly machines = new Map<MachineId, MachineRecord>();
+  /** Pages by key. */
   readonly pages = new Map<string, MachinePage>();
+  /** The machines that a gone record names. */
   readonly gone = new Set<MachineId>();
-  /** Rises with every change. */
+  /** Rises with every change; the replica raises it for shard owners, too. */
   version = 0;
-  readonly #pageOf = new Map<MachineId, string>();
+  readonly #pageKeyOf = new Map<MachineId, string>();
 
+  /** `revisionOf` answers the newest revision of a key. */
   constructor(private readonly revisionOf: (key: string) => Revision) {}
 
-  /** The key of the page that a machine stands in. */
+  /** The key of the page that a machine is in. */
   pageOf(id: MachineId): string | undefined {
-    return this.#pageOf.get(id);
+    return this.#pageKeyOf.get(id);
   }
 
-  put(key: string, next: MachinePage): void {
-    this.#leave(key, next);
-    this.pages.set(key, next);
-    for (const [id, m] of next.machines) {
-      // Changes of one transaction come in any order: the younger page has the machine.
-      const other = this.#pageOf.get(id);
-      if (other !== undefined && other !== key && this.revisionOf(other) > next.rev) continue;
-      this.#pageOf.set(id, key);
-      this.machines.set(id, m);
+  /** A page was written. */
+  put(key: string, page: MachinePage): void {
+    this.#removeMissing(key, page);
+    this.pages.set(key, page);
+    for (const [id, machine] of page.machines) {
+      const otherKey = this.#pageKeyOf.get(id);
+      const inYoungerPage =
+        otherKey !== undefined && otherKey !== key && this.revisionOf(otherKey) > page.rev;
+      if (inYoungerPage) continue;
+      this.#pageKeyOf.set(id, key);
+      this.machines.set(id, machine);
     }
   }
 
+  /** A page was deleted. */
   drop(key: string): void {
-    this.#leave(key, undefined);
+    this.#removeMissing(key, undefined);
     this.pages.delete(key);
   }
 
+  /** Replaces the set of machines that are proved gone. */
   setGone(ids: Iterable<MachineId>): void {
     this.gone.clear();
     for (const id of ids) this.gone.add(id);
     this.version++;
   }
 
-  #leave(key: string, next: MachinePage | undefined): void {
+  /** Removes the machines of a page that its next content lacks. */
+  #removeMissing(key: string, next: MachinePage | undefined): void {
     this.version++;
     for (const id of this.pages.get(key)?.machines.keys() ?? []) {
-      // A machine that moved to another page stands there already.
-      if (next?.machines.has(id) || this.#pageOf.get(id) !== key) continue;
-      this.#pageOf.delete(id);
+      // A machine that moved to another page is indexed there already.
+      if (next?.machines.has(id) || this.#pageKeyOf.get(id) !== key) continue;
+      this.#pageKeyOf.delete(id);
       this.machines.delete(id);
     }
   }
--- a/src/storage/span-index.ts
+++ b/src/storage/span-index.ts
@@ -1,9 +1,15 @@
+/**
+ * Teams that span several shards, as their records (`now/span/`) say, and how many jobs were placed
+ * outside their team's home shard. Changed by the replica alone; the codec of a span is in
+ * `@umberfold/spans`.
+ */
 import type { Revision, TeamName } from "@umberfold/ids";
 import { parseSpan, type Span } from "@umberfold/spans";
-import { type AcceptedJob, teamOfSpan } from "./records.js";
+import type { AcceptedJob } from "./job-records.js";
+import { teamOfSpan } from "./keys.js";
 import type { Versioned } from "./versioned.js";
 
-/** Teams that span several shards, and how many jobs were placed outside their team's home shard. */
+/** The spans of all teams. */
 export class SpanIndex {
   /** By team; a record whose value is undefined can't be read. */
   readonly records = new Map<TeamName, Versioned<Span | undefined>>();
@@ -12,19 +18,22 @@
   /** Live jobs whose records name a shard. */
   placedJobs = 0;
 
-  /** `size` is how many shards there are: a record that names another is not believed. */
-  constructor(private readonly size: number) {}
+  /** A span that names a shard not below `shardCount` can't be read. */
+  constructor(private readonly shardCount: number) {}
 
+  /** A span record was written; `name` is what follows the prefix in its key. */
   put(name: string, value: unknown, rev: Revision): void {
-    this.records.set(teamOfSpan(name), { value: parseSpan(value, this.size), rev });
+    this.records.set(teamOfSpan(name), { value: parseSpan(value, this.shardCount), rev });
     this.version++;
   }
 
+  /** A span record was deleted: its team is in its home shard alone. */
   drop(name: string): void {
     this.records.delete(teamOfSpan(name));
     this.version++;
   }
 
+  /** The record of teams' home shards changed. */
   homesChanged(): void {
     this.version++;
   }
