--- a/src/storage/transaction-batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -1,3 +1,12 @@
+/**
+ * One transaction in the making, by which an owner commits a round (or the leader its machines).
+ *
+ * What several tasks change in one page is one change. The batch keeps within the limits of the
+ * state store (changes, conditions, bytes): whatever no longer fits is refused, changes nothing and
+ * waits for the next round. Each page and job is written on the condition that it is still as the
+ * replica has it, and that its shard still has the same owner. Which page a job's progress goes to
+ * is decided in `job-page-drafts.ts`.
+ */
 import {
   type JobId,
   KEY_ABSENT,
@@ -11,54 +20,55 @@
   type Transaction,
   type WriteOperation,
 } from "../protocol/store.js";
-import { encodeJobPage, encodeMachinePage, MACHINE_BYTES, progressBytes } from "./pages.js";
 import {
-  encodeFinalJob,
-  type FinalJob,
-  type JobProgress,
-  keys,
-  type MachineRecord,
-} from "./records.js";
+  type JobPageDraft,
+  JobPageDrafts,
+  type OpenedDraft,
+  PAGE_BASE_BYTES,
+  progressGrowth,
+  putProgress,
+} from "./job-page-drafts.js";
+import { encodeFinalJob, type FinalJob, type JobProgress } from "./job-records.js";
+import { keys } from "./keys.js";
+import type { MachineRecord } from "./machine-records.js";
+import { encodeJobPage, encodeMachinePage, MACHINE_BYTES, progressBytes } from "./pages.js";
 import type { Replica } from "./replica.js";
 
-/** Bytes of a transaction that are left for keys, versions and names. */
-const TXN_BYTES = 58 * 1024;
-const VALUE_MARGIN = 512;
-const PAGE_BYTES = 64;
-const FINAL_BYTES = 160;
+/** Bytes of a transaction; the rest of the store's limit is left for keys, revisions and names. */
+const MAX_TRANSACTION_BYTES = 58 * 1024;
+/** Bytes of the store's limit of one value that a page leaves free. */
+const VALUE_MARGIN_BYTES = 512;
+/** What a final record takes at the most. */
+const FINAL_RECORD_BYTES = 160;
 /** A page takes at most this part of a transaction, so that several go into one. */
-const PAGES_PER_TXN = 4;
+const PAGES_PER_TRANSACTION = 4;
 
-interface WorkPage {
-  readonly shard: ShardId;
-  readonly rev: Revision;
-  readonly entries: Map<JobId, JobProgress>;
-  bytes: number;
-}
-
-interface FleetEdit {
+interface MachinePageDraft {
   readonly rev: Revision;
   readonly machines: Map<MachineId, MachineRecord>;
 }
 
+/** The limits of one transaction. */
 export interface BatchLimits {
+  /** Changes that a transaction takes. */
   readonly txnOps: number;
+  /** What a value may take, in KiB. */
   readonly valueKb: number;
+  /** A condition is left free for each shard. */
   readonly shardCount: number;
 }
 
-/** The most that one page may take. */
-export const maxPageBytes = (l: BatchLimits): number =>
-  Math.min(l.valueKb * 1024 - VALUE_MARGIN, Math.floor(TXN_BYTES / PAGES_PER_TXN));
+/** The most bytes that one page may take. */
+export const maxPageBytes = (limits: BatchLimits): number =>
+  Math.min(
+    limits.valueKb * 1024 - VALUE_MARGIN_BYTES,
+    Math.floor(MAX_TRANSACTION_BYTES / PAGES_PER_TRANSACTION),
+  );
 
-/**
- * One transaction in the making. What several tasks change in one page is one change; whatever no
- * longer fits is refused and waits for the next round.
- */
+/** See the module's head. */
 export class TransactionBatch {
-  readonly #work = new Map<string, WorkPage>();
-  readonly #homes = new Map<JobId, string>();
-  readonly #fleet = new Map<string, FleetEdit>();
+  readonly #jobPages: JobPageDrafts;
+  readonly #machinePages = new Map<string, MachinePageDraft>();
   readonly #finals = new Map<JobId, FinalJob>();
   readonly #conditions = new Map<string, Revision>();
   #bytes = 0;
@@ -69,12 +79,16 @@
   constructor(
     private readonly replica: Replica,
     private readonly limits: BatchLimits,
-  ) {}
+  ) {
+    this.#jobPages = new JobPageDrafts(replica, maxPageBytes(limits));
+  }
 
+  /** Whether it changes nothing. */
   get empty(): boolean {
     return this.#ops === 0;
   }
 
+  /** How many changes it makes. */
   get ops(): number {
     return this.#ops;
   }
@@ -88,7 +102,7 @@
     const { txnOps, shardCount } = this.limits;
     return (
       this.#ops + ops <= txnOps &&
-      this.#bytes + bytes <= TXN_BYTES &&
+      this.#bytes + bytes <= MAX_TRANSACTION_BYTES &&
       this.#conditions.size + conditions + shardCount <= txnOps * CONDITIONS_PER_OP
     );
   }
@@ -97,92 +111,60 @@
     this.#conditions.set(key, rev);
   }
 
-  /** The shard must still be held when this is applied. */
-  #guard(shard: ShardId): void {
+  /** The shard must still have the same owner when this is applied. */
+  #requireOwner(shard: ShardId): void {
     this.#require(keys.shard(shard), this.replica.revisionOf(keys.shard(shard)));
   }
 
-  #untouched(shard: ShardId, key: string): WorkPage {
-    const page = this.replica.shardJobs(shard).pages.get(key);
-    const entries = new Map(page?.entries ?? []);
-    let bytes = PAGE_BYTES;
-    for (const p of entries.values()) bytes += progressBytes(p);
-    return { shard, rev: page?.rev ?? KEY_ABSENT, entries, bytes };
-  }
-
-  #page(shard: ShardId, key: string): { readonly page: WorkPage; readonly fresh: boolean } {
-    const page = this.#work.get(key);
-    return page === undefined
-      ? { page: this.#untouched(shard, key), fresh: true }
-      : { page, fresh: false };
-  }
-
-  #touch(key: string, page: WorkPage): void {
-    if (this.#work.has(key)) return;
-    this.#work.set(key, page);
+  /** Makes a page part of the transaction, if it isn't yet. */
+  #include(draft: JobPageDraft): void {
+    if (!this.#jobPages.add(draft)) return;
     this.#ops++;
-    this.#bytes += page.bytes;
-    this.#require(key, page.rev);
-    this.#guard(page.shard);
+    this.#bytes += draft.bytes;
+    this.#require(draft.key, draft.rev);
+    this.#requireOwner(draft.shard);
   }
 
-  #set(page: WorkPage, id: JobId, p: JobProgress | null): void {
-    const old = page.entries.get(id);
-    const change =
-      (p === null ? 0 : progressBytes(p)) - (old === undefined ? 0 : progressBytes(old));
-    page.bytes += change;
-    this.#bytes += change;
-    if (p === null) page.entries.delete(id);
-    else page.entries.set(id, p);
+  #putProgress(draft: JobPageDraft, id: JobId, progress: JobProgress | null): void {
+    this.#include(draft);
+    this.#bytes += putProgress(draft, id, progress);
   }
 
-  /** A page of the shard with room: one that is written anyway, else the first, else a new one. */
-  #roomy(shard: ShardId, bytes: number, not: string | undefined): string {
-    const limit = maxPageBytes(this.limits);
-    for (const [key, page] of this.#work)
-      if (page.shard === shard && key !== not && page.bytes + bytes <= limit) return key;
-    const { pages } = this.replica.shardJobs(shard);
-    for (let n = 0; ; n++) {
-      const key = keys.work(shard, n);
-      if (key === not || this.#work.has(key)) continue;
-      if (!pages.has(key) || this.#untouched(shard, key).bytes + bytes <= limit) return key;
-    }
+  /** Writes a job's progress, or with null takes it out. False if it has to wait. */
+  putJob(shard: ShardId, id: JobId, progress: JobProgress | null): boolean {
+    const key = this.#jobPages.pageOf(shard, id);
+    if (key === undefined)
+      return progress === null || this.#putInAnotherPage(shard, id, progress, undefined);
+    const current = this.#jobPages.open(shard, key);
+    const growth = progressGrowth(current.draft, id, progress);
+    if (progress !== null && !this.#jobPages.isWithinPage(current.draft.bytes + growth))
+      return this.#putInAnotherPage(shard, id, progress, current);
+    const bytes = bytesToInclude(current) + growth;
+    if (!this.#admits(opsToInclude(current), bytes, 2)) return false;
+    this.#putProgress(current.draft, id, progress);
+    return true;
   }
 
-  /** Writes a job's progress, or with null takes it out. False if it has to wait. */
-  putJob(shard: ShardId, id: JobId, p: JobProgress | null): boolean {
-    const bytes = p === null ? 0 : progressBytes(p);
-    const at = this.#homes.get(id) ?? this.replica.shardJobs(shard).pageOf(id);
-    if (at === undefined && p === null) return true;
-    const home = at === undefined ? undefined : this.#page(shard, at);
-    if (at !== undefined && home !== undefined) {
-      const old = home.page.entries.get(id);
-      const after = home.page.bytes + bytes - (old === undefined ? 0 : progressBytes(old));
-      if (after <= maxPageBytes(this.limits) || p === null) {
-        const more = home.fresh ? after : after - home.page.bytes;
-        if (!this.#admits(home.fresh ? 1 : 0, more, 2)) return false;
-        this.#touch(at, home.page);
-        this.#set(home.page, id, p);
-        return true;
-      }
-    }
-    const to = this.#roomy(shard, bytes, at);
-    const next = this.#page(shard, to);
-    const ops = (next.fresh ? 1 : 0) + (home?.fresh === true ? 1 : 0);
-    const more =
-      bytes + (next.fresh ? next.page.bytes : 0) + (home?.fresh === true ? home.page.bytes : 0);
-    if (!this.#admits(ops, more, 3)) return false;
-    if (at !== undefined && home !== undefined) {
-      this.#touch(at, home.page);
-      this.#set(home.page, id, null);
-    }
-    this.#touch(to, next.page);
-    this.#set(next.page, id, p);
-    this.#homes.set(id, to);
+  /** Moves a job out of the page that it is in, if any, into one with room. */
+  #putInAnotherPage(
+    shard: ShardId,
+    id: JobId,
+    progress: JobProgress,
+    current: OpenedDraft | undefined,
+  ): boolean {
+    const size = progressBytes(progress);
+    const key = this.#jobPages.pageWithRoom(shard, size, current?.draft.key);
+    const next = this.#jobPages.open(shard, key);
+    const ops = opsToInclude(next) + opsToInclude(current);
+    const bytes = size + bytesToInclude(next) + bytesToInclude(current);
+    if (!this.#admits(ops, bytes, 3)) return false;
+    if (current !== undefined) this.#putProgress(current.draft, id, null);
+    this.#putProgress(next.draft, id, progress);
+    this.#jobPages.moved(id, key);
     return true;
   }
 
-  /** A start stands only while its job is as it was read: not cancelled meanwhile. */
+  /** A start is valid only while its job's record is as it was read: not cancelled meanwhile. */
   requireJob(id: JobId, rev: Revision): boolean {
     const key = keys.live(id);
     this.urgent = true;
@@ -194,64 +176,75 @@
 
   /** Ends a job: its final record is written once, in the same transaction that drops the rest. */
   finishJob(shard: ShardId, id: JobId, rev: Revision, final: FinalJob): boolean {
-    if (!this.#admits(3, FINAL_BYTES, 4)) return false;
+    if (!this.#admits(3, FINAL_RECORD_BYTES, 4)) return false;
     if (!this.putJob(shard, id, null)) return false;
     this.urgent = true;
     this.#finals.set(id, final);
     this.#ops += 2;
-    this.#bytes += FINAL_BYTES;
+    this.#bytes += FINAL_RECORD_BYTES;
     this.#require(keys.live(id), rev);
     this.#require(keys.final(id), KEY_ABSENT);
-    this.#guard(shard);
+    this.#requireOwner(shard);
     return true;
   }
 
-  /** The machines of a page as they are to be written, or undefined if there is no room. */
+  /**
+   * The machines of a page, to be changed by the caller as they are to be written; undefined if
+   * there is no room, or no such page.
+   */
   editMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
     this.urgent = true;
-    const known = this.#fleet.get(key);
-    if (known !== undefined) return known.machines;
+    const draft = this.#machinePages.get(key);
+    if (draft !== undefined) return draft.machines;
     const page = this.replica.machinePages.get(key);
     if (page === undefined) return undefined;
-    const bytes = PAGE_BYTES + page.machines.size * MACHINE_BYTES;
+    const bytes = PAGE_BASE_BYTES + page.machines.size * MACHINE_BYTES;
     if (!this.#admits(1, bytes, 2)) return undefined;
     const machines = new Map(page.machines);
-    this.#fleet.set(key, { rev: page.rev, machines });
-    this.#ops++;
-    this.#bytes += bytes;
-    this.#require(key, page.rev);
-    this.#guard(page.shard);
+    this.#includeMachinePage(key, { rev: page.rev, machines }, bytes);
+    this.#requireOwner(page.shard);
     return machines;
   }
 
-  /** A new page, which must not exist yet. */
+  /** The machines of a new page, which must not exist yet; undefined if there is no room. */
   newMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
-    const known = this.#fleet.get(key);
-    if (known !== undefined) return known.machines;
-    if (!this.#admits(1, PAGE_BYTES + MACHINE_BYTES, 1)) return undefined;
+    const draft = this.#machinePages.get(key);
+    if (draft !== undefined) return draft.machines;
+    const bytes = PAGE_BASE_BYTES + MACHINE_BYTES;
+    if (!this.#admits(1, bytes, 1)) return undefined;
     const machines = new Map<MachineId, MachineRecord>();
-    this.#fleet.set(key, { rev: KEY_ABSENT, machines });
-    this.#ops++;
-    this.#bytes += PAGE_BYTES + MACHINE_BYTES;
-    this.#require(key, KEY_ABSENT);
+    this.#includeMachinePage(key, { rev: KEY_ABSENT, machines }, bytes);
     return machines;
   }
 
+  #includeMachinePage(key: string, draft: MachinePageDraft, bytes: number): void {
+    this.#machinePages.set(key, draft);
+    this.#ops++;
+    this.#bytes += bytes;
+    this.#require(key, draft.rev);
+  }
+
+  /** The transaction as it is now. A machine page without machines is deleted. */
   transaction(): Transaction {
     const ops: WriteOperation[] = [];
-    for (const [key, page] of this.#work)
-      ops.push({ kind: "put", key, value: encodeJobPage(page.entries) });
+    for (const { key, entries } of this.#jobPages.values())
+      ops.push({ kind: "put", key, value: encodeJobPage(entries) });
     for (const [id, final] of this.#finals) {
       ops.push({ kind: "delete", key: keys.live(id) });
       ops.push({ kind: "put", key: keys.final(id), value: encodeFinalJob(final) });
     }
-    for (const [key, edit] of this.#fleet)
+    for (const [key, { machines }] of this.#machinePages)
       ops.push(
-        edit.machines.size === 0
+        machines.size === 0
           ? { kind: "delete", key }
-          : { kind: "put", key, value: encodeMachinePage(edit.machines) },
+          : { kind: "put", key, value: encodeMachinePage(machines) },
       );
     const conditions: Condition[] = [...this.#conditions].map(([key, rev]) => ({ key, rev }));
     return { conditions, ops };
   }
 }
+
+const opsToInclude = (opened: OpenedDraft | undefined): number => (opened?.isNew === true ? 1 : 0);
+
+const bytesToInclude = (opened: OpenedDraft | undefined): number =>
+  opened?.isNew === true ? opened.draft.bytes : 0;
