--- a/test/storage/group-commit.test.ts
+++ b/test/storage/group-commit.test.ts
@@ -8,8 +8,8 @@
 import { SimulatedClock } from "../sim/clock.js";
 import { FakeStateStore } from "../sim/fakes/state-store.js";
 
-/** Accepts in masses share transactions, and what befalls one of them is no other's answer. */
-type Fate = "applied" | "lost" | "names_none" | "refused";
+/** Writes committed in masses share transactions, and each gets only the answer to its own. */
+type Outcome = "applied" | "lost" | "conflict_without_keys" | "refused";
 
 const create = (key: string, rev = 0): Transaction => ({
   conditions: [
@@ -19,9 +19,9 @@
   ops: [{ kind: "put", key, value: { n: key } }],
 });
 
-const play = async (
-  txns: readonly Transaction[],
-  fates: Fate[],
+const commitAll = async (
+  transactions: readonly Transaction[],
+  outcomes: Outcome[],
   before: (state: FakeStateStore) => void = () => undefined,
 ): Promise<{
   readonly results: readonly string[];
@@ -33,36 +33,37 @@
   before(state);
   let requests = 0;
   const call = async (
-    _a: string,
+    _address: string,
     method: string,
     path: string,
     body: unknown,
   ): Promise<CallResult> => {
     requests++;
-    const fate = fates.shift();
+    const outcome = outcomes.shift();
     await clock.sleep(5);
-    if (fate === "lost") return { kind: "lost" };
-    if (fate === "refused") return { kind: "answer", status: 503, body: {} };
-    const out = await state.handle(method, path, body as Record<string, unknown>);
-    const answer = fate === "names_none" ? { ledger: 1, failed: [] } : out.body;
-    return { kind: "answer", status: out.status, body: answer };
+    if (outcome === "lost") return { kind: "lost" };
+    if (outcome === "refused") return { kind: "answer", status: 503, body: {} };
+    const response = await state.handle(method, path, body as Record<string, unknown>);
+    const answer = outcome === "conflict_without_keys" ? { ledger: 1, failed: [] } : response.body;
+    return { kind: "answer", status: response.status, body: answer };
   };
   const calls: HttpClient = { call, callRaw: call, close: () => undefined };
-  const store = new StateStore("s", { rps: 1000, writeRps: 1000 }, calls, 1);
+  const store = new StateStore("store", { rps: 1000, writeRps: 1000 }, calls, 1);
   const group = new GroupCommit(store, { maxOps: 16, maxConditions: 64 });
   const results: TransactionResult[] = [];
-  for (const [i, t] of txns.entries()) void group.commit(t).then((r) => (results[i] = r));
+  for (const [i, transaction] of transactions.entries())
+    void group.commit(transaction).then((result) => (results[i] = result));
   await clock.runUntil(5000);
-  return { results: txns.map((_t, i) => results[i]?.kind ?? "none"), requests, state };
+  return { results: transactions.map((_t, i) => results[i]?.kind ?? "none"), requests, state };
 };
 
 const keys = (n: number): readonly string[] => Array.from({ length: n }, (_, i) => `k/${i}`);
-const taken = (key: string) => (state: FakeStateStore) => {
+const alreadyWritten = (key: string) => (state: FakeStateStore) => {
   void state.handle("POST", "/txn", { if: [], apply: [{ write: key, v: 1 }] });
 };
 
-test("a hundred accepts at once take few transactions", async () => {
-  const { results, requests, state } = await play(
+test("a hundred writes committed at once take at most ten requests", async () => {
+  const { results, requests, state } = await commitAll(
     keys(100).map((k) => create(k)),
     [],
   );
@@ -71,30 +72,39 @@
   assert.ok(requests <= 10, String(requests));
 });
 
-/** Of four writes the first two go by themselves, and the others together; the third is known. */
-const cases: readonly (readonly [string, Fate[], readonly string[]])[] = [
-  ["the known one alone is in conflict", [], ["applied", "applied", "conflict", "applied"]],
-  ["a lost answer is no other's", ["lost"], ["unknown", "applied", "conflict", "applied"]],
+/** Of four writes, two are sent alone and then two together; the third is in conflict. */
+const cases: readonly (readonly [name: string, outcomes: Outcome[], results: readonly string[]])[] =
   [
-    "a conflict that names nobody is sought one by one",
-    ["applied", "applied", "names_none"],
-    ["applied", "applied", "conflict", "applied"],
-  ],
-  [
-    "refused by the service: each may come again",
-    ["refused", "refused", "refused"],
-    ["unavailable", "unavailable", "unavailable", "unavailable"],
-  ],
-];
+    [
+      "a conflict that names a key is the answer to that write alone",
+      [],
+      ["applied", "applied", "conflict", "applied"],
+    ],
+    [
+      "a lost answer leaves only the write that was sent unknown",
+      ["lost"],
+      ["unknown", "applied", "conflict", "applied"],
+    ],
+    [
+      "a conflict that names no key is resolved by sending each write alone",
+      ["applied", "applied", "conflict_without_keys"],
+      ["applied", "applied", "conflict", "applied"],
+    ],
+    [
+      "an answer of 503 makes every write unavailable",
+      ["refused", "refused", "refused"],
+      ["unavailable", "unavailable", "unavailable", "unavailable"],
+    ],
+  ];
 
-for (const [name, fates, want] of cases)
-  test(`writes that share a transaction: ${name}`, async () => {
+for (const [name, outcomes, expected] of cases)
+  test(`four writes at once: ${name}`, async () => {
     const four = keys(4).map((k) => create(k));
-    const { results } = await play(four, [...fates], taken("k/2"));
-    assert.deepEqual(results, want);
+    const { results } = await commitAll(four, [...outcomes], alreadyWritten("k/2"));
+    assert.deepEqual(results, expected);
   });
 
-test("two writes of one key never share a transaction", async () => {
-  const { results } = await play([create("k/1"), create("k/2"), create("k/2")], []);
+test("two writes of one key are sent in separate transactions", async () => {
+  const { results } = await commitAll([create("k/1"), create("k/2"), create("k/2")], []);
   assert.deepEqual(results, ["applied", "applied", "conflict"]);
 });
--- a/test/storage/job-index.test.ts
+++ b/test/storage/job-index.test.ts
@@ -27,7 +27,7 @@
 } from "../../src/storage/records.js";
 import { ShardJobs } from "../../src/storage/shard-jobs.js";
 
-/** Indexes and searches that stand for passes over everything must decide as those passes do. */
+/** Indexes and searches that replace passes over everything must decide as those passes do. */
 const TEAMS = [
   { name: teamName("a"), cpus: 24, gpus: 0 },
   { name: teamName("b"), cpus: 0, gpus: 0 },
@@ -35,31 +35,31 @@
 const IMAGES = ["i", "j"];
 const ZONES = ["x", "y"];
 
-const dice = (seed: number) => {
+const randomSource = (seed: number) => {
   const generator = xoroshiro128plus(seed);
   const unit = (): number => uniformFloat64(generator);
   const below = (n: number): number => Math.floor(unit() * n);
   const pick = <T>(items: readonly T[]): T => items[below(items.length)] as T;
   return { unit, below, pick };
 };
-type Dice = ReturnType<typeof dice>;
+type RandomSource = ReturnType<typeof randomSource>;
 
-const needsOf = (cpus: number): Resources => ({ cpus, gpus: 0, ramGb: cpus * 3 });
+const resourcesOf = (cpus: number): Resources => ({ cpus, gpus: 0, ramGb: cpus * 3 });
 
-const randomSpec = (d: Dice, id: string): JobSpec => ({
+const randomSpec = (random: RandomSource, id: string): JobSpec => ({
   id: jobId(id),
   jobClass: "c",
-  team: d.pick(TEAMS).name,
-  priority: d.pick(["high", "normal"] as const),
-  taskCount: 1 + d.below(6),
-  resources: needsOf(d.pick([1, 2, 4])),
-  image: d.pick(IMAGES),
-  imageGb: d.pick([1, 4]),
-  machineTypes: d.pick([null, ["small"], ["large"]]),
-  zone: d.pick([null, null, "x"]),
-  zoneAffinity: d.unit() < 0.3,
-  spreadAcrossZones: d.unit() < 0.3,
-  spotAllowed: d.unit() < 0.7,
+  team: random.pick(TEAMS).name,
+  priority: random.pick(["high", "normal"] as const),
+  taskCount: 1 + random.below(6),
+  resources: resourcesOf(random.pick([1, 2, 4])),
+  image: random.pick(IMAGES),
+  imageGb: random.pick([1, 4]),
+  machineTypes: random.pick([null, ["small"], ["large"]]),
+  zone: random.pick([null, null, "x"]),
+  zoneAffinity: random.unit() < 0.3,
+  spreadAcrossZones: random.unit() < 0.3,
+  spotAllowed: random.unit() < 0.7,
   expectedRunS: 10,
   checkpointIntervalS: 0,
   checkpointSaveS: 0,
@@ -94,43 +94,44 @@
   };
 };
 
-test("an index of a shard's jobs equals a pass over all of them, over random changes", () => {
+test("a shard's job index equals a pass over all jobs after each of 2000 random changes", () => {
   for (let seed = 1; seed <= 8; seed++) {
-    const d = dice(seed);
+    const random = randomSource(seed);
     const accepted = new Map<string, AcceptedJob>();
-    const work = new ShardJobs((id) => accepted.get(id));
+    const shardJobs = new ShardJobs((id) => accepted.get(id));
     const pages = [new Map<ReturnType<typeof jobId>, JobProgress>(), new Map()];
     for (let step = 1; step <= 250; step++) {
-      const id = jobId(`wk-${d.below(25)}`);
+      const id = jobId(`wk-${random.below(25)}`);
       const known = accepted.get(id);
-      const page = pages[d.below(2)] as Map<typeof id, JobProgress>;
+      const page = pages[random.below(2)] as Map<typeof id, JobProgress>;
       if (known === undefined) {
-        const spec = randomSpec(d, id);
+        const spec = randomSpec(random, id);
         accepted.set(id, {
           spec,
-          acceptedAt: wallClockMs(d.below(1e6) + step / 1000),
+          acceptedAt: wallClockMs(random.below(1e6) + step / 1000),
           cancelledAt: null,
           shard: null,
         });
-      } else if (d.unit() < 0.1) accepted.set(id, { ...known, cancelledAt: wallClockMs(step) });
-      else if (d.unit() < 0.15) {
+      } else if (random.unit() < 0.1)
+        accepted.set(id, { ...known, cancelledAt: wallClockMs(step) });
+      else if (random.unit() < 0.15) {
         accepted.delete(id);
         for (const p of pages) p.delete(id);
       } else {
         // A job may move from one page to another with what it has open.
         for (const p of pages) p.delete(id);
-        const open = Array.from({ length: d.below(known.spec.taskCount + 1) }, (_, index) => ({
+        const open = Array.from({ length: random.below(known.spec.taskCount + 1) }, (_, index) => ({
           index,
           attempt: attemptNumber(step),
-          machine: machineId(`m-${d.below(4)}`),
+          machine: machineId(`m-${random.below(4)}`),
         }));
-        const done = open.length === 0 && d.unit() < 0.5 ? [0, known.spec.taskCount - 1] : [];
+        const done = open.length === 0 && random.unit() < 0.5 ? [0, known.spec.taskCount - 1] : [];
         page.set(id, { done, open, nextAttempt: step });
       }
-      work.jobChanged(id);
+      shardJobs.jobChanged(id);
       for (const [n, p] of pages.entries())
-        work.pageChanged(`now/work/0/${n}`, encodeJobPage(p), revision(step));
-      const { index, jobs } = work;
+        shardJobs.pageChanged(`now/work/0/${n}`, encodeJobPage(p), revision(step));
+      const { index, jobs } = shardJobs;
       const expected = fullPass(jobs);
       const got = {
         waiting: [...index.waiting.keys()],
@@ -147,15 +148,15 @@
   }
 });
 
-/** The same search over all machines, worked out anew for each task. */
-const bestPlace = (
+/** The same search over all machines, computed for each task. */
+const bestCandidate = (
   spec: JobSpec,
-  places: readonly CandidateMachine[],
+  machines: readonly CandidateMachine[],
   zones: ReadonlyMap<string, number>,
-  hurryS: number,
+  slackS: number,
 ): CandidateMachine | null => {
-  const standing = (p: CandidateMachine): readonly number[] => {
-    const late = !p.images.has(spec.image) && spec.imageGb > hurryS * p.fetchGbPerS;
+  const rankOf = (p: CandidateMachine): readonly number[] => {
+    const late = !p.images.has(spec.image) && spec.imageGb > slackS * p.fetchGbPerS;
     const after = moveProbability(
       add(p.use, spec.resources),
       p.capacity,
@@ -170,10 +171,10 @@
       p.price,
     ];
   };
-  const room = places.filter(
+  const permitted = machines.filter(
     (p) => fitsBeside(spec.resources, p.use, p.capacity) && isPermitted(spec, p, zones),
   );
-  const ranked = room.map((p, at) => ({ p, key: [...standing(p), at] }));
+  const ranked = permitted.map((p, at) => ({ p, key: [...rankOf(p), at] }));
   ranked.sort((a, b) => {
     const at = a.key.findIndex((x, i) => Math.abs(x - (b.key[i] ?? 0)) > 1e-9);
     return at < 0 ? 0 : (a.key[at] ?? 0) - (b.key[at] ?? 0);
@@ -181,45 +182,49 @@
   return ranked[0]?.p ?? null;
 };
 
-test("selectors shared by like jobs choose as a search over all machines does", () => {
+test("a selector shared by a placement group chooses as a search over all machines does", () => {
   let placed = 0;
   let bound = 0;
   for (let seed = 1; seed <= 30; seed++) {
-    const d = dice(seed);
-    const places = Array.from({ length: 12 }, (_, i): CandidateMachine => {
-      const large = d.unit() < 0.5;
+    const random = randomSource(seed);
+    const machines = Array.from({ length: 12 }, (_, i): CandidateMachine => {
+      const large = random.unit() < 0.5;
       return {
         id: machineId(`m-${i}`),
         type: large ? "large" : "small",
-        zone: d.pick(ZONES),
-        spot: d.unit() < 0.5,
-        capacity: needsOf(large ? 16 : 8),
-        use: needsOf(0),
-        smallestDemand: needsOf(Number.POSITIVE_INFINITY),
-        price: d.pick([1, 2, 3]),
-        isCostly: d.unit() < 0.3,
-        fetchGbPerS: d.pick([0.2, 1]),
-        images: new Set(IMAGES.filter(() => d.unit() < 0.4)),
+        zone: random.pick(ZONES),
+        spot: random.unit() < 0.5,
+        capacity: resourcesOf(large ? 16 : 8),
+        use: resourcesOf(0),
+        smallestDemand: resourcesOf(Number.POSITIVE_INFINITY),
+        price: random.pick([1, 2, 3]),
+        isCostly: random.unit() < 0.3,
+        fetchGbPerS: random.pick([0.2, 1]),
+        images: new Set(IMAGES.filter(() => random.unit() < 0.4)),
         competingShapes: large ? 2 : 1,
       };
     });
     const selectors = new Map<string, CandidateSelector>();
     for (let n = 0; n < 25; n++) {
-      const spec = randomSpec(d, `wk-${n}`);
+      const spec = randomSpec(random, `wk-${n}`);
       const key = placementGroupKey(spec);
-      const selector = selectors.get(key) ?? new CandidateSelector(spec, places);
+      const selector = selectors.get(key) ?? new CandidateSelector(spec, machines);
       selectors.set(key, selector);
       const zones = new Map<string, number>();
-      const hurryS = d.pick([Number.POSITIVE_INFINITY, 8, 2]);
+      const slackS = random.pick([Number.POSITIVE_INFINITY, 8, 2]);
       for (let task = 0; task < spec.taskCount; task++) {
-        const place = selector.choose(zones, hurryS);
-        assert.equal(place?.id, bestPlace(spec, places, zones, hurryS)?.id, `${seed} ${n}/${task}`);
-        if (place === null) break;
+        const chosen = selector.choose(zones, slackS);
+        assert.equal(
+          chosen?.id,
+          bestCandidate(spec, machines, zones, slackS)?.id,
+          `${seed} ${n}/${task}`,
+        );
+        if (chosen === null) break;
         placed++;
         if (spec.zoneAffinity || spec.spreadAcrossZones) bound++;
-        place.use = add(place.use, spec.resources);
-        place.smallestDemand = minimumOf(place.smallestDemand, spec.resources);
-        zones.set(place.zone, (zones.get(place.zone) ?? 0) + 1);
+        chosen.use = add(chosen.use, spec.resources);
+        chosen.smallestDemand = minimumOf(chosen.smallestDemand, spec.resources);
+        zones.set(chosen.zone, (zones.get(chosen.zone) ?? 0) + 1);
       }
     }
   }
@@ -229,8 +234,8 @@
 const sources = (all: readonly PreemptionCandidate[]): readonly PreemptionSource[] =>
   all.map((c) => ({ candidate: () => c, version: () => 0 }));
 
-/** Room made by sorting all victims of all machines anew for each task. */
-const cheapestRoom = (needs: Resources, candidates: PreemptionCandidate[], mostS: number) => {
+/** Preemption by sorting all victims of all machines for each task. */
+const cheapestVictims = (needs: Resources, candidates: PreemptionCandidate[], maxLossS: number) => {
   let best: { at: number; victims: PreemptionCandidate["victims"]; lossS: number } | null = null;
   for (const [at, c] of candidates.entries()) {
     let free = c.free;
@@ -247,61 +252,69 @@
       chosen = chosen.filter((x) => x !== v);
     }
     const lossS = chosen.reduce((sum, v) => sum + v.lossS, 0);
-    if (lossS <= mostS && lossS < (best?.lossS ?? Number.POSITIVE_INFINITY))
+    if (lossS <= maxLossS && lossS < (best?.lossS ?? Number.POSITIVE_INFINITY))
       best = { at, victims: chosen, lossS };
   }
   return best;
 };
 
-test("room made by preemption is what sorting all victims anew gives", () => {
+test("preemption chooses the victims that sorting all victims for each task chooses", () => {
   for (let seed = 1; seed <= 40; seed++) {
-    const d = dice(seed);
-    const needs = needsOf(d.pick([1, 2, 4]));
+    const random = randomSource(seed);
+    const needs = resourcesOf(random.pick([1, 2, 4]));
     const candidates = Array.from(
       { length: 6 },
       (_, m): PreemptionCandidate => ({
         id: machineId(`m-${m}`),
-        free: needsOf(d.below(3)),
-        victims: Array.from({ length: d.below(6) }, (_x, v) => ({
+        free: resourcesOf(random.below(3)),
+        victims: Array.from({ length: random.below(6) }, (_x, v) => ({
           task: `wk-${m}/${v}` as never,
-          resources: needsOf(d.pick([1, 2, 4])),
-          lossS: d.unit() * 20,
+          resources: resourcesOf(random.pick([1, 2, 4])),
+          lossS: random.unit() * 20,
         })),
       }),
     );
     const search = new PreemptionSearch(needs, sources(candidates), 25);
     for (;;) {
-      const want = cheapestRoom(needs, candidates, 25);
+      const expected = cheapestVictims(needs, candidates, 25);
       const got = search.take();
-      assert.equal(got?.machine, want === null ? undefined : candidates[want.at]?.id);
-      if (want === null) break;
+      assert.equal(got?.machine, expected === null ? undefined : candidates[expected.at]?.id);
+      if (expected === null) break;
       assert.deepEqual(
         got?.victims.map((v) => v.task),
-        want.victims.map((v) => v.task),
+        expected.victims.map((v) => v.task),
       );
-      const c = candidates[want.at] as PreemptionCandidate;
-      const freed = want.victims.reduce((sum, v) => add(sum, v.resources), c.free);
-      const victims = c.victims.filter((v) => !want.victims.includes(v));
-      candidates[want.at] = { id: c.id, free: subtract(freed, needs), victims };
+      const c = candidates[expected.at] as PreemptionCandidate;
+      const freed = expected.victims.reduce((sum, v) => add(sum, v.resources), c.free);
+      const victims = c.victims.filter((v) => !expected.victims.includes(v));
+      candidates[expected.at] = { id: c.id, free: subtract(freed, needs), victims };
     }
   }
 });
 
-test("a machine on which something happened is worked out again before it is chosen", () => {
-  const task = (id: string, lossS: number) => ({ task: id as never, resources: needsOf(2), lossS });
-  const cheap = { id: machineId("m-1"), free: needsOf(0), victims: [task("a", 1), task("b", 2)] };
-  const dearer = { id: machineId("m-2"), free: needsOf(0), victims: [task("c", 5)] };
+test("a preemption candidate whose version changed is computed again before it is chosen", () => {
+  const task = (id: string, lossS: number) => ({
+    task: id as never,
+    resources: resourcesOf(2),
+    lossS,
+  });
+  const cheap = {
+    id: machineId("m-1"),
+    free: resourcesOf(0),
+    victims: [task("a", 1), task("b", 2)],
+  };
+  const dearer = { id: machineId("m-2"), free: resourcesOf(0), victims: [task("c", 5)] };
   let taken: PreemptionCandidate | undefined = cheap;
   let version = 0;
   const search = new PreemptionSearch(
-    needsOf(2),
+    resourcesOf(2),
     [
       { candidate: () => taken, version: () => version },
       { candidate: () => dearer, version: () => 0 },
     ],
     25,
   );
-  // What was stopped there for another job meanwhile must not be counted on again.
+  // What was stopped there for another job meanwhile can't be stopped again.
   taken = { ...cheap, victims: [task("b", 9)] };
   version++;
   assert.equal(search.take()?.victims[0]?.task, "c");
--- a/test/storage/job-reader.test.ts
+++ b/test/storage/job-reader.test.ts
@@ -11,8 +11,8 @@
 import { FakeStateStore } from "../sim/fakes/state-store.js";
 
 /**
- * Many questions cost few requests, and none is answered older than the state service was when it
- * was asked: a state that another controller has told since must never be taken back.
+ * Many questions cost few requests, and no answer is older than the question: a user who was
+ * answered by another controller must never get an older state here.
  */
 type Body = Record<string, unknown>;
 const spec = (id: string): JobSpec => ({
@@ -35,10 +35,10 @@
   deadlineS: null,
 });
 
-/** What the service does with the n-th transaction, instead of carrying it out at once. */
-type Fate = "lost" | "late" | "refused" | "first_failed_only";
+/** What the state store does with the n-th comparison, instead of answering it at once. */
+type Outcome = "lost" | "late" | "refused" | "first_failed_only";
 
-const MOST_CONDITIONS = 64;
+const MAX_CONDITIONS = 64;
 
 class Setup {
   readonly clock = new SimulatedClock(1);
@@ -47,11 +47,11 @@
   readonly reader: JobReader;
   readonly answers = new Map<string, JobLookup>();
   requests = 0;
-  fates: Fate[] = [];
+  outcomes: Outcome[] = [];
 
   constructor(rps = 1000) {
     const store = new StateStore("s", { rps, writeRps: 100 }, this.#calls(), 1);
-    this.reader = new JobReader(store, this.replica, MOST_CONDITIONS);
+    this.reader = new JobReader(store, this.replica, MAX_CONDITIONS);
   }
 
   #calls(): HttpClient {
@@ -63,21 +63,21 @@
       timeoutMs: number,
     ): Promise<CallResult> => {
       this.requests++;
-      const fate = path === "/txn" ? this.fates.shift() : undefined;
-      if (fate === "refused") return { kind: "answer", status: 503, body: {} };
-      if (fate === "lost") {
+      const outcome = path === "/txn" ? this.outcomes.shift() : undefined;
+      if (outcome === "refused") return { kind: "answer", status: 503, body: {} };
+      if (outcome === "lost") {
         await this.clock.sleep(timeoutMs);
         return { kind: "lost" };
       }
       await this.clock.sleep(2);
-      const out = await this.state.handle(method, path, body as Body | undefined);
-      // Carried out at once, and its answer is long on its way.
-      await this.clock.sleep(fate === "late" ? 400 : 2);
-      const answer = out.body as Body | undefined;
-      const named = answer?.failed;
-      const cut = fate === "first_failed_only" && Array.isArray(named);
-      const failed = cut ? { failed: named.slice(0, 1) } : {};
-      return { kind: "answer", status: out.status, body: { ...answer, ...failed } };
+      const response = await this.state.handle(method, path, body as Body | undefined);
+      // Executed at once, and its answer is late.
+      await this.clock.sleep(outcome === "late" ? 400 : 2);
+      const answer = response.body as Body | undefined;
+      const failedKeys = answer?.failed;
+      const cut = outcome === "first_failed_only" && Array.isArray(failedKeys);
+      const failed = cut ? { failed: failedKeys.slice(0, 1) } : {};
+      return { kind: "answer", status: response.status, body: { ...answer, ...failed } };
     };
     return { call, callRaw: call, close: () => undefined };
   }
@@ -87,21 +87,21 @@
     return this.state.rev;
   }
 
-  /** A live job, known here, and cancelled or not. */
-  job(id: string, heard = true, cancelledAt: number | null = null): void {
-    const at = cancelledAt === null ? null : wallClockMs(cancelledAt);
+  /** Writes the record of a live job, and brings it to the replica unless told otherwise. */
+  job(id: string, inReplica = true, cancelledAt: number | null = null): void {
     const value = encodeAcceptedJob({
       spec: spec(id),
       acceptedAt: wallClockMs(1),
-      cancelledAt: at,
+      cancelledAt: cancelledAt === null ? null : wallClockMs(cancelledAt),
       shard: null,
     });
     const rev = this.write([{ write: keys.live(jobId(id)), v: value }]);
-    if (heard)
+    if (inReplica)
       this.replica.apply({ kind: "put", key: keys.live(jobId(id)), value, rev: revision(rev) });
   }
 
-  end(id: string): void {
+  /** Writes the final record of a job; the replica is not told. */
+  finish(id: string): void {
     const key = keys.final(jobId(id));
     this.write([
       { drop: keys.live(jobId(id)) },
@@ -109,11 +109,13 @@
     ]);
   }
 
+  /** Asks about a job; `as` names the question. */
   ask(id: string, as = id): void {
     void this.reader.read(jobId(id)).then((found) => this.answers.set(as, found));
   }
 
-  said(as: string): string {
+  /** The answer to a question, or `nothing` while there is none. */
+  answerTo(as: string): string {
     const found = this.answers.get(as);
     if (found?.kind === "live") return found.job.cancelledAt === null ? "live" : "cancelled";
     return found?.kind ?? "nothing";
@@ -122,103 +124,104 @@
 
 const ids = Array.from({ length: 300 }, (_, i) => `wk-${i + 1}`);
 
-test("questions about many jobs cost a request for each batch of them", async () => {
-  const s = new Setup();
-  for (const id of ids) s.job(id);
-  for (const id of ids) for (let user = 0; user < 3; user++) s.ask(id, `${id}.${user}`);
-  await s.clock.runUntil(2000);
-  for (const id of ids) assert.equal(s.said(`${id}.2`), "live");
+test("900 questions about 300 jobs take at most 20 requests", async () => {
+  const setup = new Setup();
+  for (const id of ids) setup.job(id);
+  for (const id of ids) for (let user = 0; user < 3; user++) setup.ask(id, `${id}.${user}`);
+  await setup.clock.runUntil(2000);
+  for (const id of ids) assert.equal(setup.answerTo(`${id}.2`), "live");
   // 900 questions, 64 conditions a request; each was a request by itself.
-  assert.ok(s.requests <= 20, String(s.requests));
+  assert.ok(setup.requests <= 20, String(setup.requests));
 });
 
 const cases: readonly {
   readonly name: string;
-  readonly fates?: Fate[];
-  readonly run: (s: Setup) => void;
-  readonly want: Readonly<Record<string, string>>;
+  readonly outcomes?: Outcome[];
+  readonly run: (setup: Setup) => void;
+  readonly expected: Readonly<Record<string, string>>;
 }[] = [
   {
-    name: "a job that another controller cancelled",
-    run: (s) => {
-      s.job("wk-1");
-      s.job("wk-2");
-      s.job("wk-2", false, 5);
-      s.ask("wk-1");
-      s.ask("wk-2");
+    name: "a job that another controller cancelled is answered as cancelled",
+    run: (setup) => {
+      setup.job("wk-1");
+      setup.job("wk-2");
+      setup.job("wk-2", false, 5);
+      setup.ask("wk-1");
+      setup.ask("wk-2");
     },
-    want: { "wk-1": "live", "wk-2": "cancelled" },
+    expected: { "wk-1": "live", "wk-2": "cancelled" },
   },
   {
-    name: "the service names only one of those that changed",
-    fates: ["first_failed_only", "first_failed_only"],
-    run: (s) => {
-      for (const id of ["wk-1", "wk-2", "wk-3"]) s.job(id);
-      for (const id of ["wk-1", "wk-3"]) s.job(id, false, 5);
-      for (const id of ["wk-1", "wk-2", "wk-3"]) s.ask(id);
+    name: "a conflict that names one of two changed jobs answers both as cancelled",
+    outcomes: ["first_failed_only", "first_failed_only"],
+    run: (setup) => {
+      for (const id of ["wk-1", "wk-2", "wk-3"]) setup.job(id);
+      for (const id of ["wk-1", "wk-3"]) setup.job(id, false, 5);
+      for (const id of ["wk-1", "wk-2", "wk-3"]) setup.ask(id);
     },
-    want: { "wk-1": "cancelled", "wk-2": "live", "wk-3": "cancelled" },
+    expected: { "wk-1": "cancelled", "wk-2": "live", "wk-3": "cancelled" },
   },
   {
-    name: "a job that ended unheard, one that is unknown here, one that nobody knows",
-    run: (s) => {
-      s.job("wk-1");
-      s.end("wk-1");
-      s.job("wk-2", false);
-      for (const id of ["wk-1", "wk-2", "wk-3"]) s.ask(id);
+    name: "a finished job is final, one not in the replica live, an unknown one none",
+    run: (setup) => {
+      setup.job("wk-1");
+      setup.finish("wk-1");
+      setup.job("wk-2", false);
+      for (const id of ["wk-1", "wk-2", "wk-3"]) setup.ask(id);
     },
-    want: { "wk-1": "final", "wk-2": "live", "wk-3": "none" },
+    expected: { "wk-1": "final", "wk-2": "live", "wk-3": "none" },
   },
   {
-    name: "a question asked while a comparison is under way is not answered by it",
-    fates: ["late"],
-    run: (s) => {
-      s.job("wk-1");
-      s.ask("wk-1", "first");
-      // The first is compared by now, and its answer on its way, when the user is told elsewhere.
-      s.clock.after(100, () => {
-        s.job("wk-1", false, 5);
-        s.ask("wk-1", "second");
+    name: "a question asked while a comparison is in flight is not answered by it",
+    outcomes: ["late"],
+    run: (setup) => {
+      setup.job("wk-1");
+      setup.ask("wk-1", "first");
+      // The first is compared by now and its answer on its way when another controller cancels.
+      setup.clock.after(100, () => {
+        setup.job("wk-1", false, 5);
+        setup.ask("wk-1", "second");
       });
     },
-    want: { first: "live", second: "cancelled" },
+    expected: { first: "live", second: "cancelled" },
   },
   {
-    name: "a comparison without an answer holds up only its own questions",
-    fates: ["lost"],
-    run: (s) => {
-      s.job("wk-1");
-      s.ask("wk-1", "first");
-      s.clock.after(100, () => s.ask("wk-1", "second"));
+    name: "a comparison without an answer makes only its own questions unavailable",
+    outcomes: ["lost"],
+    run: (setup) => {
+      setup.job("wk-1");
+      setup.ask("wk-1", "first");
+      setup.clock.after(100, () => setup.ask("wk-1", "second"));
     },
-    want: { first: "unavailable", second: "live" },
+    expected: { first: "unavailable", second: "live" },
   },
   {
-    name: "refused by the state service",
-    fates: ["refused"],
-    run: (s) => {
-      s.job("wk-1");
-      s.ask("wk-1");
+    name: "an answer of 503 makes the question unavailable",
+    outcomes: ["refused"],
+    run: (setup) => {
+      setup.job("wk-1");
+      setup.ask("wk-1");
     },
-    want: { "wk-1": "unavailable" },
+    expected: { "wk-1": "unavailable" },
   },
 ];
 
 for (const c of cases)
-  test(`questions together: ${c.name}`, async () => {
-    const s = new Setup();
-    s.fates = c.fates ?? [];
-    c.run(s);
-    await s.clock.runUntil(4000);
-    for (const [as, want] of Object.entries(c.want)) assert.equal(s.said(as), want, as);
+  test(`a batch of questions: ${c.name}`, async () => {
+    const setup = new Setup();
+    setup.outcomes = c.outcomes ?? [];
+    c.run(setup);
+    await setup.clock.runUntil(4000);
+    for (const [as, expected] of Object.entries(c.expected))
+      assert.equal(setup.answerTo(as), expected, as);
   });
 
-test("without a part of the requests, questions are refused soon and not held back", async () => {
-  const s = new Setup(1);
-  for (const id of ids.slice(0, 5)) s.job(id);
-  s.ask("wk-1");
-  s.clock.after(30, () => s.ask("wk-2"));
-  await s.clock.runUntil(600);
-  assert.equal(s.said("wk-1"), "live");
-  assert.equal(s.said("wk-2"), "unavailable");
+test("a question for which there is no request budget is unavailable within 600 ms", async () => {
+  const setup = new Setup(1);
+  for (const id of ids.slice(0, 5)) setup.job(id);
+  setup.ask("wk-1");
+  setup.clock.after(30, () => setup.ask("wk-2"));
+  await setup.clock.runUntil(600);
+  assert.equal(setup.answerTo("wk-1"), "live");
+  assert.equal(setup.answerTo("wk-2"), "unavailable");
 });
