--- a/src/scheduling/objectives.ts
+++ b/src/scheduling/objectives.ts
@@ -1,109 +1,146 @@
+/**
+ * What the service-level objectives ask of one job: the points in time at which they are decided,
+ * and how much time they leave.
+ *
+ * State: a cache of the targets by objectives and job spec, both of which never change once they
+ * are read; entries go with their keys. All times are in seconds.
+ */
 import type { Objective } from "../config/settings.js";
 import type { JobSpec } from "../protocol/jobs.js";
 
-/** Points in a job's life, in seconds after its submission, at which an objective is decided. */
+/** A point in a job's life at which an objective is decided. */
 export interface Target {
+  /** Whether a task must have started, or the job must have finished, by then. */
   readonly kind: "start" | "finish";
+  /** Seconds after the job's submission. */
   readonly withinS: number;
 }
 
 type TargetSpec = Pick<JobSpec, "jobClass" | "deadlineS">;
 
-/** Targets of a spec, first those beyond a guarantee, then those within. */
-type KnownTargets = [readonly Target[] | undefined, readonly Target[] | undefined];
+/** The targets of one spec, depending on whether its job is within its team's guarantee. */
+interface CachedTargets {
+  beyondGuarantee?: readonly Target[];
+  withinGuarantee?: readonly Target[];
+}
 
-const known = new WeakMap<readonly Objective[], WeakMap<TargetSpec, KnownTargets>>();
+/** Windows are no shorter: below this, all waiting work is needed at once anyway. */
+const MIN_WINDOW_S = 1;
 
-/**
- * What the settings (and a job's own deadline) ask of one job, soonest first. A job is looked at
- * in many rounds, so its targets are worked out once for each pair of objectives and spec.
- */
-export const targetsOf = (
-  spec: TargetSpec,
-  objectives: readonly Objective[],
-  withinGuarantee: boolean,
-): readonly Target[] => {
-  let bySpec = known.get(objectives);
+const cache = new WeakMap<readonly Objective[], WeakMap<TargetSpec, CachedTargets>>();
+
+const cachedTargets = (spec: TargetSpec, objectives: readonly Objective[]): CachedTargets => {
+  let bySpec = cache.get(objectives);
   if (bySpec === undefined) {
     bySpec = new WeakMap();
-    known.set(objectives, bySpec);
+    cache.set(objectives, bySpec);
   }
-  let pair = bySpec.get(spec);
-  if (pair === undefined) {
-    pair = [undefined, undefined];
-    bySpec.set(spec, pair);
+  let cached = bySpec.get(spec);
+  if (cached === undefined) {
+    cached = {};
+    bySpec.set(spec, cached);
   }
-  const at = withinGuarantee ? 1 : 0;
-  const targets = pair[at] ?? workOutTargets(spec, objectives, withinGuarantee);
-  pair[at] = targets;
+  return cached;
+};
+
+/** The targets that one objective sets for a job. */
+const targetsFrom = (
+  objective: Objective,
+  spec: TargetSpec,
+  withinGuarantee: boolean,
+): readonly Target[] => {
+  if (objective.jobClass !== null && objective.jobClass !== spec.jobClass) return [];
+  const targets: Target[] = [];
+  if (objective.kind === "deadline" && spec.deadlineS !== null && objective.times !== null)
+    targets.push({ kind: "finish", withinS: spec.deadlineS * objective.times });
+  if (objective.withinS === null) return targets;
+  if (objective.kind === "wait" || (objective.kind === "guarantee" && withinGuarantee))
+    targets.push({ kind: "start", withinS: objective.withinS });
+  if (objective.kind === "finished") targets.push({ kind: "finish", withinS: objective.withinS });
   return targets;
 };
 
-const workOutTargets = (
+const computeTargets = (
   spec: TargetSpec,
   objectives: readonly Objective[],
   withinGuarantee: boolean,
 ): readonly Target[] => {
-  const out: Target[] = [];
-  for (const o of objectives) {
-    const mine = o.jobClass === null || o.jobClass === spec.jobClass;
-    if (mine && o.kind === "deadline" && spec.deadlineS !== null && o.times !== null)
-      out.push({ kind: "finish", withinS: spec.deadlineS * o.times });
-    if (!mine || o.withinS === null) continue;
-    if (o.kind === "wait" || (o.kind === "guarantee" && withinGuarantee))
-      out.push({ kind: "start", withinS: o.withinS });
-    if (o.kind === "finished") out.push({ kind: "finish", withinS: o.withinS });
-  }
-  if (spec.deadlineS !== null) out.push({ kind: "finish", withinS: spec.deadlineS });
-  return out.sort((a, b) => a.withinS - b.withinS);
+  const targets = objectives.flatMap((objective) => targetsFrom(objective, spec, withinGuarantee));
+  if (spec.deadlineS !== null) targets.push({ kind: "finish", withinS: spec.deadlineS });
+  return targets.sort((a, b) => a.withinS - b.withinS);
 };
 
 /**
- * Seconds until the job's next task must start for the next objective that can still be met.
- * One that has passed no longer pulls: the work it pulled for is late whatever runs first.
+ * What the settings (and a job's own deadline) ask of one job, the earliest target first. Computed
+ * once for each pair of objectives and spec, because a job is looked at in many rounds.
+ */
+export const targetsOf = (
+  spec: TargetSpec,
+  objectives: readonly Objective[],
+  withinGuarantee: boolean,
+): readonly Target[] => {
+  const cached = cachedTargets(spec, objectives);
+  const key = withinGuarantee ? "withinGuarantee" : "beyondGuarantee";
+  const targets = cached[key] ?? computeTargets(spec, objectives, withinGuarantee);
+  cached[key] = targets;
+  return targets;
+};
+
+/**
+ * The slack: seconds until the job's next task must start for the next target that can still be met;
+ * infinite if there is none. Missed targets don't count: the work is late whatever runs first.
+ * `ageS`: seconds since submission. `runS`: expected run time.
  */
 export const slackS = (targets: readonly Target[], ageS: number, runS: number): number => {
   let slack = Number.POSITIVE_INFINITY;
-  for (const t of targets) {
-    const left = t.withinS - ageS - (t.kind === "finish" ? runS : 0);
-    if (left >= 0 && left < slack) slack = left;
+  for (const target of targets) {
+    const timeLeftS = target.withinS - ageS - (target.kind === "finish" ? runS : 0);
+    if (timeLeftS >= 0 && timeLeftS < slack) slack = timeLeftS;
   }
   return slack;
 };
 
-/** Seconds until the job's tasks should run for the next such objective that can still be met. */
+/** Seconds until a task must run for the next start target that can still be met; else infinite. */
 export const startSlackS = (targets: readonly Target[], ageS: number): number => {
-  let left = Number.POSITIVE_INFINITY;
-  for (const t of targets)
-    if (t.kind === "start" && t.withinS >= ageS) left = Math.min(left, t.withinS - ageS);
-  return left;
+  let slack = Number.POSITIVE_INFINITY;
+  for (const target of targets)
+    if (target.kind === "start" && target.withinS >= ageS)
+      slack = Math.min(slack, target.withinS - ageS);
+  return slack;
 };
 
-/** How long a class's tasks may be in the system, on the whole, for its objectives to be met. */
-export const patienceS = (targets: readonly Target[], runS: number, part: number): number => {
-  let most = Number.POSITIVE_INFINITY;
-  for (const t of targets) {
-    const wait = t.kind === "finish" ? t.withinS - runS : t.withinS;
-    most = Math.min(most, Math.max(0, wait) * part);
+/**
+ * How many seconds a class's tasks may be in the system on average for its targets to be met, if
+ * they use up this part (`patience`, 0 to 1) of their spare time. A class without targets may take
+ * as long as it runs.
+ */
+export const maxTimeInSystemS = (
+  targets: readonly Target[],
+  runS: number,
+  patience: number,
+): number => {
+  let shortestS = Number.POSITIVE_INFINITY;
+  for (const target of targets) {
+    const spareS = target.kind === "finish" ? target.withinS - runS : target.withinS;
+    shortestS = Math.min(shortestS, Math.max(0, spareS) * patience);
   }
-  return most === Number.POSITIVE_INFINITY ? runS : most;
+  return shortestS === Number.POSITIVE_INFINITY ? runS : shortestS;
 };
 
 /**
- * The window a job's work left should be done in: a part of the time until its next objective that
- * can still be met. It closes as the job ages, so a backlog that is getting late asks for more.
+ * The window, in seconds, in which a job's remaining work should be done: this part (`patience`) of
+ * the slack until its next target that can still be met. It shrinks as the job ages, so a backlog
+ * that is getting late asks for more. A job without any such target is treated like a new one of
+ * its class.
  */
-export const windowS = (
+export const workWindowS = (
   targets: readonly Target[],
   ageS: number,
   runS: number,
-  part: number,
+  patience: number,
 ): number => {
   const slack = slackS(targets, ageS, runS);
   if (slack === Number.POSITIVE_INFINITY)
-    return Math.max(MIN_WINDOW_S, patienceS(targets, runS, part));
-  return Math.max(MIN_WINDOW_S, slack * part);
+    return Math.max(MIN_WINDOW_S, maxTimeInSystemS(targets, runS, patience));
+  return Math.max(MIN_WINDOW_S, slack * patience);
 };
-
-/** Below this, all that waits is wanted at once anyway. */
-const MIN_WINDOW_S = 1;
--- a/test/scheduling/fleet-plan.test.ts
+++ b/test/scheduling/fleet-plan.test.ts
@@ -13,15 +13,20 @@
 import { overloadedShards } from "../../src/coordination/fleet/overloaded-shards.js";
 import type { MachineType } from "../../src/protocol/cloud.js";
 import type { Priority } from "../../src/protocol/jobs.js";
-import { computeDemand, demandBound } from "../../src/scheduling/demand.js";
+import { computeDemand } from "../../src/scheduling/demand.js";
+import { demandBound } from "../../src/scheduling/demand-bound.js";
 import {
   type DemandGroup,
   type FleetMachine,
   offerKey,
   planFleet,
-  smoothToward,
 } from "../../src/scheduling/fleet-plan.js";
-import { slackS, startSlackS, targetsOf, windowS } from "../../src/scheduling/objectives.js";
+import {
+  slackS,
+  startSlackS,
+  targetsOf,
+  workWindowS as windowS,
+} from "../../src/scheduling/objectives.js";
 import { type CandidateMachine, CandidateSelector } from "../../src/scheduling/placement.js";
 import {
   mayPreempt,
@@ -30,6 +35,7 @@
   type PreemptionSource,
 } from "../../src/scheduling/preemption.js";
 import { orderQueue } from "../../src/scheduling/queue-order.js";
+import { smoothToward } from "../../src/scheduling/smoothing.js";
 import { encodeMachineTypes } from "../../src/storage/cluster-records.js";
 import { JobIndex } from "../../src/storage/job-index.js";
 import { encodeMachinePage } from "../../src/storage/pages.js";
