--- a/src/scheduling/placement.ts
+++ b/src/scheduling/placement.ts
@@ -1,100 +1,152 @@
+/**
+ * Chooses machines for tasks: filter, score, choose.
+ *
+ * Filter: the protocol's rules on machine type, spot, zone and the job's other tasks (`isPermitted`),
+ * and free capacity. Score: how many other resource shapes compete for the machine, whether it
+ * fetches the image in time, whether it is costly, and the paper's move probability. Choose:
+ * `CandidateSelector` takes the best of the machines that pass the filter.
+ *
+ * State: a selector caches what it computed of each machine until the machine's use changes. The
+ * machines' use is changed by `addUse` alone while a round places tasks.
+ */
 import type { MachineId } from "@umberfold/ids";
 import type { JobSpec, Resources } from "../protocol/jobs.js";
 import { add, fits, fitsBeside, minimumOf } from "./resources.js";
 import { moveProbability } from "./swarm.js";
 
-/** A machine as placement sees it: use counts every open attempt and every pending move in. */
+/** A machine that may be given tasks in this round. */
 export interface CandidateMachine {
   readonly id: MachineId;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly capacity: Resources;
+  /** What its open attempts take, with reservations for pending moves and preemptions. */
   use: Resources;
-  /** The smallest need of each resource that stands there; endless where nothing does. */
+  /** The smallest demand for each resource among its tasks; infinite where it has none. */
   smallestDemand: Resources;
   readonly price: number;
-  /** Costs much more for what it holds than the cheapest about: left empty, to be returned. */
+  /** Far more expensive per processor than the cheapest machines: left empty, to be returned. */
   readonly isCostly: boolean;
   readonly fetchGbPerS: number;
+  /** Images in its cache. */
   readonly images: { readonly has: (image: string) => boolean };
+  /** How many resource shapes could use its type (`countCompetingShapes`). */
   readonly competingShapes: number;
 }
 
-/** Where a job's other open attempts stand, as `oneZone` and `apart` judge them. */
+/** Open attempts of one job by zone, as `zoneAffinity` and `spreadAcrossZones` judge them. */
 export type ZoneCounts = ReadonlyMap<string, number>;
 
-/** What of a job decides which machines may take its tasks. */
+/** The part of a job spec that decides which machines may run its tasks. */
 type PlacementRules = Pick<
   JobSpec,
   "machineTypes" | "zone" | "spotAllowed" | "zoneAffinity" | "spreadAcrossZones" | "taskCount"
 >;
 
-/** At most half of the tasks, rounded up, in one zone. */
-export const maxTasksPerZone = (tasks: number): number => Math.ceil(tasks / 2);
-
-/** The part of PROTOCOL's `wrong_place` that does not depend on the job's other tasks. */
-const permittedAlone = (
-  spec: PlacementRules,
-  place: { readonly type: string; readonly zone: string; readonly spot: boolean },
-): boolean => {
-  if (place.spot && !spec.spotAllowed) return false;
-  if (spec.machineTypes !== null && !spec.machineTypes.includes(place.type)) return false;
-  return spec.zone === null || spec.zone === place.zone;
+/** The part of a machine that the placement rules look at. */
+type MachineKind = Pick<CandidateMachine, "type" | "zone" | "spot">;
+
+// Filter
+
+/** The most tasks of a job spread across zones that may run in one zone: half, rounded up. */
+export const maxTasksPerZone = (taskCount: number): number => Math.ceil(taskCount / 2);
+
+/** The part of the protocol's `wrong_place` that does not depend on the job's other tasks. */
+const permitsMachineKind = (rules: PlacementRules, machine: MachineKind): boolean => {
+  if (machine.spot && !rules.spotAllowed) return false;
+  if (rules.machineTypes !== null && !rules.machineTypes.includes(machine.type)) return false;
+  return rules.zone === null || rules.zone === machine.zone;
 };
 
-/** The part that depends on where the job's other tasks are. */
-const permittedBeside = (spec: PlacementRules, zone: string, zones: ZoneCounts): boolean => {
-  if (spec.zoneAffinity) for (const [other, n] of zones) if (n > 0 && other !== zone) return false;
-  return !spec.spreadAcrossZones || (zones.get(zone) ?? 0) < maxTasksPerZone(spec.taskCount);
+/** The part that depends on the zones of the job's other tasks. */
+const permitsZone = (rules: PlacementRules, zone: string, zones: ZoneCounts): boolean => {
+  if (rules.zoneAffinity)
+    for (const [other, count] of zones) if (count > 0 && other !== zone) return false;
+  return !rules.spreadAcrossZones || (zones.get(zone) ?? 0) < maxTasksPerZone(rules.taskCount);
 };
 
-/** PROTOCOL's `wrong_place`: type, kind, zone, and the job's other tasks. */
+/**
+ * Whether the protocol lets a task start on such a machine; otherwise it would be refused as
+ * `wrong_place`. Judges machine type, spot, zone and the zones of the job's other tasks, but not
+ * free capacity.
+ */
 export const isPermitted = (
-  spec: PlacementRules,
-  place: { readonly type: string; readonly zone: string; readonly spot: boolean },
+  rules: PlacementRules,
+  machine: MachineKind,
   zones: ZoneCounts,
-): boolean => permittedAlone(spec, place) && permittedBeside(spec, place.zone, zones);
+): boolean => permitsMachineKind(rules, machine) && permitsZone(rules, machine.zone, zones);
+
+/** Whether it depends on the zones of a job's other tasks where the next one may run. */
+export const hasZoneRules = (rules: PlacementRules): boolean =>
+  rules.zoneAffinity || rules.spreadAcrossZones;
+
+// Score
 
 /**
- * How many of the needs that are about a machine of this capacity could serve. Types that few can
- * use are filled first, or tasks that fit nowhere else find the large machines full of small ones.
+ * How many of the resource shapes fit a machine of this capacity. Types that few shapes can use are
+ * filled first: otherwise tasks that fit nowhere else find the large machines full of small tasks.
  */
 export const countCompetingShapes = (capacity: Resources, shapes: readonly Resources[]): number =>
-  shapes.filter((needs) => fits(needs, capacity)).length;
+  shapes.filter((shape) => fits(shape, capacity)).length;
 
-/** The distinct needs among these. */
+/** The different resource shapes among these. */
 export const distinctShapes = (all: Iterable<Resources>): readonly Resources[] => {
-  const out = new Map<string, Resources>();
-  for (const n of all) out.set(`${n.cpus}|${n.gpus}|${n.ramGb}`, n);
-  return [...out.values()];
+  const shapes = new Map<string, Resources>();
+  for (const shape of all) shapes.set(`${shape.cpus}|${shape.gpus}|${shape.ramGb}`, shape);
+  return [...shapes.values()];
 };
 
-/** Whether jobs place their tasks by rules that look at the job's other tasks. */
-export const hasZoneRules = (spec: PlacementRules): boolean =>
-  spec.zoneAffinity || spec.spreadAcrossZones;
+/** What a selector computed of one machine, and the use that it computed it for. */
+interface Candidate {
+  readonly machine: CandidateMachine;
+  readonly imageCached: boolean;
+  /** Seconds that the machine takes to fetch the image, at most. */
+  readonly fetchS: number;
+  /** The use for which `hasCapacity` and `moveProbability` hold. */
+  computedFor: Resources | undefined;
+  hasCapacity: boolean;
+  /** The move probability if the task were added. */
+  moveProbability: number;
+}
+
+/** Smaller differences of move probabilities are ties. */
+const PROBABILITY_TIE = 1e-9;
+
+/**
+ * The scores that don't depend on the machine's use: fewer competing shapes, then an image fetch
+ * within the slack, then not costly. Negative if `a` is better.
+ */
+const compareFixedScores = (a: Candidate, b: Candidate, slackS: number): number =>
+  a.machine.competingShapes - b.machine.competingShapes ||
+  Number(a.fetchS > slackS) - Number(b.fetchS > slackS) ||
+  Number(a.machine.isCostly) - Number(b.machine.isCostly);
+
+/**
+ * Bin packing, between machines with the same fixed scores: the lower move probability; of equal
+ * ones the machine that has the image, then the cheaper one.
+ */
+const packsBetter = (a: Candidate, b: Candidate): boolean => {
+  if (Math.abs(a.moveProbability - b.moveProbability) > PROBABILITY_TIE)
+    return a.moveProbability < b.moveProbability;
+  return a.imageCached !== b.imageCached ? a.imageCached : a.machine.price < b.machine.price;
+};
+
+// Choose
 
 const groupKeys = new WeakMap<JobSpec, string>();
 
 /**
- * Jobs with the same key are alike for placement, but for where their other tasks are and how soon
- * they must run. (A selector shared by jobs of which only one was bound to a zone broke the rule.)
+ * Jobs with the same key may share a selector: they differ at most in the zones of their other tasks
+ * and in their slack. The key holds the zone rules too. (A selector shared by jobs of which only one
+ * was bound to a zone broke the rule.)
  */
 export const placementGroupKey = (spec: JobSpec): string => {
-  const known = groupKeys.get(spec);
-  if (known !== undefined) return known;
-  const {
-    resources,
-    machineTypes,
-    zone,
-    spotAllowed,
-    image,
-    imageGb,
-    zoneAffinity,
-    spreadAcrossZones,
-  } = spec;
-  // Jobs that are spread over zones are so by their number of tasks.
-  const spread = spreadAcrossZones ? spec.taskCount : 0;
+  const cached = groupKeys.get(spec);
+  if (cached !== undefined) return cached;
+  const { resources, machineTypes, zone, spotAllowed, image, imageGb, zoneAffinity } = spec;
+  // How far a job is spread across zones depends on its number of tasks.
+  const spread = spec.spreadAcrossZones ? spec.taskCount : 0;
   const key = JSON.stringify([
     resources,
     machineTypes,
@@ -109,96 +161,78 @@
   return key;
 };
 
-/** What a selector has worked out of one place, and the use that it was worked out for. */
-interface Candidate {
-  readonly place: CandidateMachine;
-  readonly cached: boolean;
-  /** The longest that its image's fetch takes there. */
-  readonly fetchS: number;
-  use: Resources | undefined;
-  room: boolean;
-  p: number;
-}
-
-/** Differences of p below this are ties. */
-const P_TIE = 1e-9;
-
 /**
- * Chooses machines for the tasks of jobs that are alike for placement. Of the feasible machines it
- * takes the one that the fewest other needs could use, then one that fetches the image in time, then
- * a cheap one, then the one with the lowest p after; ties go to a cached image, then to the price.
+ * Chooses machines for the tasks of jobs with the same `placementGroupKey`.
  *
- * What it works out of a machine stands until the machine's use changes, so that a large array costs
- * a comparison for each machine and task, and the paper's formula only for machines just changed.
+ * What it computes of a machine holds until the machine's use changes. So placing a large job array
+ * costs one comparison for each task and machine, and the paper's formula only for machines that
+ * were just given a task.
  */
 export class CandidateSelector {
   readonly #candidates: readonly Candidate[];
 
   constructor(
     private readonly spec: JobSpec,
-    places: Iterable<CandidateMachine>,
+    machines: Iterable<CandidateMachine>,
   ) {
     const candidates: Candidate[] = [];
-    for (const place of places) {
-      if (!permittedAlone(spec, place)) continue;
-      const cached = place.images.has(spec.image);
-      const fetchS = cached ? 0 : spec.imageGb / place.fetchGbPerS;
-      candidates.push({ place, cached, fetchS, use: undefined, room: false, p: 0 });
+    for (const machine of machines) {
+      if (!permitsMachineKind(spec, machine)) continue;
+      const imageCached = machine.images.has(spec.image);
+      candidates.push({
+        machine,
+        imageCached,
+        fetchS: imageCached ? 0 : spec.imageGb / machine.fetchGbPerS,
+        computedFor: undefined,
+        hasCapacity: false,
+        moveProbability: 0,
+      });
     }
     this.#candidates = candidates;
   }
 
-  /** The machine for one more task, or null if none has room. `excluded` ones are passed over. */
+  /**
+   * The machine for one more task, or null if none has capacity. `zones`: where the job's other
+   * tasks are. `slackS`: seconds until the task must run. `excluded` machines are not considered.
+   */
   choose(
     zones: ZoneCounts,
-    hurryS = Number.POSITIVE_INFINITY,
-    excluded?: (place: CandidateMachine) => boolean,
+    slackS = Number.POSITIVE_INFINITY,
+    excluded?: (machine: CandidateMachine) => boolean,
   ): CandidateMachine | null {
     const { spec } = this;
-    const binds = hasZoneRules(spec);
+    const checkZones = hasZoneRules(spec);
     let best: Candidate | null = null;
-    for (const c of this.#candidates) {
-      const before = best === null ? 0 : this.#compare(c, best, hurryS);
-      if (before > 0 || !this.#hasRoom(c)) continue;
-      if (binds && !permittedBeside(spec, c.place.zone, zones)) continue;
-      if (excluded?.(c.place) === true) continue;
-      if (best === null || before < 0 || betterWithin(c, best)) best = c;
+    for (const candidate of this.#candidates) {
+      // The cheapest test goes first: most machines can't be better than the best so far.
+      const order = best === null ? 0 : compareFixedScores(candidate, best, slackS);
+      if (order > 0 || !this.#hasCapacity(candidate)) continue;
+      if (checkZones && !permitsZone(spec, candidate.machine.zone, zones)) continue;
+      if (excluded?.(candidate.machine) === true) continue;
+      if (best === null || order < 0 || packsBetter(candidate, best)) best = candidate;
     }
-    return best?.place ?? null;
+    return best?.machine ?? null;
   }
 
-  /** What comes before p: what others need is spared, then what is too slow, then what costs much. */
-  #compare(a: Candidate, b: Candidate, hurryS: number): number {
-    return (
-      a.place.competingShapes - b.place.competingShapes ||
-      Number(a.fetchS > hurryS) - Number(b.fetchS > hurryS) ||
-      Number(a.place.isCostly) - Number(b.place.isCostly)
-    );
-  }
-
-  #hasRoom(c: Candidate): boolean {
-    const { place } = c;
-    if (c.use === place.use) return c.room;
+  /** Whether one more task fits; computes its move probability too if the use has changed. */
+  #hasCapacity(candidate: Candidate): boolean {
+    const { machine } = candidate;
+    if (candidate.computedFor === machine.use) return candidate.hasCapacity;
     const { resources } = this.spec;
-    c.use = place.use;
-    c.room = fitsBeside(resources, place.use, place.capacity);
-    if (c.room)
-      c.p = moveProbability(
-        add(place.use, resources),
-        place.capacity,
-        minimumOf(place.smallestDemand, resources),
+    candidate.computedFor = machine.use;
+    candidate.hasCapacity = fitsBeside(resources, machine.use, machine.capacity);
+    if (candidate.hasCapacity)
+      candidate.moveProbability = moveProbability(
+        add(machine.use, resources),
+        machine.capacity,
+        minimumOf(machine.smallestDemand, resources),
       );
-    return c.room;
+    return candidate.hasCapacity;
   }
 }
 
-/** Of two machines of the same standing: the lower p after, then the cached image, then the price. */
-const betterWithin = (a: Candidate, b: Candidate): boolean => {
-  if (Math.abs(a.p - b.p) > P_TIE) return a.p < b.p;
-  return a.cached !== b.cached ? a.cached : a.place.price < b.place.price;
-};
-
-export const addUse = (place: CandidateMachine, needs: Resources): void => {
-  place.use = add(place.use, needs);
-  place.smallestDemand = minimumOf(place.smallestDemand, needs);
+/** Counts one more task, or a reservation for one, as in use on a machine. */
+export const addUse = (machine: CandidateMachine, resources: Resources): void => {
+  machine.use = add(machine.use, resources);
+  machine.smallestDemand = minimumOf(machine.smallestDemand, resources);
 };
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -1,21 +1,28 @@
+/**
+ * Decides which running tasks to stop so that a task of a job with higher standing fits.
+ *
+ * State: a `PreemptionSearch` keeps the cheapest option of each machine for tasks of one resource
+ * shape. An option is computed again once its source's version differs, so one that is out of date
+ * is never returned. All losses are in seconds of work.
+ */
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { Resources } from "../protocol/jobs.js";
 import { add, fits, subtract } from "./resources.js";
 
-/** A running task that a job of higher standing may have stopped. */
+/** A running task that may be preempted. */
 export interface Victim {
   readonly task: TaskId;
   readonly resources: Resources;
-  /** Seconds of work its stop would throw away, its save and restart among them. */
+  /** Seconds of work that stopping it would throw away, its checkpoint and restart included. */
   readonly lossS: number;
 }
 
-/** A machine on which room could be made. */
+/** A machine on which tasks could be preempted. */
 export interface PreemptionCandidate {
   readonly id: MachineId;
-  /** What is free, and what those already told to stop leave beyond what is kept for others. */
+  /** What is free, and what tasks that are stopping already leave beyond all reservations. */
   readonly free: Resources;
-  /** Tasks there that PROTOCOL lets the job stop. */
+  /** Tasks there that the protocol lets the job preempt. */
   readonly victims: readonly Victim[];
 }
 
@@ -25,112 +32,131 @@
   readonly victims: readonly Victim[];
 }
 
-/** Where room could be made, asked again when something else has happened on the machine. */
+/** Gives a machine's candidate, and tells whether the one given last still holds. */
 export interface PreemptionSource {
-  /** What could be stopped there now; undefined if nothing would come of it. */
+  /** What could be preempted there now; undefined if preemption there would not help. */
   readonly candidate: () => PreemptionCandidate | undefined;
-  /** Any value that differs once the candidate last given is out of date. */
+  /** Any value that differs once the candidate given last is out of date. */
   readonly version: () => unknown;
 }
 
-interface Option {
+/** The cheapest way to make one task fit on one machine. */
+interface PreemptionOption {
   readonly candidate: PreemptionCandidate;
   readonly victims: readonly Victim[];
   readonly lossS: number;
 }
 
-/** What was last worked out of a source. */
-interface Entry {
+/** What was last computed of a source. */
+interface EvaluatedSource {
   readonly source: PreemptionSource;
   version: unknown;
-  option: Option | undefined;
+  /** Undefined if no preemption there makes the task fit. */
+  option: PreemptionOption | undefined;
 }
 
 /**
- * The least loss on one machine: the cheapest are taken until the task fits, then any that turn out
- * not to be needed are spared again. Undefined if it doesn't fit even so.
+ * The cheapest option on one machine: victims are taken in their order, the smallest loss first,
+ * until the task fits; then any that turn out not to be needed are spared, the largest loss first.
+ * Undefined if the task doesn't fit even with all of them stopped.
  */
-const optionOn = (needs: Resources, candidate: PreemptionCandidate): Option | undefined => {
+const cheapestOption = (
+  need: Resources,
+  candidate: PreemptionCandidate,
+): PreemptionOption | undefined => {
   let { free } = candidate;
   let chosen: Victim[] = [];
   for (const victim of candidate.victims) {
-    if (fits(needs, free)) break;
+    if (fits(need, free)) break;
     free = add(free, victim.resources);
     chosen.push(victim);
   }
-  if (!fits(needs, free)) return undefined;
+  if (!fits(need, free)) return undefined;
   for (const victim of [...chosen].sort((a, b) => b.lossS - a.lossS)) {
-    if (!fits(needs, subtract(free, victim.resources))) continue;
+    if (!fits(need, subtract(free, victim.resources))) continue;
     free = subtract(free, victim.resources);
-    chosen = chosen.filter((x) => x !== victim);
+    chosen = chosen.filter((other) => other !== victim);
   }
   const lossS = chosen.reduce((sum, victim) => sum + victim.lossS, 0);
   return { candidate, victims: chosen, lossS };
 };
 
-const byLoss = (candidate: PreemptionCandidate): PreemptionCandidate => ({
+const withVictimsByLoss = (candidate: PreemptionCandidate): PreemptionCandidate => ({
   ...candidate,
   victims: [...candidate.victims].sort((a, b) => a.lossS - b.lossS),
 });
 
 /**
- * Makes room for tasks of one need, one after the other, each time where stopping loses the least.
- * Each machine is worked out once, and again only if something has happened on it: many small tasks
- * on many machines would else be sorted anew for every task that waits. (A round of a shard with 800
- * machines took over a second, and its tasks waited for minutes beside room.)
+ * Finds machines for tasks of one resource shape, one after the other, each time where preemption
+ * loses the least work. Each machine is computed once, and again only after something has changed on
+ * it; otherwise many small tasks on many machines would be sorted anew for every waiting task. (A
+ * round of a shard with 800 machines took over a second, and its tasks waited for minutes although
+ * there was capacity.)
  */
 export class PreemptionSearch {
-  readonly #entries: readonly Entry[];
+  readonly #evaluated: readonly EvaluatedSource[];
 
+  /** `needs`: what one task takes. `maxLossS`: no plan may lose more seconds of work. */
   constructor(
     private readonly needs: Resources,
     sources: Iterable<PreemptionSource>,
     private readonly maxLossS: number,
   ) {
-    this.#entries = [...sources].map((source) => this.#workOut({ source }));
+    this.#evaluated = [...sources].map((source) => this.#evaluate(source));
   }
 
-  /** The next room, which then counts as taken, or null if none can be made. */
+  /**
+   * The plan for the next task, or null if there is none within the maximum loss. The capacity
+   * counts as taken from here on.
+   */
   take(): PreemptionPlan | null {
     for (;;) {
-      const entry = this.#best();
-      if (entry?.option === undefined) return null;
-      if (entry.version !== entry.source.version()) {
-        Object.assign(entry, this.#workOut(entry));
+      const best = this.#leastLoss();
+      if (best?.option === undefined) return null;
+      if (best.version !== best.source.version()) {
+        Object.assign(best, this.#evaluate(best.source));
         continue;
       }
-      const { candidate, victims } = entry.option;
-      entry.option = optionOn(this.needs, this.#without(entry.option));
+      const { candidate, victims } = best.option;
+      best.option = cheapestOption(this.needs, this.#afterPreemption(best.option));
       return { machine: candidate.id, victims };
     }
   }
 
-  /** To be called once the room that was taken last is noted on its machine. */
+  /**
+   * Must be called once the caller has recorded the plan taken last on its machine: the change of
+   * version that this causes doesn't make the option out of date.
+   */
   noted(machine: MachineId): void {
-    for (const entry of this.#entries)
-      if (entry.option?.candidate.id === machine) entry.version = entry.source.version();
+    for (const evaluated of this.#evaluated)
+      if (evaluated.option?.candidate.id === machine)
+        evaluated.version = evaluated.source.version();
   }
 
-  #workOut({ source }: Pick<Entry, "source">): Entry {
+  #evaluate(source: PreemptionSource): EvaluatedSource {
     const candidate = source.candidate();
-    const option = candidate === undefined ? undefined : optionOn(this.needs, byLoss(candidate));
+    const option =
+      candidate === undefined
+        ? undefined
+        : cheapestOption(this.needs, withVictimsByLoss(candidate));
     return { source, version: source.version(), option };
   }
 
-  #best(): Entry | undefined {
-    let best: Entry | undefined;
-    let bestLossS = Number.POSITIVE_INFINITY;
-    for (const entry of this.#entries) {
-      const { option } = entry;
+  #leastLoss(): EvaluatedSource | undefined {
+    let best: EvaluatedSource | undefined;
+    let leastLossS = Number.POSITIVE_INFINITY;
+    for (const evaluated of this.#evaluated) {
+      const { option } = evaluated;
       if (option === undefined || option.lossS > this.maxLossS) continue;
-      if (option.lossS >= bestLossS) continue;
-      best = entry;
-      bestLossS = option.lossS;
+      if (option.lossS >= leastLossS) continue;
+      best = evaluated;
+      leastLossS = option.lossS;
     }
     return best;
   }
 
-  #without({ candidate, victims }: Option): PreemptionCandidate {
+  /** The candidate once the option's victims are stopped and the task has taken their capacity. */
+  #afterPreemption({ candidate, victims }: PreemptionOption): PreemptionCandidate {
     const freed = victims.reduce((sum, victim) => add(sum, victim.resources), candidate.free);
     return {
       id: candidate.id,
@@ -140,17 +166,19 @@
   }
 }
 
-/** A job's standing when room is made. */
+/** A job's standing when it preempts or is preempted. */
 export interface PreemptionContext {
+  /** Lower numbers go first. */
   readonly priority: number;
   readonly withinGuarantee: boolean;
   readonly team: string;
 }
 
-/** Who may stop whom. */
+/** Whether a job's tasks may be preempted by another's. */
 export const mayPreempt = (by: PreemptionContext, victim: PreemptionContext): boolean => {
-  // PROTOCOL lets rank alone decide; work within a guarantee is spared all the same, but for such.
+  // The protocol lets priority alone decide. Work within a guarantee is spared all the same, except
+  // from other work within one.
   if (victim.priority > by.priority) return by.withinGuarantee || !victim.withinGuarantee;
-  // A team is given its guarantee out of what others run beyond theirs, whatever its rank.
+  // A team gets its guarantee out of what other teams run beyond theirs, whatever the priorities.
   return by.withinGuarantee && !victim.withinGuarantee && victim.team !== by.team;
 };
--- a/src/scheduling/queue-order.ts
+++ b/src/scheduling/queue-order.ts
@@ -1,60 +1,73 @@
+/**
+ * The order in which waiting jobs are served in a round.
+ *
+ * Owns no state. Priority decides among jobs of equal standing towards their team's guarantee, and
+ * slack among jobs of equal priority; the overdue go before all.
+ */
 import type { JobId } from "@umberfold/ids";
 import type { Objective } from "../config/settings.js";
 import { priorityOrder } from "../protocol/jobs.js";
 import { type LiveJob, waitingTaskCount } from "../storage/records.js";
 import { slackS, targetsOf } from "./objectives.js";
 
-/** A job with tasks that wait, and what decides when it is its turn. */
+/** A job with waiting tasks, and what its place in the queue depends on. */
 export interface WaitingJob {
   readonly id: JobId;
   readonly job: LiveJob;
+  /** Seconds since its submission. */
   readonly ageS: number;
-  /** From its order to its start: the image's fetch. */
+  /** Seconds from a start command to the task's start: the image is fetched first. */
   readonly imageFetchS: number;
   readonly expectedRunS: number;
-  /** It fits in its team's guarantee together with the team's earlier unfinished jobs. */
+  /** It fits into its team's guarantee together with the team's earlier unfinished jobs. */
   readonly withinGuarantee: boolean;
 }
 
+/** A waiting job in its place in the queue. */
 export interface QueuedJob extends WaitingJob {
-  /** Seconds until its next task must start for the next objective that can still be met. */
+  /** Seconds until its next task must start for the next target that can still be met. */
   readonly slackS: number;
   /** It has waited so long without a start that it goes before all others. */
   readonly overdue: boolean;
 }
 
 /**
- * Nothing is passed over for ever: a job that has waited this long without one start goes before
- * all others, or a stream of small urgent ones would hold the largest arrays out.
+ * Whether a job has waited for so long without one start that it goes before all others. Without
+ * this a stream of small urgent jobs would starve the largest job arrays.
  */
-const isOverdue = (q: WaitingJob, overdueS: number): boolean =>
-  q.ageS > overdueS && q.job.nextAttempt === 1;
+const isOverdue = (waiting: WaitingJob, overdueS: number): boolean =>
+  waiting.ageS > overdueS && waiting.job.nextAttempt === 1;
 
-/** The overdue first, then work within a guarantee, then rank, then the least slack, then the fewest tasks left, then age. */
+/**
+ * Sorts jobs: the overdue first, then those within a guarantee, then by priority, then the least
+ * slack, then the fewest waiting tasks, then the oldest. `overdueS`: seconds without a start after
+ * which a job is overdue.
+ */
 export const orderQueue = (
   waiting: readonly WaitingJob[],
   objectives: readonly Objective[],
   overdueS: number,
 ): readonly QueuedJob[] => {
-  const keyed = waiting.map((q) => ({
-    q,
-    overdue: isOverdue(q, overdueS),
-    rank: priorityOrder(q.job.spec.priority),
+  const keyed = waiting.map((entry) => ({
+    entry,
+    overdue: isOverdue(entry, overdueS),
+    priority: priorityOrder(entry.job.spec.priority),
     slackS: slackS(
-      targetsOf(q.job.spec, objectives, q.withinGuarantee),
-      q.ageS + q.imageFetchS,
-      q.expectedRunS,
+      targetsOf(entry.job.spec, objectives, entry.withinGuarantee),
+      entry.ageS + entry.imageFetchS,
+      entry.expectedRunS,
     ),
-    left: waitingTaskCount(q.job),
+    waitingTasks: waitingTaskCount(entry.job),
   }));
   keyed.sort(
     (a, b) =>
       Number(b.overdue) - Number(a.overdue) ||
-      Number(b.q.withinGuarantee) - Number(a.q.withinGuarantee) ||
-      a.rank - b.rank ||
+      Number(b.entry.withinGuarantee) - Number(a.entry.withinGuarantee) ||
+      a.priority - b.priority ||
+      // Two infinite slacks are equal, but their difference is not a number.
       (a.slackS === b.slackS ? 0 : a.slackS - b.slackS) ||
-      a.left - b.left ||
-      a.q.job.acceptedAt - b.q.job.acceptedAt,
+      a.waitingTasks - b.waitingTasks ||
+      a.entry.job.acceptedAt - b.entry.job.acceptedAt,
   );
-  return keyed.map(({ q, slackS, overdue }) => ({ ...q, slackS, overdue }));
+  return keyed.map(({ entry, slackS, overdue }) => ({ ...entry, slackS, overdue }));
 };
--- a/src/scheduling/swarm.ts
+++ b/src/scheduling/swarm.ts
@@ -1,165 +1,234 @@
+/**
+ * The swarm: periodic moves of running tasks that empty underfilled machines, and the move
+ * probability that bin packing uses too.
+ *
+ * From M. Rusek and G. Dwornicki, "Swarm-Like Distributed Algorithm for Scheduling a
+ * Microservice-Based Application to the Cloud Servers" (2021); equation numbers are the paper's. Its
+ * symbols: n is the use of one resource on a machine, n0 the machine's capacity, nmin the smallest
+ * use by one of its tasks, Q and R the use of tasks on their way out and in, p the move probability
+ * (the paper's repulsive "pheromone", 0 to 1).
+ *
+ * Owns no state. A period works on a copy of the machines' loads, and draws one random number for
+ * each task of each machine that could be emptied, until its moves are used up.
+ */
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { Resources } from "../protocol/jobs.js";
 import { add, fits, NO_RESOURCES, RESOURCE_KINDS, subtract } from "./resources.js";
 
+/** Shares above 1 by no more than this are full, not overloaded. */
+const SHARE_TOLERANCE = 1e-9;
+
+/** The shares of capacity in use that the paper's formulas start from. */
+interface UsedShares {
+  /** max over k of n(k)/n0(k): the dominant share, eq. 1. */
+  readonly dominant: number;
+  /** The resource k with the least n(k)/n0(k), eq. 2; undefined for a machine without capacity. */
+  readonly leastUsed: (typeof RESOURCE_KINDS)[number] | undefined;
+}
+
+const usedShares = (use: Resources, capacity: Resources): UsedShares => {
+  let leastUsed: UsedShares["leastUsed"];
+  let leastShare = Number.POSITIVE_INFINITY;
+  let dominant = 0;
+  for (const kind of RESOURCE_KINDS) {
+    if (capacity[kind] <= 0) continue;
+    const share = use[kind] / capacity[kind];
+    if (share < leastShare) {
+      leastShare = share;
+      leastUsed = kind;
+    }
+    if (share > dominant) dominant = share;
+  }
+  return { dominant, leastUsed };
+};
+
 /**
- * The paper's repulsive "pheromone" of one machine.
+ * The probability, 0 to 1, with which each task of a machine moves off it in one period.
  *
- * `use` must already be n - Q + R (eq. 18): what its tasks take, less those waiting to leave,
- * plus those on their way in. `least` is the smallest task's need of each resource there.
+ * By eq. 23, the overload form wherever it is positive, and the bin packing form otherwise:
+ * - overloaded, eq. 3: p = (n - n0)/n, for the resource with the dominant share (eq. 1);
+ * - otherwise, eq. 9: p = ((n0 - n)/(n0 - nmin))^2, for the least used resource (eq. 2).
  *
- * Past capacity in any resource, the overload form of eq. 3 on the dominant share (eq. 1).
- * Otherwise the squared form of eq. 9 on the least used share (eq. 2), clamped to 0..1, and 0
- * when a single smallest task already fills the machine (n0 = nmin).
+ * Ours: eq. 9 is clamped to 0..1, and 0 where n0 = nmin, that is where one smallest task already
+ * fills the machine.
+ *
+ * `use` must already be n - Q + R (eq. 18): what the machine's tasks take, without those on their
+ * way out, with those on their way in. `smallestDemand` is nmin for each resource. All amounts are
+ * in the units of `Resources`.
  */
-export const moveProbability = (use: Resources, capacity: Resources, least: Resources): number => {
-  let lowest: (typeof RESOURCE_KINDS)[number] | undefined;
-  let lowShare = Number.POSITIVE_INFINITY;
-  let highShare = 0;
-  for (const k of RESOURCE_KINDS) {
-    if (capacity[k] <= 0) continue;
-    const share = use[k] / capacity[k];
-    if (share < lowShare) {
-      lowShare = share;
-      lowest = k;
-    }
-    if (share > highShare) highShare = share;
-  }
-  // Eq. 23: the overload form while it is positive. (n - n0)/n in terms of the share n/n0.
-  if (highShare > 1 + 1e-9) return 1 - 1 / highShare;
-  if (lowest === undefined) return 0;
-  const n0 = capacity[lowest];
-  const nmin = least[lowest];
-  if (n0 - nmin <= 1e-9) return 0;
-  const p = ((n0 - use[lowest]) / (n0 - nmin)) ** 2;
-  return Math.min(1, Math.max(0, p));
+export const moveProbability = (
+  use: Resources,
+  capacity: Resources,
+  smallestDemand: Resources,
+): number => {
+  const { dominant, leastUsed } = usedShares(use, capacity);
+  // (n - n0)/n, expressed by the share n/n0.
+  if (dominant > 1 + SHARE_TOLERANCE) return 1 - 1 / dominant;
+  if (leastUsed === undefined) return 0;
+  const total = capacity[leastUsed];
+  const beyondSmallest = total - smallestDemand[leastUsed];
+  if (beyondSmallest <= SHARE_TOLERANCE) return 0;
+  const probability = ((total - use[leastUsed]) / beyondSmallest) ** 2;
+  return Math.min(1, Math.max(0, probability));
 };
 
+/** A running task that could move. */
 export interface SwarmTask {
   readonly task: TaskId;
   readonly resources: Resources;
-  /** What a restart elsewhere would throw away, in seconds. */
+  /** Seconds of work that its restart on another machine would throw away. */
   readonly lossS: number;
-  /** May it stand on this machine (type, zone, kind, spread)? */
+  /** Whether it may run on this machine by its job's placement rules, capacity aside. */
   readonly allowed: (machine: MachineId) => boolean;
 }
 
+/** A machine that tasks could move from or to. */
 export interface SwarmMachine {
   readonly id: MachineId;
   readonly capacity: Resources;
-  /** n - Q + R. */
+  /** n - Q + R (eq. 18), for each resource. */
   readonly use: Resources;
-  /** Those that stay: not already waiting to leave. */
+  /** Its tasks without those on their way out. */
   readonly tasks: readonly SwarmTask[];
 }
 
+/** One task to move. */
 export interface SwarmMove {
   readonly task: TaskId;
   readonly from: MachineId;
   readonly to: MachineId;
 }
 
+/** What bounds the moves of one period. */
+export interface SwarmLimits {
+  /** The most moves in one period. */
+  readonly cap: number;
+  /** A machine with a task that would lose more seconds of work is not emptied. */
+  readonly maxLossS: number;
+}
+
+/** The smallest demand for each resource among these tasks (nmin); nothing if there are none. */
 export const smallestDemandOf = (
   tasks: readonly { readonly resources: Resources }[],
 ): Resources => {
   if (tasks.length === 0) return NO_RESOURCES;
-  const least = {
+  const smallest = {
     cpus: Number.POSITIVE_INFINITY,
     gpus: Number.POSITIVE_INFINITY,
     ramGb: Number.POSITIVE_INFINITY,
   };
-  for (const t of tasks)
-    for (const k of RESOURCE_KINDS) least[k] = Math.min(least[k], t.resources[k]);
-  return least;
+  for (const { resources } of tasks)
+    for (const kind of RESOURCE_KINDS) smallest[kind] = Math.min(smallest[kind], resources[kind]);
+  return smallest;
 };
 
-/** Use and tasks of a machine while a round is worked out. */
-interface Standing {
+/** Use and tasks of a machine after the moves decided so far. */
+interface MachineLoad {
   readonly use: Resources;
   readonly tasks: readonly SwarmTask[];
 }
 
-/** The destination of eqs. 26 and 27 with the lowest p after, or undefined. */
-const destination = (
-  t: SwarmTask,
-  from: MachineId,
-  before: number,
+/** The load of each machine by id; a period changes it move by move. */
+type MachineLoads = Map<MachineId, MachineLoad>;
+
+/** A machine that the period tries to empty, and its move probability p. */
+interface Origin {
+  readonly machine: SwarmMachine;
+  readonly probability: number;
+}
+
+/**
+ * Where a task moves to: a machine that stays within capacity (eq. 26) and whose p after the move
+ * is below the origin's before it (eq. 27); of several the one with the lowest. Undefined if there
+ * is none. An empty machine is no destination: it would have to be kept.
+ */
+const findDestination = (
+  task: SwarmTask,
+  origin: Origin,
   machines: readonly SwarmMachine[],
-  now: ReadonlyMap<MachineId, Standing>,
+  loads: ReadonlyMap<MachineId, MachineLoad>,
 ): MachineId | undefined => {
   let best: MachineId | undefined;
-  let bestP = before;
-  for (const d of machines) {
-    const there = now.get(d.id);
-    if (d.id === from || there === undefined || there.tasks.length === 0) continue;
-    if (!t.allowed(d.id) || !fits(t.resources, subtract(d.capacity, there.use))) continue;
-    const after = moveProbability(
-      add(there.use, t.resources),
-      d.capacity,
-      smallestDemandOf([...there.tasks, t]),
+  let lowestProbability = origin.probability;
+  for (const { id, capacity } of machines) {
+    const load = loads.get(id);
+    if (id === origin.machine.id || load === undefined || load.tasks.length === 0) continue;
+    if (!task.allowed(id) || !fits(task.resources, subtract(capacity, load.use))) continue;
+    const probability = moveProbability(
+      add(load.use, task.resources),
+      capacity,
+      smallestDemandOf([...load.tasks, task]),
     );
-    if (after < bestP) {
-      bestP = after;
-      best = d.id;
+    if (probability < lowestProbability) {
+      lowestProbability = probability;
+      best = id;
     }
   }
   return best;
 };
 
-const shift = (
-  now: Map<MachineId, Standing>,
-  t: SwarmTask,
-  from: MachineId,
-  to: MachineId,
-): void => {
-  const a = now.get(from);
-  const b = now.get(to);
-  if (a === undefined || b === undefined) return;
-  now.set(from, {
-    use: subtract(a.use, t.resources),
-    tasks: a.tasks.filter((x) => x.task !== t.task),
+const moveLoad = (loads: MachineLoads, task: SwarmTask, from: MachineId, to: MachineId): void => {
+  const source = loads.get(from);
+  const target = loads.get(to);
+  if (source === undefined || target === undefined) return;
+  loads.set(from, {
+    use: subtract(source.use, task.resources),
+    tasks: source.tasks.filter((other) => other.task !== task.task),
   });
-  now.set(to, { use: add(b.use, t.resources), tasks: [...b.tasks, t] });
+  loads.set(to, { use: add(target.use, task.resources), tasks: [...target.tasks, task] });
+};
+
+/** Whether each task of the origin would find a destination if they moved one after the other. */
+const canBeEmptied = (
+  origin: Origin,
+  machines: readonly SwarmMachine[],
+  loads: ReadonlyMap<MachineId, MachineLoad>,
+): boolean => {
+  const trial = new Map(loads);
+  return origin.machine.tasks.every((task) => {
+    const to = findDestination(task, origin, machines, trial);
+    if (to !== undefined) moveLoad(trial, task, origin.machine.id, to);
+    return to !== undefined;
+  });
+};
+
+/** The origin if its tasks should move in this period; undefined if not. */
+const originOf = (machine: SwarmMachine, loads: MachineLoads): Origin | undefined => {
+  const load = loads.get(machine.id);
+  // A machine that was given tasks in this period is no origin in the same one.
+  if (load === undefined || load.tasks.length > machine.tasks.length) return undefined;
+  const probability = moveProbability(load.use, machine.capacity, smallestDemandOf(load.tasks));
+  return probability > 0 ? { machine, probability } : undefined;
 };
 
 /**
- * One period of the swarm (Algorithm A1): each task draws, and below its machine's p it looks for
- * a destination that stays within capacity (eq. 26) and whose p after the move is below the
- * origin's before (eq. 27). Of those, the one with the lowest p after.
+ * One period of the swarm (Algorithm A1): each task draws a random number r (0 to 1), and if r < p
+ * looks for a destination (eqs. 26 and 27).
  *
- * Ours: only off machines that could be emptied (all of its tasks cheap to restart, each with a
- * destination), for a half-emptied machine costs as much as a full one; and at most `cap` moves.
+ * Ours: only machines that could be emptied are origins (all of their tasks are cheap to restart and
+ * have a destination), because a half-emptied machine costs as much as a full one; those with the
+ * fewest tasks first; and a period makes at most `limits.cap` moves.
  */
 export const planSwarmMoves = (
   machines: readonly SwarmMachine[],
   random: () => number,
-  limits: { readonly cap: number; readonly maxLossS: number },
+  limits: SwarmLimits,
 ): readonly SwarmMove[] => {
   const moves: SwarmMove[] = [];
-  const now = new Map<MachineId, Standing>(machines.map((m) => [m.id, m]));
-  const origins = machines
-    .filter((m) => m.tasks.length > 0 && m.tasks.every((t) => t.lossS <= limits.maxLossS))
+  const loads: MachineLoads = new Map(machines.map((machine) => [machine.id, machine]));
+  const cheapToEmpty = machines
+    .filter(({ tasks }) => tasks.length > 0 && tasks.every((t) => t.lossS <= limits.maxLossS))
     .sort((a, b) => a.tasks.length - b.tasks.length);
-  for (const origin of origins) {
+  for (const machine of cheapToEmpty) {
     if (moves.length >= limits.cap) break;
-    const here = now.get(origin.id);
-    // A machine that has just taken tasks in is no origin in the same period.
-    if (here === undefined || here.tasks.length > origin.tasks.length) continue;
-    const p = moveProbability(here.use, origin.capacity, smallestDemandOf(here.tasks));
-    if (p <= 0) continue;
-    const trial = new Map(now);
-    const emptied = origin.tasks.every((t) => {
-      const to = destination(t, origin.id, p, machines, trial);
-      if (to !== undefined) shift(trial, t, origin.id, to);
-      return to !== undefined;
-    });
-    if (!emptied) continue;
-    for (const t of origin.tasks) {
-      if (moves.length >= limits.cap || random() >= p) continue;
-      const to = destination(t, origin.id, p, machines, now);
+    const origin = originOf(machine, loads);
+    if (origin === undefined || !canBeEmptied(origin, machines, loads)) continue;
+    for (const task of machine.tasks) {
+      if (moves.length >= limits.cap || random() >= origin.probability) continue;
+      const to = findDestination(task, origin, machines, loads);
       if (to === undefined) continue;
-      shift(now, t, origin.id, to);
-      moves.push({ task: t.task, from: origin.id, to });
+      moveLoad(loads, task, machine.id, to);
+      moves.push({ task: task.task, from: machine.id, to });
     }
   }
   return moves;
