--- a/packages/load-spread/src/greedy-planner.ts
+++ b/packages/load-spread/src/greedy-planner.ts
@@ -1,38 +1,49 @@
+/**
+ * Plans spans without a solver: the fallback, and what the solver's plans are compared with.
+ *
+ * No state. A plan keeps every shard's minimum and its targets add up to the whole, like the
+ * solver's.
+ */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { type PlanInput, type SpanPlan, spanPlan, type TeamPlan } from "./plan.js";
 
 /**
- * To each shard what it needs at least, then in proportion what demand lacks; what is left goes to
- * the shards that take new jobs, alike.
+ * Targets as parts of the quota: to each shard its minimum, then in proportion to the demand that
+ * this doesn't cover; what is left goes to the active shards in equal parts.
  */
 const targetsOf = ({ shards }: TeamPlan): ReadonlyMap<ShardId, number> => {
-  const parts = new Map<ShardId, number>();
-  const lacks = shards.map((s) => Math.max(0, Math.min(s.demand, s.most) - s.least));
-  const lack = lacks.reduce((sum, n) => sum + n, 0);
-  const rest = Math.max(0, 1 - shards.reduce((sum, s) => sum + s.least, 0));
-  const given = Math.min(rest, lack);
-  const active = shards.filter((s) => s.active);
-  for (const [i, s] of shards.entries()) {
-    const forDemand = lack > 0 ? (given * (lacks[i] ?? 0)) / lack : 0;
-    const alike = s.active ? (rest - given) / active.length : 0;
-    parts.set(s.shard, s.least + forDemand + alike);
+  const unmet = shards.map((row) =>
+    Math.max(0, Math.min(row.demand, row.maxTarget) - row.minTarget),
+  );
+  const totalUnmet = unmet.reduce((sum, part) => sum + part, 0);
+  const rest = Math.max(0, 1 - shards.reduce((sum, row) => sum + row.minTarget, 0));
+  const givenToDemand = Math.min(rest, totalUnmet);
+  const activeCount = shards.filter((row) => row.active).length;
+  const targets = new Map<ShardId, number>();
+  for (const [i, row] of shards.entries()) {
+    const forDemand = totalUnmet > 0 ? (givenToDemand * (unmet[i] ?? 0)) / totalUnmet : 0;
+    const equalPart = row.active ? (rest - givenToDemand) / activeCount : 0;
+    targets.set(row.shard, row.minTarget + forDemand + equalPart);
   }
-  return parts;
+  return targets;
 };
 
-/** New jobs by how far each owner is from the busiest. */
+/** Weights of the active shards, in proportion to how far their owners are below the busiest. */
 const weightsOf = ({ shards }: TeamPlan, input: PlanInput): ReadonlyMap<ShardId, number> => {
-  const active = shards.filter((s) => s.active);
-  const units = active.map((s) => input.units.get(s.owner) ?? 0);
-  const room = units.map((n) => 1 + Math.max(0, ...units) - n);
-  const all = room.reduce((sum, n) => sum + n, 0);
-  const free = 1 - input.leastWeight * active.length;
+  const active = shards.filter((row) => row.active);
+  const units = active.map((row) => input.units.get(row.owner) ?? 0);
+  const headroom = units.map((ownUnits) => 1 + Math.max(0, ...units) - ownUnits);
+  const totalHeadroom = headroom.reduce((sum, n) => sum + n, 0);
+  const rest = 1 - input.minWeight * active.length;
   return new Map(
-    active.map((s, i) => [s.shard, input.leastWeight + (free * (room[i] ?? 0)) / all]),
+    active.map((row, i) => [
+      row.shard,
+      input.minWeight + (rest * (headroom[i] ?? 0)) / totalHeadroom,
+    ]),
   );
 };
 
-/** Plans without a solver: the fallback, and what the solver is compared with. */
+/** A plan for each team of the input. */
 export const greedyPlan = (input: PlanInput): ReadonlyMap<TeamName, SpanPlan> =>
   new Map(
     input.teams.map((team) => [team.team, spanPlan(targetsOf(team), weightsOf(team, input))]),
--- a/packages/load-spread/src/index.ts
+++ b/packages/load-spread/src/index.ts
@@ -1,20 +1,20 @@
 /**
  * Spreads a busy team over several shards. Pure decisions: what is known and a time come in, changes
- * of spans, shares and orders come out. The service supplies records, transactions and the clock.
+ * of spans, shares and turns come out. The service supplies records, transactions and the clock.
  */
 export { chooseShard } from "./choose-shard.js";
 export { type FairTurn, type FairTurnInput, fairTurns, type WaitingWork } from "./fair-share.js";
 export { greedyPlan } from "./greedy-planner.js";
-export { consolidated, leastShares } from "./least-shares.js";
 export type { OwnerLoad, ShardLoad, TeamLoad } from "./load.js";
 export { fairNeeds, type MachineShift, machineShifts } from "./machine-balance.js";
+export { consolidateTargets, minimumShares } from "./minimum-shares.js";
 export {
+  isWorthWriting,
   type PlanInput,
   planCost,
   planInput,
   type SpanPlan,
   type TeamPlan,
-  worthWriting,
 } from "./plan.js";
 export { LoadSpreadPlanner, type PlannerCounters } from "./planner.js";
 export {
--- a/packages/load-spread/src/machine-balance.ts
+++ b/packages/load-spread/src/machine-balance.ts
@@ -1,34 +1,52 @@
+/**
+ * Balances machines between shards, so that a team whose shard is full of another team's burst gets
+ * its fair part of all machines.
+ *
+ * No state. All amounts are in processors.
+ */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import type { TeamLoad } from "./load.js";
 
-/** Processors that go from one shard to another. */
+/** Processors that should go from one shard to another. */
 export interface MachineShift {
   readonly from: ShardId;
   readonly to: ShardId;
   readonly cpus: number;
 }
 
-/** A shard is moved machines once it lacks this part of its fair need, and never more a time. */
-const LEAST_LACK = 0.1;
-const MOST_SHIFTED = 0.1;
+/** A shard is given machines once it lacks this part of its fair need. */
+const MIN_LACK_FRACTION = 0.1;
+/** One call shifts no more than this part of all processors. */
+const MAX_SHIFTED_FRACTION = 0.1;
+/** Guards against division by zero for a team that wants nothing. */
+const MIN_WANTED_CPUS = 1e-9;
 
-/** What each team gets of a capacity that is divided max-min fairly between what they want. */
+/** What one shard has too much or too little. */
+interface ShardCpus {
+  readonly shard: ShardId;
+  cpus: number;
+}
+
+/** Max-min fairness: what each team gets of the capacity, never more than it wants. */
 const fairParts = (
   wanted: ReadonlyMap<TeamName, number>,
   capacity: number,
 ): ReadonlyMap<TeamName, number> => {
-  const out = new Map<TeamName, number>();
-  let left = capacity;
-  const rest = [...wanted].sort((a, b) => a[1] - b[1]);
-  for (const [i, [team, cpus]] of rest.entries()) {
-    const part = Math.min(cpus, left / (rest.length - i));
-    out.set(team, part);
-    left -= part;
+  const parts = new Map<TeamName, number>();
+  let remaining = capacity;
+  const ascending = [...wanted].sort((a, b) => a[1] - b[1]);
+  for (const [i, [team, cpus]] of ascending.entries()) {
+    const part = Math.min(cpus, remaining / (ascending.length - i));
+    parts.set(team, part);
+    remaining -= part;
   }
-  return out;
+  return parts;
 };
 
-/** What each shard needs so that every team gets its fair part of all machines. */
+/**
+ * What each shard needs so that every team gets its fair part of the capacity, which is divided
+ * between the team's shards in proportion to what it wants in them.
+ */
 export const fairNeeds = (
   loads: readonly TeamLoad[],
   capacity: number,
@@ -36,22 +54,31 @@
   const wanted = new Map<TeamName, number>();
   for (const { team, shards } of loads) {
     let cpus = 0;
-    for (const here of shards.values()) cpus += here.wantedCpus;
+    for (const row of shards.values()) cpus += row.wantedCpus;
     if (cpus > 0) wanted.set(team, cpus);
   }
   const parts = fairParts(wanted, capacity);
   const needs = new Map<ShardId, number>();
   for (const { team, shards } of loads) {
-    const share = (parts.get(team) ?? 0) / Math.max(1e-9, wanted.get(team) ?? 0);
-    for (const here of shards.values())
-      needs.set(here.shard, (needs.get(here.shard) ?? 0) + here.wantedCpus * share);
+    const grantedFraction =
+      (parts.get(team) ?? 0) / Math.max(MIN_WANTED_CPUS, wanted.get(team) ?? 0);
+    for (const row of shards.values())
+      needs.set(row.shard, (needs.get(row.shard) ?? 0) + row.wantedCpus * grantedFraction);
   }
   return needs;
 };
 
+const shardsWithWaiting = (loads: readonly TeamLoad[]): ReadonlySet<ShardId> =>
+  new Set(
+    loads.flatMap((load) =>
+      [...load.shards.values()].filter((row) => row.waiting > 0).map((row) => row.shard),
+    ),
+  );
+
 /**
- * Which shards should give machines to which, none being idle: from those with most beyond their
- * fair need to those that lack most of theirs and have tasks waiting.
+ * Which shards should give machines to which, while none is idle: from those with most beyond their
+ * fair need to those that lack most of theirs and have waiting tasks. `capacity`: what each shard
+ * has.
  */
 export const machineShifts = (
   loads: readonly TeamLoad[],
@@ -59,29 +86,27 @@
 ): readonly MachineShift[] => {
   const total = [...capacity.values()].reduce((sum, cpus) => sum + cpus, 0);
   const needs = fairNeeds(loads, total);
-  const waits = new Set(
-    loads.flatMap((l) => [...l.shards.values()].filter((s) => s.waiting > 0).map((s) => s.shard)),
-  );
-  const lacks: { readonly shard: ShardId; cpus: number }[] = [];
-  const spare: { readonly shard: ShardId; cpus: number }[] = [];
+  const haveWaiting = shardsWithWaiting(loads);
+  const receivers: ShardCpus[] = [];
+  const givers: ShardCpus[] = [];
   for (const [shard, cpus] of capacity) {
     const need = needs.get(shard) ?? 0;
-    if (need - cpus > LEAST_LACK * need && waits.has(shard))
-      lacks.push({ shard, cpus: need - cpus });
-    else if (cpus > need) spare.push({ shard, cpus: cpus - need });
+    if (need - cpus > MIN_LACK_FRACTION * need && haveWaiting.has(shard))
+      receivers.push({ shard, cpus: need - cpus });
+    else if (cpus > need) givers.push({ shard, cpus: cpus - need });
   }
-  lacks.sort((a, b) => b.cpus - a.cpus);
-  spare.sort((a, b) => b.cpus - a.cpus);
-  const out: MachineShift[] = [];
-  let left = MOST_SHIFTED * total;
-  for (const to of lacks)
-    for (const from of spare) {
-      const cpus = Math.min(to.cpus, from.cpus, left);
+  receivers.sort((a, b) => b.cpus - a.cpus);
+  givers.sort((a, b) => b.cpus - a.cpus);
+  const shifts: MachineShift[] = [];
+  let remaining = MAX_SHIFTED_FRACTION * total;
+  for (const receiver of receivers)
+    for (const giver of givers) {
+      const cpus = Math.min(receiver.cpus, giver.cpus, remaining);
       if (cpus <= 0) continue;
-      out.push({ from: from.shard, to: to.shard, cpus });
-      to.cpus -= cpus;
-      from.cpus -= cpus;
-      left -= cpus;
+      shifts.push({ from: giver.shard, to: receiver.shard, cpus });
+      receiver.cpus -= cpus;
+      giver.cpus -= cpus;
+      remaining -= cpus;
     }
-  return out;
+  return shifts;
 };
--- a/packages/load-spread/src/plan.ts
+++ b/packages/load-spread/src/plan.ts
@@ -1,42 +1,53 @@
+/**
+ * A plan for the spans of all teams: what a planner is given, what it returns, what that costs, and
+ * whether it is worth a write.
+ *
+ * No state. Planners compute with parts of a team's quota, 0 to 1; spans hold `Share`s.
+ */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { type PlannedShare, type Share, type Span, share, WHOLE } from "@umberfold/spans";
-import { leastShares } from "./least-shares.js";
 import type { OwnerLoad, TeamLoad } from "./load.js";
 import { tasksOf } from "./load.js";
+import { minimumShares } from "./minimum-shares.js";
 import type { LoadSpreadSettings } from "./settings.js";
 
 /** What each shard of a team's span should have of its quota and of its new jobs. */
 export type SpanPlan = ReadonlyMap<ShardId, PlannedShare>;
 
-/** One shard of one team, as a planner sees it; in parts of the team's quota, 0 to 1. */
+/** One shard of one team as a planner sees it; amounts are parts of the team's quota, 0 to 1. */
 export interface TeamPlanShard {
   readonly shard: ShardId;
+  /** The owner's label; empty while the shard has none. */
   readonly owner: string;
   /** Whether new jobs may be placed there. */
   readonly active: boolean;
+  /** The share that it has now. */
   readonly current: number;
   readonly demand: number;
-  readonly least: number;
-  /** The whole, or for a shard that drains what its jobs still need. */
-  readonly most: number;
+  readonly minTarget: number;
+  /** The whole, or for a draining shard what its jobs still need. */
+  readonly maxTarget: number;
 }
 
+/** One team as a planner sees it. */
 export interface TeamPlan {
   readonly team: TeamName;
+  /** Its open attempts and waiting tasks. */
   readonly tasks: number;
   readonly shards: readonly TeamPlanShard[];
 }
 
+/** What a planner is given. */
 export interface PlanInput {
   readonly teams: readonly TeamPlan[];
-  /** What each owner has to do now; new jobs come on top. */
+  /** What each owner has to do now, by label; new jobs come in addition. */
   readonly units: ReadonlyMap<string, number>;
-  /** The least part of its new jobs that each active shard takes. */
-  readonly leastWeight: number;
+  /** The part (0 to 1) of its team's new jobs that each active shard gets at least. */
+  readonly minWeight: number;
   readonly costs: Pick<LoadSpreadSettings, "loadCost" | "transferCost">;
 }
 
-/** Demand without room for it weighs more than anything else. */
+/** Cost of demand that targets don't cover, for a whole quota: far above all other costs. */
 export const UNMET_COST = 1000;
 const NO_OWNER = "";
 
@@ -46,13 +57,13 @@
   settings: LoadSpreadSettings,
 ): TeamPlan | undefined => {
   if (load.span === undefined) return undefined;
-  const least = leastShares(load, load.span, settings.minShare);
-  const total = [...load.shards.values()].reduce((sum, s) => sum + s.demand, 0);
-  // More demand than the quota is divided in proportion.
-  const all = Math.max(WHOLE, total);
+  const minimums = minimumShares(load, load.span, settings.minShare);
+  const totalDemand = [...load.shards.values()].reduce((sum, row) => sum + row.demand, 0);
+  // Demand beyond the quota is scaled down to it.
+  const demandUnit = Math.max(WHOLE, totalDemand);
   const shards = load.span.entries.map((entry) => {
-    const demand = (load.shards.get(entry.shard)?.demand ?? 0) / all;
-    const leastPart = (least.get(entry.shard) ?? 0) / WHOLE;
+    const demand = (load.shards.get(entry.shard)?.demand ?? 0) / demandUnit;
+    const minTarget = (minimums.get(entry.shard) ?? 0) / WHOLE;
     const active = entry.state === "active";
     return {
       shard: entry.shard,
@@ -60,13 +71,14 @@
       active,
       current: entry.share / WHOLE,
       demand,
-      least: leastPart,
-      most: active ? 1 : Math.max(leastPart, demand),
+      minTarget,
+      maxTarget: active ? 1 : Math.max(minTarget, demand),
     };
   });
   return { team: load.team, tasks: tasksOf(load), shards };
 };
 
+/** The planners' input; teams without a span are left out. */
 export const planInput = (
   loads: readonly TeamLoad[],
   owners: readonly OwnerLoad[],
@@ -74,27 +86,27 @@
 ): PlanInput => ({
   teams: loads.flatMap((load) => teamPlan(load, owners, settings) ?? []),
   units: new Map(owners.map((o) => [o.owner, o.units])),
-  leastWeight: settings.minShare,
+  minWeight: settings.minShare,
   costs: settings,
 });
 
-/** A solver's parts are right within this; they are rounded to it. */
-const PRECISION = 1e-9;
+/** The solver's parts are exact within this: parts are rounded to multiples of it. */
+const PART_PRECISION = 1e-9;
+const PRECISION_SHARE = Math.round(PART_PRECISION * WHOLE);
 
-const PRECISION_SHARE = Math.round(PRECISION * WHOLE);
-
-/** Parts of a whole as shares that add up to no more than it. */
+/** Parts (0 to 1) of a whole as shares that add up to no more than the whole. */
 export const toShares = (parts: ReadonlyMap<ShardId, number>): ReadonlyMap<ShardId, Share> => {
-  const out = new Map<ShardId, Share>();
-  let left: number = WHOLE;
+  const shares = new Map<ShardId, Share>();
+  let remaining: number = WHOLE;
   for (const [shard, part] of parts) {
-    const target = Math.min(left, Math.round(part / PRECISION) * PRECISION_SHARE);
-    out.set(shard, share(target));
-    left -= target;
+    const rounded = Math.min(remaining, Math.round(part / PART_PRECISION) * PRECISION_SHARE);
+    shares.set(shard, share(rounded));
+    remaining -= rounded;
   }
-  return out;
+  return shares;
 };
 
+/** A span's plan from targets and weights as parts (0 to 1); a shard without a weight gets none. */
 export const spanPlan = (
   targets: ReadonlyMap<ShardId, number>,
   weights: ReadonlyMap<ShardId, number>,
@@ -109,47 +121,50 @@
 };
 
 /**
- * What a plan costs, by the same measure for every planner: demand without room, the busiest owner
- * as a multiple of the mean once new jobs have come, and the shares that change hands.
+ * What a plan costs, by the same measure for every planner: demand that targets don't cover, the
+ * load of the busiest owner once new jobs have come, as a multiple of the mean, and the shares that
+ * are transferred. No unit: only comparable with other plans for the same input.
  */
 export const planCost = (input: PlanInput, plan: ReadonlyMap<TeamName, SpanPlan>): number => {
   const units = new Map(input.units);
   let unmet = 0;
-  let moved = 0;
+  let transferred = 0;
   for (const team of input.teams) {
     const planned = plan.get(team.team);
     for (const row of team.shards) {
       const { target, weight } = planned?.get(row.shard) ?? { target: 0, weight: 0 };
       unmet += Math.max(0, row.demand - target / WHOLE);
-      moved += Math.max(0, target / WHOLE - row.current);
+      transferred += Math.max(0, target / WHOLE - row.current);
       units.set(row.owner, (units.get(row.owner) ?? 0) + (team.tasks * weight) / WHOLE);
     }
   }
-  const loads = [...units].filter(([owner]) => owner !== NO_OWNER).map(([, n]) => n);
-  const mean = loads.reduce((sum, n) => sum + n, 0) / Math.max(1, loads.length);
+  const loads = [...units].filter(([owner]) => owner !== NO_OWNER).map(([, load]) => load);
+  const mean = loads.reduce((sum, load) => sum + load, 0) / Math.max(1, loads.length);
   const busiest = mean > 0 ? Math.max(0, ...loads) / mean : 0;
-  return UNMET_COST * unmet + input.costs.loadCost * busiest + input.costs.transferCost * moved;
+  return (
+    UNMET_COST * unmet + input.costs.loadCost * busiest + input.costs.transferCost * transferred
+  );
 };
 
-/** Weights follow the owners' load, which swings: they are written at changes of so many steps. */
+/** Weights follow the owners' loads, which swing: only changes of this many steps are written. */
 const WEIGHT_STEPS = 3;
 
 /**
- * Whether a plan differs enough from the one in force to be written: by a step, or because a shard
- * could not run its largest task under the old one, or keeps what it no longer needs while it
- * drains. At a steady load nothing is written.
+ * Whether a plan differs enough from the span's present one to be written: by `step` (a part, 0 to
+ * 1, of the quota), or because a shard could not run its largest waiting task under the present one,
+ * or because a draining shard keeps what it no longer needs. At a steady load nothing is written.
  */
-export const worthWriting = (
+export const isWorthWriting = (
   span: Span,
   plan: SpanPlan,
-  least: ReadonlyMap<ShardId, number>,
+  minimums: ReadonlyMap<ShardId, number>,
   step: number,
 ): boolean =>
-  span.entries.some((e) => {
-    const { target, weight } = plan.get(e.shard) ?? { target: 0, weight: 0 };
-    if (e.target < (least.get(e.shard) ?? 0) && target > e.target) return true;
-    // What drains must come to nothing, however little is left.
-    if (e.state === "draining" && target === 0 && e.target > 0) return true;
-    const reweighed = Math.abs(weight - e.weight) >= WEIGHT_STEPS * step * WHOLE;
-    return reweighed || Math.abs(target - e.target) >= step * WHOLE;
+  span.entries.some((entry) => {
+    const { target, weight } = plan.get(entry.shard) ?? { target: 0, weight: 0 };
+    if (entry.target < (minimums.get(entry.shard) ?? 0) && target > entry.target) return true;
+    // A draining shard must come to nothing, however little is left.
+    if (entry.state === "draining" && target === 0 && entry.target > 0) return true;
+    const weightChanged = Math.abs(weight - entry.weight) >= WEIGHT_STEPS * step * WHOLE;
+    return weightChanged || Math.abs(target - entry.target) >= step * WHOLE;
   });
--- a/packages/load-spread/src/pressure.ts
+++ b/packages/load-spread/src/pressure.ts
@@ -1,37 +1,50 @@
+/**
+ * Whether a team presses on its owners enough for its span to grow, or so little that it may shrink.
+ *
+ * A state machine without state of its own: `stepPressure` is the one place where a team's pressure
+ * changes. Between the bounds of `pressed` and `relaxed` lies a band in which nothing happens, so
+ * that a load which swings around one bound doesn't change the span again and again.
+ */
 import type { LoadSpreadSettings } from "./settings.js";
 
 /**
- * `calm`: neither. `pressed`: enough tasks, some of them waiting, behind an owner that has much more
- * to do than another. `relaxed`: less than half of the tasks that a spread needs. Between the two
- * bounds lies a band in which nothing changes.
+ * `pressed`: the team has at least `minTasks` tasks, some of them waiting, and an owner of its span
+ * has much more to do than one outside it. `relaxed`: it has less than half of `minTasks`. `calm`:
+ * neither.
  */
 export type PressureState = "calm" | "pressed" | "relaxed";
 
+/** A team's pressure and since when it has been so. */
 export interface Pressure {
   readonly state: PressureState;
-  /** Milliseconds of a steady clock. */
+  /** Milliseconds of a monotonic clock. */
   readonly since: number;
 }
 
+/** The pressure of a team that has not been looked at yet. */
 export const NO_PRESSURE: Pressure = { state: "calm", since: 0 };
 
+/** What a team's pressure is judged by. */
 export interface PressureInput {
+  /** Open attempts and waiting tasks. */
   readonly tasks: number;
   readonly waiting: number;
-  /** Units of the busiest owner within the span, and of the idlest outside it. */
+  /** Units of the busiest owner within the span. */
   readonly busiest: number;
+  /** Units of the idlest owner outside it; infinity if there is none. */
   readonly idlest: number;
 }
 
-const RELAXED_PART = 0.5;
+/** Below this part of `minTasks` a team is relaxed. */
+const RELAXED_FRACTION = 0.5;
 
 const stateOf = (input: PressureInput, settings: LoadSpreadSettings): PressureState => {
-  if (input.tasks < settings.minTasks * RELAXED_PART) return "relaxed";
+  if (input.tasks < settings.minTasks * RELAXED_FRACTION) return "relaxed";
   const uneven = input.busiest > input.idlest * settings.imbalance;
   return input.tasks >= settings.minTasks && input.waiting > 0 && uneven ? "pressed" : "calm";
 };
 
-/** The one place where a team's pressure changes; a state that lasts keeps the time it began. */
+/** The pressure at `now` (milliseconds of a monotonic clock); a state that lasts keeps its `since`. */
 export const stepPressure = (
   before: Pressure,
   input: PressureInput,
--- a/packages/load-spread/src/settings.ts
+++ b/packages/load-spread/src/settings.ts
@@ -1,29 +1,34 @@
-/** What operators may set of load spreading. docs/load-spread.md tells each setting's effect. */
+/** What operators may set of load spreading. docs/load-spread.md describes each setting's effect. */
+
+/** The settings as they are after parsing: complete and within their bounds. */
 export interface LoadSpreadSettings {
   readonly enabled: boolean;
   /** The most shards that one team may span. */
   readonly maxSpan: number;
   /** A team with fewer tasks, open and waiting, is never spread. */
   readonly minTasks: number;
-  /** How long pressure must last before a span grows, and its absence before it shrinks. */
+  /** Seconds that pressure must last before a span grows. */
   readonly growAfterS: number;
+  /** Seconds that a team must be relaxed before its span shrinks. */
   readonly shrinkAfterS: number;
   /** How many times as loaded as the idlest owner the owner of a span's shard must be. */
   readonly imbalance: number;
-  /** The part of a team's quota that an active shard of its span is planned to have at least. */
+  /** The part (0 to 1) of a team's quota that each active shard of its span is planned at least. */
   readonly minShare: number;
-  /** Changes of a planned share below this are not written. */
+  /** Changes of a planned share below this part (0 to 1) of the quota are not written. */
   readonly shareStep: number;
-  /** Costs of the planner: of an owner's load, and of each part of a quota that changes hands. */
+  /** Cost to the planner of the busiest owner's load, as a multiple of the mean. */
   readonly loadCost: number;
+  /** Cost to the planner of transferring a whole quota. */
   readonly transferCost: number;
-  /** The planner's greatest input, in teams times shards, and the time that the solver may take. */
+  /** The solver's largest input, in teams times shards. */
   readonly solverCells: number;
+  /** Milliseconds that the solver may take. */
   readonly solverMs: number;
-  /** How often the leader looks at the spans, and owners at what they owe to others. */
+  /** How often the leader looks at the spans, and owners at the shares they have to transfer. */
   readonly periodMs: number;
-  /** Whether shards give machines to others that lack their fair part, none being idle. */
+  /** Whether shards give machines to others that lack their fair part while none is idle. */
   readonly balanceMachines: boolean;
-  /** Whether room beyond guarantees is divided fairly between the teams that wait. */
+  /** Whether capacity beyond guarantees is divided fairly between the teams that wait. */
   readonly fairShares: boolean;
 }
--- a/packages/load-spread/src/solver-planner.ts
+++ b/packages/load-spread/src/solver-planner.ts
@@ -1,117 +1,146 @@
+/**
+ * Plans spans with a linear programme, which weighs unmet demand, the busiest owner's load and the
+ * transfer of shares against one another for all teams together.
+ *
+ * No state. The solver (yalps) is not trusted: an answer out of bounds counts as none.
+ */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { type Constraint, equalTo, greaterEq, inRange, lessEq, type Model, solve } from "yalps";
 import { type PlanInput, type SpanPlan, spanPlan, type TeamPlan, UNMET_COST } from "./plan.js";
 
-/** Sums of a solution may stray from the whole by this much; more is out of bounds. */
-const TOLERANCE = 1e-6;
-/** Coefficients below this are nothing to the solver, and its answers are rounded to it. */
-const PRECISION = 1e-10;
+/** A solution whose parts are out of their bounds, or add up to other than 1, by more is rejected. */
+const SOLUTION_TOLERANCE = 1e-6;
+/** Coefficients below this are zero to the solver, and its answers are rounded to it. */
+const SOLVER_PRECISION = 1e-10;
+/** The variable that bounds every owner's load, in multiples of the mean load. */
 const BUSIEST = "busiest";
 
 type Coefficients = Record<string, number>;
 
+/** The linear programme while it is put together. */
 interface Programme {
   readonly variables: Record<string, Coefficients>;
   readonly constraints: Record<string, Constraint>;
 }
 
-/** `target`: its part of the quota. `unmet`: demand without room. `gain`: what changes hands. */
-const addTargets = ({ variables, constraints }: Programme, team: TeamPlan, t: number): void => {
-  constraints[`quota|${t}`] = equalTo(1);
+/**
+ * For each shard: `target`, its part of the quota; `unmet`, the demand that the target doesn't
+ * cover; `gain`, what is transferred to it.
+ */
+const addTargets = (
+  { variables, constraints }: Programme,
+  team: TeamPlan,
+  teamIndex: number,
+  transferCost: number,
+): void => {
+  constraints[`quota|${teamIndex}`] = equalTo(1);
   for (const row of team.shards) {
-    const at = `${t}|${row.shard}`;
-    constraints[`bounds|${at}`] = inRange(row.least, row.most);
-    constraints[`demand|${at}`] = greaterEq(row.demand);
-    constraints[`current|${at}`] = lessEq(row.current);
-    variables[`target|${at}`] = {
-      [`quota|${t}`]: 1,
-      [`bounds|${at}`]: 1,
-      [`demand|${at}`]: 1,
-      [`current|${at}`]: 1,
+    const cell = `${teamIndex}|${row.shard}`;
+    constraints[`bounds|${cell}`] = inRange(row.minTarget, row.maxTarget);
+    constraints[`demand|${cell}`] = greaterEq(row.demand);
+    constraints[`current|${cell}`] = lessEq(row.current);
+    variables[`target|${cell}`] = {
+      [`quota|${teamIndex}`]: 1,
+      [`bounds|${cell}`]: 1,
+      [`demand|${cell}`]: 1,
+      [`current|${cell}`]: 1,
     };
-    variables[`unmet|${at}`] = { cost: UNMET_COST, [`demand|${at}`]: 1 };
-    variables[`gain|${at}`] = { [`current|${at}`]: -1 };
+    variables[`unmet|${cell}`] = { cost: UNMET_COST, [`demand|${cell}`]: 1 };
+    variables[`gain|${cell}`] = { [`current|${cell}`]: -1, cost: transferCost };
   }
 };
 
-/** `weight`: its part of new jobs, which are as many as the team has now. */
+/** For each active shard: `weight`, its part of new jobs, which are taken for as many as now. */
 const addWeights = (
   { variables, constraints }: Programme,
   team: TeamPlan,
-  t: number,
+  teamIndex: number,
   input: PlanInput,
-  mean: number,
+  meanLoad: number,
 ): void => {
-  constraints[`jobs|${t}`] = equalTo(1);
+  constraints[`jobs|${teamIndex}`] = equalTo(1);
   for (const row of team.shards) {
     if (!row.active) continue;
-    const at = `${t}|${row.shard}`;
-    constraints[`least|${at}`] = greaterEq(input.leastWeight);
-    const weight: Coefficients = { [`jobs|${t}`]: 1, [`least|${at}`]: 1 };
-    if (input.units.has(row.owner)) weight[`load|${row.owner}`] = team.tasks / mean;
-    variables[`weight|${at}`] = weight;
+    const cell = `${teamIndex}|${row.shard}`;
+    constraints[`least|${cell}`] = greaterEq(input.minWeight);
+    const weight: Coefficients = { [`jobs|${teamIndex}`]: 1, [`least|${cell}`]: 1 };
+    if (input.units.has(row.owner)) weight[`load|${row.owner}`] = team.tasks / meanLoad;
+    variables[`weight|${cell}`] = weight;
   }
 };
 
-/** The linear programme. `busiest` bounds every owner's load, in units of the mean. */
 const modelOf = (input: PlanInput): Model => {
   const programme: Programme = { variables: {}, constraints: {} };
-  const tasks = input.teams.reduce((sum, t) => sum + t.tasks, 0);
-  const total = [...input.units.values()].reduce((sum, units) => sum + units, tasks);
-  const mean = Math.max(1, total / Math.max(1, input.units.size));
+  const tasks = input.teams.reduce((sum, team) => sum + team.tasks, 0);
+  const totalLoad = [...input.units.values()].reduce((sum, units) => sum + units, tasks);
+  const meanLoad = Math.max(1, totalLoad / Math.max(1, input.units.size));
   const busiest: Coefficients = { cost: input.costs.loadCost };
   for (const [owner, units] of input.units) {
-    programme.constraints[`load|${owner}`] = lessEq(-units / mean);
+    programme.constraints[`load|${owner}`] = lessEq(-units / meanLoad);
     busiest[`load|${owner}`] = -1;
   }
   programme.variables[BUSIEST] = busiest;
-  for (const [t, team] of input.teams.entries()) {
-    addTargets(programme, team, t);
-    addWeights(programme, team, t, input, mean);
-    for (const row of team.shards) {
-      const gain = programme.variables[`gain|${t}|${row.shard}`];
-      if (gain !== undefined) gain.cost = input.costs.transferCost;
-    }
+  for (const [teamIndex, team] of input.teams.entries()) {
+    addTargets(programme, team, teamIndex, input.costs.transferCost);
+    addWeights(programme, team, teamIndex, input, meanLoad);
   }
   return { direction: "minimize", objective: "cost", ...programme };
 };
 
-/** Parts that add up to one, within their bounds; undefined otherwise. */
+/** Between what a solution's part for a shard must lie. */
+interface PartBounds {
+  readonly shard: ShardId;
+  readonly min: number;
+  readonly max: number;
+}
+
+/** Parts of a solution that add up to 1, each within its bounds; undefined otherwise. */
 const readParts = (
   values: ReadonlyMap<string, number>,
   name: "target" | "weight",
-  t: number,
-  rows: readonly { readonly shard: ShardId; readonly least: number; readonly most: number }[],
+  teamIndex: number,
+  bounds: readonly PartBounds[],
 ): ReadonlyMap<ShardId, number> | undefined => {
   const parts = new Map<ShardId, number>();
   let sum = 0;
-  for (const { shard, least, most } of rows) {
-    const part = values.get(`${name}|${t}|${shard}`) ?? 0;
-    if (!(part >= least - TOLERANCE && part <= most + TOLERANCE)) return undefined;
+  for (const { shard, min, max } of bounds) {
+    const part = values.get(`${name}|${teamIndex}|${shard}`) ?? 0;
+    const inBounds = part >= min - SOLUTION_TOLERANCE && part <= max + SOLUTION_TOLERANCE;
+    // Written so that a part which is not a number is out of bounds.
+    if (!inBounds) return undefined;
     sum += part;
     parts.set(shard, part);
   }
-  if (Math.abs(sum - 1) > TOLERANCE) return undefined;
+  if (Math.abs(sum - 1) > SOLUTION_TOLERANCE) return undefined;
   // What strays within the tolerance must not raise the sum beyond the whole.
   return new Map([...parts].map(([shard, part]) => [shard, part / Math.max(1, sum)]));
 };
 
-/** Undefined if the solver fails, takes too long or answers out of bounds. */
+/**
+ * A plan for each team of the input; undefined if the solver finds none within `timeoutMs` or its
+ * answer is out of bounds. Throws whatever the solver throws.
+ */
 export const solvePlan = (
   input: PlanInput,
   timeoutMs: number,
 ): ReadonlyMap<TeamName, SpanPlan> | undefined => {
-  const solution = solve(modelOf(input), { timeout: timeoutMs, precision: PRECISION });
+  const solution = solve(modelOf(input), { timeout: timeoutMs, precision: SOLVER_PRECISION });
   if (solution.status !== "optimal") return undefined;
   const values = new Map(solution.variables);
-  const out = new Map<TeamName, SpanPlan>();
-  for (const [t, team] of input.teams.entries()) {
-    const targets = readParts(values, "target", t, team.shards);
-    const active = team.shards.filter((s) => s.active);
-    const bounds = active.map(({ shard }) => ({ shard, least: input.leastWeight, most: 1 }));
-    const weights = readParts(values, "weight", t, bounds);
+  const plans = new Map<TeamName, SpanPlan>();
+  for (const [teamIndex, { team, shards }] of input.teams.entries()) {
+    const targetBounds = shards.map(({ shard, minTarget, maxTarget }) => ({
+      shard,
+      min: minTarget,
+      max: maxTarget,
+    }));
+    const weightBounds = shards
+      .filter((row) => row.active)
+      .map(({ shard }) => ({ shard, min: input.minWeight, max: 1 }));
+    const targets = readParts(values, "target", teamIndex, targetBounds);
+    const weights = readParts(values, "weight", teamIndex, weightBounds);
     if (targets === undefined || weights === undefined) return undefined;
-    out.set(team.team, spanPlan(targets, weights));
+    plans.set(team, spanPlan(targets, weights));
   }
-  return out;
+  return plans;
 };
--- a/packages/load-spread/src/span-policy.ts
+++ b/packages/load-spread/src/span-policy.ts
@@ -1,29 +1,38 @@
+/**
+ * Decides whether a team's span grows, shrinks, or loses a shard that is done draining.
+ *
+ * No state. At most one change of a span at a time, so that each is judged by what the one before
+ * has done. Repairs go first (adopt, leave), then what switching off asks for, then pressure.
+ */
 import type { ShardId } from "@umberfold/ids";
 import type { Span, SpanEvent } from "@umberfold/spans";
 import { type OwnerLoad, type TeamLoad, tasksOf, waitingOf } from "./load.js";
 import type { Pressure, PressureInput } from "./pressure.js";
 import type { LoadSpreadSettings } from "./settings.js";
 
+/** A change of a span. */
 export interface SpanDecision {
   readonly event: Extract<SpanEvent, { kind: "join" | "adopt" | "drain" | "leave" }>;
-  /** Pressure has been answered: it must last anew before the next change. */
+  /** The change answers the pressure: it must last anew before the next change. */
   readonly answersPressure: boolean;
 }
 
 const ownerOf = (owners: readonly OwnerLoad[], shard: ShardId): OwnerLoad | undefined =>
-  owners.find((o) => o.shards.includes(shard));
+  owners.find((owner) => owner.shards.includes(shard));
 
 const activeShards = (load: TeamLoad): readonly ShardId[] =>
-  load.span?.entries.filter((e) => e.state === "active").map((e) => e.shard) ?? [load.home];
+  load.span?.entries.filter((entry) => entry.state === "active").map((entry) => entry.shard) ?? [
+    load.home,
+  ];
 
-/** Owners that hold an active shard of the span, and those that hold none. */
+/** Owners of an active shard of the span, and owners of none. */
 const splitOwners = (
   load: TeamLoad,
   owners: readonly OwnerLoad[],
 ): { readonly within: readonly OwnerLoad[]; readonly outside: readonly OwnerLoad[] } => {
   const active = activeShards(load);
-  const within = owners.filter((o) => o.shards.some((s) => active.includes(s)));
-  return { within, outside: owners.filter((o) => !within.includes(o)) };
+  const within = owners.filter((owner) => owner.shards.some((shard) => active.includes(shard)));
+  return { within, outside: owners.filter((owner) => !within.includes(owner)) };
 };
 
 /** What a team's pressure is judged by. */
@@ -32,36 +41,61 @@
   return {
     tasks: tasksOf(load),
     waiting: waitingOf(load),
-    busiest: Math.max(0, ...within.map((o) => o.units)),
-    idlest: Math.min(Number.POSITIVE_INFINITY, ...outside.map((o) => o.units)),
+    busiest: Math.max(0, ...within.map((owner) => owner.units)),
+    idlest: Math.min(Number.POSITIVE_INFINITY, ...outside.map((owner) => owner.units)),
   };
 };
 
-/** The shard for a span to grow into: of the idlest owner outside it, one that drains if there is. */
+/** The shard that a span grows into: of the idlest owner outside it, a draining one if it has any. */
 const nextShard = (load: TeamLoad, owners: readonly OwnerLoad[]): ShardId | undefined => {
   const idlest = [...splitOwners(load, owners).outside].sort((a, b) => a.units - b.units)[0];
   if (idlest === undefined) return undefined;
-  const draining = load.span?.entries.find((e) => idlest.shards.includes(e.shard));
+  const draining = load.span?.entries.find((entry) => idlest.shards.includes(entry.shard));
   return draining?.shard ?? idlest.shards[0];
 };
 
-const isEmpty = (load: TeamLoad, shard: ShardId): boolean => {
-  const here = load.shards.get(shard);
-  return here === undefined || (here.jobs === 0 && here.open === 0);
+const hasWork = (load: TeamLoad, shard: ShardId): boolean => {
+  const row = load.shards.get(shard);
+  return row !== undefined && (row.jobs > 0 || row.open > 0);
 };
 
-/** A shard with jobs of the team that its span lacks: an accept came after the shard had left. */
-const stray = (load: TeamLoad): ShardId | undefined => {
-  const known = new Set(load.span?.entries.map((e) => e.shard) ?? [load.home]);
-  for (const here of load.shards.values())
-    if (!known.has(here.shard) && (here.jobs > 0 || here.open > 0)) return here.shard;
+/** A shard with jobs of the team that its span lacks: a submission came after the shard had left. */
+const shardToAdopt = (load: TeamLoad): ShardId | undefined => {
+  const known = new Set(load.span?.entries.map((entry) => entry.shard) ?? [load.home]);
+  for (const { shard } of load.shards.values())
+    if (!known.has(shard) && hasWork(load, shard)) return shard;
   return undefined;
 };
 
-const lastActive = (span: Span): ShardId | undefined =>
-  span.entries.filter((e) => e.state === "active" && e.shard !== span.home).at(-1)?.shard;
+/** A draining shard that has neither work nor a share left. */
+const shardToLeave = (load: TeamLoad): ShardId | undefined =>
+  load.span?.entries.find(
+    (entry) => entry.state === "draining" && entry.share === 0 && !hasWork(load, entry.shard),
+  )?.shard;
 
-/** At most one change of a team's span at a time. */
+/** The active shard that joined last; never the home shard. */
+const shardToDrain = (load: TeamLoad): ShardId | undefined =>
+  load.span?.entries
+    .filter((entry) => entry.state === "active" && entry.shard !== load.span?.home)
+    .at(-1)?.shard;
+
+/** The shard that joins because of pressure; undefined if the span may not grow now. */
+const shardToJoin = (
+  load: TeamLoad,
+  owners: readonly OwnerLoad[],
+  settings: LoadSpreadSettings,
+): ShardId | undefined => {
+  const active = activeShards(load);
+  if (active.length >= settings.maxSpan) return undefined;
+  // While a shard has no owner a failover is on: an owner that looks busy may only have taken over.
+  if (!active.every((shard) => ownerOf(owners, shard) !== undefined)) return undefined;
+  return nextShard(load, owners);
+};
+
+/**
+ * The next change of a team's span, or undefined for none. `now` and the pressure's `since`:
+ * milliseconds of one monotonic clock.
+ */
 export const decideSpan = (
   load: TeamLoad,
   pressure: Pressure,
@@ -69,33 +103,28 @@
   settings: LoadSpreadSettings,
   now: number,
 ): SpanDecision | undefined => {
-  const strayed = stray(load);
-  if (strayed !== undefined)
-    return { event: { kind: "adopt", shard: strayed }, answersPressure: false };
-  const { span } = load;
-  const gone = span?.entries.find(
-    (e) => e.state === "draining" && e.share === 0 && isEmpty(load, e.shard),
-  );
-  if (gone !== undefined)
-    return { event: { kind: "leave", shard: gone.shard }, answersPressure: false };
-  const last = span === undefined ? undefined : lastActive(span);
-  if (last !== undefined && !settings.enabled)
-    return { event: { kind: "drain", shard: last }, answersPressure: false };
+  const adopted = shardToAdopt(load);
+  if (adopted !== undefined)
+    return { event: { kind: "adopt", shard: adopted }, answersPressure: false };
+  const left = shardToLeave(load);
+  if (left !== undefined) return { event: { kind: "leave", shard: left }, answersPressure: false };
+  const drained = shardToDrain(load);
+  if (drained !== undefined && !settings.enabled)
+    return { event: { kind: "drain", shard: drained }, answersPressure: false };
   const lastedS = (now - pressure.since) / 1000;
-  if (pressure.state === "relaxed" && last !== undefined && lastedS >= settings.shrinkAfterS)
-    return { event: { kind: "drain", shard: last }, answersPressure: true };
-  if (pressure.state !== "pressed" || !settings.enabled) return undefined;
-  if (lastedS < settings.growAfterS || activeShards(load).length >= settings.maxSpan)
+  if (pressure.state === "relaxed" && drained !== undefined && lastedS >= settings.shrinkAfterS)
+    return { event: { kind: "drain", shard: drained }, answersPressure: true };
+  if (pressure.state !== "pressed" || !settings.enabled || lastedS < settings.growAfterS)
     return undefined;
-  // While a shard has no owner a takeover is on: what looks busy may only have been handed over.
-  const held = (s: ShardId): boolean => ownerOf(owners, s) !== undefined;
-  if (!activeShards(load).every(held)) return undefined;
-  const shard = nextShard(load, owners);
-  return shard === undefined
+  const joining = shardToJoin(load, owners, settings);
+  return joining === undefined
     ? undefined
-    : { event: { kind: "join", shard }, answersPressure: true };
+    : { event: { kind: "join", shard: joining }, answersPressure: true };
 };
 
-/** A span of the home shard alone, with all of the quota, means the same as no record. */
+/**
+ * Whether a span's record can be deleted: the home shard is alone in it, which means the same as no
+ * record.
+ */
 export const dissolvable = (span: Span): boolean =>
   span.entries.length === 1 && span.entries[0]?.shard === span.home;
--- a/packages/load-spread/src/transfers.ts
+++ b/packages/load-spread/src/transfers.ts
@@ -1,24 +1,31 @@
+/**
+ * Decides which part of a shard's share its owner transfers to another shard. No state.
+ *
+ * An owner gives only what lies beyond its shard's target and what its open attempts don't use, so
+ * the attempts of all shards together stay within the quota.
+ */
 import type { ShardId } from "@umberfold/ids";
 import { type Share, type Span, type SpanEvent, share } from "@umberfold/spans";
 
+/** What a transfer is decided by. */
 export interface TransferInput {
   readonly span: Span;
   /** The shard whose owner asks. */
   readonly from: ShardId;
-  /** What the open attempts there take. */
+  /** What its open attempts take. */
   readonly used: Share;
 }
 
 /**
- * What a shard's owner should hand on now: what it has beyond its target and doesn't use, to the
- * shard that lacks most. Undefined: nothing.
+ * The transfer that a shard's owner should make now, to the shard that lacks most of its target;
+ * undefined if there is nothing to give or nobody lacks anything.
  */
 export const nextTransfer = ({
   span,
   from,
   used,
 }: TransferInput): Extract<SpanEvent, { kind: "transfer" }> | undefined => {
-  const giver = span.entries.find((e) => e.shard === from);
+  const giver = span.entries.find((entry) => entry.shard === from);
   if (giver === undefined) return undefined;
   const spare = Math.min(giver.share - giver.target, giver.share - used);
   if (spare <= 0) return undefined;
--- a/packages/load-spread/test/load-spread.test.ts
+++ b/packages/load-spread/test/load-spread.test.ts
@@ -3,15 +3,15 @@
 import { jobId, type ShardId, shardId, type TeamName, teamName } from "@umberfold/ids";
 import {
   chooseShard,
-  consolidated,
+  consolidateTargets,
   decideSpan,
   type FairTurn,
   fairTurns,
   greedyPlan,
   LoadSpreadPlanner,
   type LoadSpreadSettings,
-  leastShares,
   machineShifts,
+  minimumShares,
   NO_PRESSURE,
   nextTransfer,
   type OwnerLoad,
@@ -198,7 +198,7 @@
   assert.ok(planned !== undefined && load.span !== undefined);
   let targets = 0;
   let weights = 0;
-  const least = leastShares(load, load.span, settings.minShare);
+  const least = minimumShares(load, load.span, settings.minShare);
   for (const [shard, { target, weight }] of planned) {
     targets += target;
     weights += weight;
@@ -207,7 +207,7 @@
   }
   assert.ok(targets <= WHOLE && targets > WHOLE - ROUNDING);
   assert.ok(weights <= WHOLE && weights > WHOLE - ROUNDING);
-  const better = consolidated(
+  const better = consolidateTargets(
     load,
     load.span,
     new Map([...planned].map(([s, p]) => [s, p.target])),
@@ -370,7 +370,7 @@
       [HOME, 500_000 * MILLIONTH],
       [OTHER, 500_000 * MILLIONTH],
     ]);
-    const got = consolidated(teamLoad(spanOf(OTHER), rows), spanOf(OTHER), targets);
+    const got = consolidateTargets(teamLoad(spanOf(OTHER), rows), spanOf(OTHER), targets);
     assert.deepEqual(
       [...got.values()].map((n) => n / MILLIONTH),
       expected,
--- a/packages/spans/src/codec.ts
+++ b/packages/spans/src/codec.ts
@@ -1,55 +1,80 @@
+/**
+ * The stored layout of a span's record.
+ *
+ * `{ f: format, h: home, e: [[shard, state, share, target, weight], ...] }`; the state is an index
+ * into `STATES`. A record of another format, or one that breaks an invariant of `Span`, is rejected
+ * as a whole: it must never raise a limit. No state of its own.
+ */
 import { type ShardId, shardId } from "@umberfold/ids";
-import { type EntryState, type Share, type Span, type SpanEntry, share, WHOLE } from "./span.js";
+import { type EntryState, type Span, type SpanEntry, share, sumOfShares, WHOLE } from "./span.js";
 
-/** The layout of the record; one of another version is not read. */
+/** Version of the layout; a record of another one is not read. */
 const FORMAT = 1;
+/** Index is the stored number: append only. */
 const STATES: readonly EntryState[] = ["active", "draining"];
+/** Fields of a stored entry; further ones are ignored. */
+const ENTRY_LENGTH = 5;
 
+/** The record's value, ready to be written as JSON or CBOR. */
 export const encodeSpan = (span: Span): unknown => ({
   f: FORMAT,
   h: span.home,
-  e: span.entries.map((e) => [e.shard, STATES.indexOf(e.state), e.share, e.target, e.weight]),
+  e: span.entries.map(({ shard, state, share, target, weight }) => [
+    shard,
+    STATES.indexOf(state),
+    share,
+    target,
+    weight,
+  ]),
 });
 
-const isIndex = (v: unknown, below: number): v is number =>
-  typeof v === "number" && Number.isInteger(v) && v >= 0 && v < below;
+const isIndex = (value: unknown, below: number): value is number =>
+  typeof value === "number" && Number.isInteger(value) && value >= 0 && value < below;
 
-const parseEntry = (row: unknown, shards: number): SpanEntry | undefined => {
-  if (!Array.isArray(row) || row.length < 5) return undefined;
-  const [shard, state, held, target, weight] = row as readonly unknown[];
-  if (!isIndex(shard, shards) || !isIndex(state, STATES.length)) return undefined;
-  if (!isIndex(held, WHOLE + 1) || !isIndex(target, WHOLE + 1)) return undefined;
+const parseEntry = (row: unknown, shardCount: number): SpanEntry | undefined => {
+  if (!Array.isArray(row) || row.length < ENTRY_LENGTH) return undefined;
+  const [shard, state, entryShare, target, weight] = row as readonly unknown[];
+  if (!isIndex(shard, shardCount) || !isIndex(state, STATES.length)) return undefined;
+  if (!isIndex(entryShare, WHOLE + 1) || !isIndex(target, WHOLE + 1)) return undefined;
   if (!isIndex(weight, WHOLE + 1)) return undefined;
   return {
     shard: shardId(shard),
     state: STATES[state] ?? "draining",
-    share: share(held),
+    share: share(entryShare),
     target: share(target),
     weight: share(weight),
   };
 };
 
-const sum = (parts: readonly Share[]): number => parts.reduce((total, part) => total + part, 0);
-
-/**
- * Undefined for anything that breaks an invariant: such a record must never raise a limit, so
- * nothing of it is believed. `shards` is how many shards there are.
- */
-export const parseSpan = (value: unknown, shards: number): Span | undefined => {
-  if (typeof value !== "object" || value === null) return undefined;
-  const { f, h, e } = value as Readonly<Record<string, unknown>>;
-  if (f !== FORMAT || !isIndex(h, shards) || !Array.isArray(e)) return undefined;
+/** All entries of different shards; undefined if one is invalid or a shard appears twice. */
+const parseEntries = (
+  rows: readonly unknown[],
+  shardCount: number,
+): readonly SpanEntry[] | undefined => {
   const entries: SpanEntry[] = [];
   const seen = new Set<ShardId>();
-  for (const row of e) {
-    const entry = parseEntry(row, shards);
+  for (const row of rows) {
+    const entry = parseEntry(row, shardCount);
     if (entry === undefined || seen.has(entry.shard)) return undefined;
     seen.add(entry.shard);
     entries.push(entry);
   }
+  return entries;
+};
+
+/**
+ * The span of a record's value, or undefined if the value is no valid span of a cluster with this
+ * many shards.
+ */
+export const parseSpan = (value: unknown, shardCount: number): Span | undefined => {
+  if (typeof value !== "object" || value === null) return undefined;
+  const { f, h, e } = value as Readonly<Record<string, unknown>>;
+  if (f !== FORMAT || !isIndex(h, shardCount) || !Array.isArray(e)) return undefined;
+  const entries = parseEntries(e, shardCount);
+  if (entries === undefined) return undefined;
   const home = shardId(h);
   if (entries.find((entry) => entry.shard === home)?.state !== "active") return undefined;
-  if (sum(entries.map((entry) => entry.share)) > WHOLE) return undefined;
-  if (sum(entries.map((entry) => entry.target)) > WHOLE) return undefined;
+  if (sumOfShares(entries.map((entry) => entry.share)) > WHOLE) return undefined;
+  if (sumOfShares(entries.map((entry) => entry.target)) > WHOLE) return undefined;
   return { home, entries };
 };
--- a/packages/spans/src/index.ts
+++ b/packages/spans/src/index.ts
@@ -1,6 +1,6 @@
 /**
  * A team that spans several shards. Its quota (limit and guarantee) is held in escrow: each shard of
- * the span has a share of it, and opens attempts within that share alone, without asking anybody.
+ * the span has a share of it, and its owner opens attempts within that share without asking anybody.
  */
 export { encodeSpan as spanValue, parseSpan } from "./codec.js";
 export {
@@ -15,4 +15,10 @@
   usableShare,
   WHOLE,
 } from "./span.js";
-export { type PlannedShare, type Refusal, type SpanEvent, type Stepped, stepSpan } from "./step.js";
+export {
+  type PlannedShare,
+  type Refusal,
+  type SpanEvent,
+  type StepResult,
+  stepSpan,
+} from "./step.js";
--- a/packages/spans/src/span.ts
+++ b/packages/spans/src/span.ts
@@ -1,14 +1,22 @@
+/**
+ * The span of a team: the shards that it uses, and the shares of its quota that they hold in escrow.
+ *
+ * Spans are immutable values; `stepSpan` alone makes a changed one. A span's shares never add up to
+ * more than the whole quota, so owners that start tasks within their own shard's share never exceed
+ * the team's quota together, whatever they know of one another.
+ */
 import type { ShardId } from "@umberfold/ids";
 
 declare const tag: unique symbol;
 /** A part of a team's quota, in trillionths: whole numbers, so that sums are exact. */
 export type Share = number & { readonly [tag]: "Share" };
 
-export const share = (n: number): Share => n as Share;
+/** Takes a whole number of trillionths for a share, unchecked. */
+export const share = (trillionths: number): Share => trillionths as Share;
 
 /**
  * All of a team's quota. The unit is so fine that rounding a task's part of it costs no task: a
- * third of a limit, three times, is all of it but for less than any task needs.
+ * third of a limit, three times, is all of it except for less than any task needs.
  */
 export const WHOLE = share(1_000_000_000_000);
 
@@ -18,17 +26,18 @@
  */
 export type EntryState = "active" | "draining";
 
+/** One shard of a span. */
 export interface SpanEntry {
   readonly shard: ShardId;
   readonly state: EntryState;
   /** What the shard's owner may use now. Only that owner ever lowers it. */
   readonly share: Share;
   /**
-   * What the leader would have it be. An owner that has more starts nothing beyond it, and hands the
-   * rest on as its attempts end.
+   * What the leader plans the share to be. An owner whose share is larger starts nothing beyond the
+   * target, and transfers the rest as its attempts end.
    */
   readonly target: Share;
-  /** The part of the team's new jobs that is to be placed here; 0 while it drains. */
+  /** The part of the team's new jobs that is to be placed here; 0 while the shard drains. */
   readonly weight: Share;
 }
 
@@ -42,21 +51,27 @@
   readonly entries: readonly SpanEntry[];
 }
 
-/** A span of the home shard alone means the same as no span. */
+/** The span of a team that uses its home shard alone. A team without a record has this one. */
 export const homeSpan = (home: ShardId): Span => ({
   home,
   entries: [{ shard: home, state: "active", share: WHOLE, target: WHOLE, weight: WHOLE }],
 });
 
+/** The shard's entry; undefined if the shard is not in the span. */
+export const entryOf = (span: Span, shard: ShardId): SpanEntry | undefined =>
+  span.entries.find((entry) => entry.shard === shard);
+
+/** What a shard holds of the quota; 0 if it is not in the span. */
 export const shareOf = (span: Span, shard: ShardId): Share =>
-  span.entries.find((e) => e.shard === shard)?.share ?? share(0);
+  entryOf(span, shard)?.share ?? share(0);
 
-/** What a shard may start tasks in: never more than it holds. */
+/** What a shard's owner may start tasks in: its share, but no more than its target. */
 export const usableShare = (span: Span, shard: ShardId): Share => {
-  const entry = span.entries.find((e) => e.shard === shard);
+  const entry = entryOf(span, shard);
   return share(entry === undefined ? 0 : Math.min(entry.share, entry.target));
 };
 
+/** The sum of shares; it may be more than the whole if they belong to no valid span. */
 export const sumOfShares = (shares: Iterable<Share>): Share => {
   let sum = 0;
   for (const part of shares) sum += part;
--- a/packages/spans/src/step.ts
+++ b/packages/spans/src/step.ts
@@ -1,18 +1,35 @@
+/**
+ * The state machine of a span: `stepSpan` is the one place where a span changes.
+ *
+ * A shard's entry goes from absent to active (`join`) or draining (`adopt`), between active and
+ * draining (`drain`, `join`), and from draining to absent (`leave`). An event that would break an
+ * invariant of `Span` is refused, and changes nothing. Only a `transfer` lowers a share, and never
+ * below what is in use. No state of its own.
+ */
 import type { ShardId } from "@umberfold/ids";
-import { type Share, type Span, type SpanEntry, share, sumOfShares, WHOLE } from "./span.js";
+import {
+  entryOf,
+  type Share,
+  type Span,
+  type SpanEntry,
+  share,
+  sumOfShares,
+  WHOLE,
+} from "./span.js";
 
+/** What happens to a span. */
 export type SpanEvent =
-  /** New jobs may be placed in the shard: one more, or one that was draining. */
+  /** New jobs may be placed in the shard: one more shard, or one that was draining. */
   | { readonly kind: "join"; readonly shard: ShardId }
-  /** The shard has jobs of the team though it is not in the span. */
+  /** The shard has jobs of the team although it is not in the span. */
   | { readonly kind: "adopt"; readonly shard: ShardId }
   /** No new jobs are to be placed in the shard. */
   | { readonly kind: "drain"; readonly shard: ShardId }
   /** The shard has no job of the team left. */
   | { readonly kind: "leave"; readonly shard: ShardId }
-  /** What the leader would have the shares be, and where new jobs are to go. */
+  /** The leader's plan of the shares, and of where new jobs are to go; shards left out keep theirs. */
   | { readonly kind: "plan"; readonly plan: ReadonlyMap<ShardId, PlannedShare> }
-  /** A giver's owner hands part of its share on; `used` is what its open attempts take. */
+  /** An owner transfers part of its shard's share; `used` is what its open attempts take. */
   | {
       readonly kind: "transfer";
       readonly from: ShardId;
@@ -21,6 +38,7 @@
       readonly used: Share;
     };
 
+/** What a plan sets of one shard's entry. */
 export interface PlannedShare {
   readonly target: Share;
   readonly weight: Share;
@@ -36,82 +54,83 @@
   | "not a positive amount"
   | "in use";
 
-export type Stepped =
+/** The changed span, or why the event was refused. */
+export type StepResult =
   | { readonly ok: true; readonly span: Span }
   | { readonly ok: false; readonly refusal: Refusal };
 
-const refused = (refusal: Refusal): Stepped => ({ ok: false, refusal });
+const refused = (refusal: Refusal): StepResult => ({ ok: false, refusal });
 
-const withEntry = (span: Span, shard: ShardId, change: Partial<SpanEntry>): Stepped => ({
+const changed = (span: Span, entries: readonly SpanEntry[]): StepResult => ({
   ok: true,
-  span: {
-    home: span.home,
-    entries: span.entries.map((e) => (e.shard === shard ? { ...e, ...change } : e)),
-  },
+  span: { home: span.home, entries },
 });
 
-const withNewEntry = (span: Span, shard: ShardId, state: SpanEntry["state"]): Stepped => ({
-  ok: true,
-  span: {
-    home: span.home,
-    entries: [
-      ...span.entries,
-      { shard, state, share: share(0), target: share(0), weight: share(0) },
-    ],
-  },
-});
+const withEntryChanged = (span: Span, shard: ShardId, change: Partial<SpanEntry>): StepResult =>
+  changed(
+    span,
+    span.entries.map((entry) => (entry.shard === shard ? { ...entry, ...change } : entry)),
+  );
+
+/** A new entry starts without any share: it gets one by transfers. */
+const withNewEntry = (span: Span, shard: ShardId, state: SpanEntry["state"]): StepResult =>
+  changed(span, [
+    ...span.entries,
+    { shard, state, share: share(0), target: share(0), weight: share(0) },
+  ]);
 
-const isPart = (n: number): boolean => Number.isInteger(n) && n >= 0 && n <= WHOLE;
+const isPart = (value: number): boolean => Number.isInteger(value) && value >= 0 && value <= WHOLE;
 
-const plan = (span: Span, planned: ReadonlyMap<ShardId, PlannedShare>): Stepped => {
-  for (const [shard, { target, weight }] of planned) {
-    if (!span.entries.some((e) => e.shard === shard)) return refused("not in the span");
+const applyPlan = (span: Span, plan: ReadonlyMap<ShardId, PlannedShare>): StepResult => {
+  for (const [shard, { target, weight }] of plan) {
+    if (entryOf(span, shard) === undefined) return refused("not in the span");
     if (!isPart(target) || !isPart(weight)) return refused("not a positive amount");
   }
-  const entries = span.entries.map((e) => ({ ...e, ...planned.get(e.shard) }));
-  if (sumOfShares(entries.map((e) => e.target)) > WHOLE) return refused("more than the whole");
-  return { ok: true, span: { home: span.home, entries } };
+  const entries = span.entries.map((entry) => ({ ...entry, ...plan.get(entry.shard) }));
+  if (sumOfShares(entries.map((entry) => entry.target)) > WHOLE)
+    return refused("more than the whole");
+  return changed(span, entries);
 };
 
-const transfer = (span: Span, event: Extract<SpanEvent, { kind: "transfer" }>): Stepped => {
-  const giver = span.entries.find((e) => e.shard === event.from);
-  const receiver = span.entries.find((e) => e.shard === event.to);
+const applyTransfer = (span: Span, event: Extract<SpanEvent, { kind: "transfer" }>): StepResult => {
+  const giver = entryOf(span, event.from);
+  const receiver = entryOf(span, event.to);
   if (giver === undefined || receiver === undefined || giver === receiver)
     return refused("not in the span");
   if (!Number.isInteger(event.amount) || event.amount <= 0) return refused("not a positive amount");
   if (giver.share - event.amount < event.used) return refused("in use");
-  const entries = span.entries.map((e) => {
-    if (e === giver) return { ...e, share: share(e.share - event.amount) };
-    if (e === receiver) return { ...e, share: share(e.share + event.amount) };
-    return e;
+  const entries = span.entries.map((entry) => {
+    if (entry === giver) return { ...entry, share: share(entry.share - event.amount) };
+    if (entry === receiver) return { ...entry, share: share(entry.share + event.amount) };
+    return entry;
   });
-  return { ok: true, span: { home: span.home, entries } };
+  return changed(span, entries);
 };
 
-/** The one place where a span changes. A refused event leaves it as it is. */
-export const stepSpan = (span: Span, event: SpanEvent): Stepped => {
-  if (event.kind === "plan") return plan(span, event.plan);
-  if (event.kind === "transfer") return transfer(span, event);
-  const entry = span.entries.find((e) => e.shard === event.shard);
+/** Applies an event to a span; a refused one leaves it as it is. */
+export const stepSpan = (span: Span, event: SpanEvent): StepResult => {
+  if (event.kind === "plan") return applyPlan(span, event.plan);
+  if (event.kind === "transfer") return applyTransfer(span, event);
+  const entry = entryOf(span, event.shard);
   switch (event.kind) {
     case "join":
       if (entry === undefined) return withNewEntry(span, event.shard, "active");
       if (entry.state === "active") return refused("in the span already");
-      return withEntry(span, event.shard, { state: "active" });
+      return withEntryChanged(span, event.shard, { state: "active" });
     case "adopt":
       if (entry !== undefined) return refused("in the span already");
       return withNewEntry(span, event.shard, "draining");
     case "drain":
       if (event.shard === span.home) return refused("home shard");
       if (entry?.state !== "active") return refused("not in the span");
-      return withEntry(span, event.shard, { state: "draining", weight: share(0) });
+      return withEntryChanged(span, event.shard, { state: "draining", weight: share(0) });
     case "leave":
       if (event.shard === span.home) return refused("home shard");
       if (entry?.state !== "draining") return refused("not in the span");
       if (entry.share > 0) return refused("holds a share");
-      return {
-        ok: true,
-        span: { home: span.home, entries: span.entries.filter((e) => e !== entry) },
-      };
+      return changed(
+        span,
+        span.entries.filter((other) => other !== entry),
+      );
   }
 };
