--- a/test/digest/days.ts
+++ b/test/digest/days.ts
@@ -1,6 +1,6 @@
 import { type Burst, scheduleBurst } from "../sim/burst.js";
 import type { FaultScenario, SimulationScale } from "../sim/faults.js";
-import { Simulation } from "../sim/world.js";
+import { Simulation } from "../sim/simulation.js";
 
 /** The days whose calls are compared; together they bring every kind of trouble. */
 export interface DigestDay {
--- a/test/scenarios/combined-faults.test.ts
+++ b/test/scenarios/combined-faults.test.ts
@@ -6,7 +6,7 @@
   decideCancellationAction,
 } from "../../src/coordination/cancellation/cancellations.js";
 import type { DisabledSafeguard, FaultScenario, StoreOutageAfterRefusal } from "../sim/faults.js";
-import { Simulation } from "../sim/world.js";
+import { Simulation } from "../sim/simulation.js";
 
 /** Days on which two troubles meet. Each asserts that the meeting came about. */
 const calm: FaultScenario = { lost: 0, crashes: false, outages: false, deaths: false };
@@ -39,21 +39,22 @@
     await w.day(JOBS);
     assert.deepEqual(w.violations, []);
     // Cut from the others, the holder can't acknowledge, and no user is told before it is settled.
-    if (storeOutageAfterRefusal.peersCut === true) assert.equal(w.occurrences.onOldHolder, 0);
+    if (storeOutageAfterRefusal.peersCut === true)
+      assert.equal(w.occurrences.confirmedForRefusedOwner, 0);
     else
       assert.ok(
-        w.occurrences.onOldHolder > 0,
+        w.occurrences.confirmedForRefusedOwner > 0,
         "some were confirmed for the refused holder's share",
       );
     if (storeOutageAfterRefusal.machines !== undefined)
-      assert.ok(w.occurrences.troubledMachines > 0, "machines in trouble");
+      assert.ok(w.occurrences.faultyMachines > 0, "machines in trouble");
     // Nobody who left his job alone loses work to the outage, all controllers being alive.
     if (
       storeOutageAfterRefusal.machines === undefined &&
       storeOutageAfterRefusal.oldEnds !== true &&
       storeOutageAfterRefusal.confirmersEnd !== true
     )
-      assert.equal(w.lostRuns, 0);
+      assert.equal(w.occurrences.lostRuns, 0);
   });
 
 type Met = keyof Simulation["occurrences"];
@@ -87,21 +88,26 @@
     "cancelledAtEnd",
   ],
   ["odd requests beside crashes", 69, { ...calm, oddRequests: true, crashes: true }, "oddRequests"],
-  ["ten leaders in two minutes, an outage", 70, { ...calm, leaders: true }, "leaderEnds"],
+  ["ten leaders in two minutes, an outage", 70, { ...calm, leaders: true }, "leaderCrashes"],
   [
     "ten leaders, one-way machines, late writes, cancels at once",
     71,
     { ...calm, leaders: true, oneWay: true, lateWrites: true, cancelNow: true },
-    "leaderEnds",
+    "leaderCrashes",
+  ],
+  [
+    "all controllers away for longer than a lease",
+    72,
+    { ...calm, allAway: true },
+    "allControllersAway",
   ],
-  ["all controllers away for longer than a lease", 72, { ...calm, allAway: true }, "allAway"],
   [
     "all away, late copies, machines hang",
     73,
     { ...calm, allAway: true, lateCopies: true, hangs: true },
-    "allAway",
+    "allControllersAway",
   ],
-  ["a zone with a controller cut off", 74, { ...calm, zoneCut: true, cancelNow: true }, "zoneCut"],
+  ["a zone with a controller cut off", 74, { ...calm, zoneCut: true, cancelNow: true }, "zoneCuts"],
   [
     "one refused, machines out of reach, cancels at once",
     75,
@@ -112,13 +118,13 @@
     "jobs bound to zones lose machines",
     76,
     { ...calm, zoneBound: true, wave: true, deaths: true, crashes: true },
-    "zoneBound",
+    "zoneBoundStarts",
   ],
   [
     "slow links, cancels at once, crashes",
     77,
     { ...calm, slowLinks: true, cancelNow: true, crashes: true, zoneBound: true },
-    "zoneBound",
+    "zoneBoundStarts",
   ],
 ];
 for (const [name, seed, trouble, met] of meetings)
@@ -127,7 +133,7 @@
     await w.day(25);
     assert.deepEqual(w.violations, []);
     assert.ok(w.occurrences[met] > 0, "the meeting came about");
-    for (const [id, j] of w.jobs) assert.ok(j.told !== null, `${id} comes to its end`);
+    for (const [id, j] of w.jobs) assert.ok(j.finalState !== null, `${id} comes to its end`);
   });
 
 test("tasks longer than a lease end elsewhere than on a machine that can't report", async () => {
@@ -136,9 +142,12 @@
   await w.day(10);
   assert.deepEqual(w.violations, []);
   assert.ok(w.occurrences.muted > 0, "machines are mute");
-  const late = [...w.jobs].filter(([, j]) => j.cancelAskedAt === null && j.told === null);
+  const late = [...w.jobs].filter(([, j]) => j.cancelRequestedAt === null && j.finalState === null);
   assert.deepEqual(late, []);
-  assert.ok(w.wastedStarts <= w.occurrences.muted, `${w.wastedStarts} starts on mute machines`);
+  assert.ok(
+    w.occurrences.startsOnMutedMachines <= w.occurrences.muted,
+    `${w.occurrences.startsOnMutedMachines} starts on mute machines`,
+  );
 });
 
 test("a task that failed on the only machine there is starts there again", async () => {
@@ -147,7 +156,7 @@
   const w = new Simulation(91, { ...calm, failures: "first" }, { ...LONG, machines: 1, tasks: 2 });
   await w.day(1);
   assert.deepEqual(w.violations, []);
-  for (const [id, j] of w.jobs) assert.ok(j.told !== null, `${id} comes to its end`);
+  for (const [id, j] of w.jobs) assert.ok(j.finalState !== null, `${id} comes to its end`);
 });
 
 test("jobs that fail everywhere take no more than a task at a time where they failed", async () => {
@@ -158,14 +167,17 @@
   );
   await w.day(18);
   assert.deepEqual(w.violations, []);
-  for (const [id, j] of w.jobs) assert.ok(w.mistaken(id) || j.told !== null, `${id} ends`);
-  assert.ok(w.failedStarts > 0, "some fail");
-  assert.ok(w.failedStarts < MOST_FAILED, `${w.failedStarts} starts that fail`);
+  for (const [id, j] of w.jobs) assert.ok(w.hasMistake(id) || j.finalState !== null, `${id} ends`);
+  assert.ok(w.occurrences.failedStarts > 0, "some fail");
+  assert.ok(
+    w.occurrences.failedStarts < MOST_FAILED,
+    `${w.occurrences.failedStarts} starts that fail`,
+  );
 });
 
 const guards: readonly (readonly [DisabledSafeguard, StoreOutageAfterRefusal])[] = [
-  ["words", {}],
-  ["own_returns", { machines: "hang" }],
+  ["cancellation_notices", {}],
+  ["forced_returns", { machines: "hang" }],
 ];
 for (const [guard, gap] of guards)
   test(`the gap breaks a rule without its guard: ${guard}`, async () => {
--- a/test/scenarios/floods.test.ts
+++ b/test/scenarios/floods.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import type { DisabledSafeguard, FaultScenario, SimulationScale } from "../sim/faults.js";
-import { Simulation } from "../sim/world.js";
+import { Simulation } from "../sim/simulation.js";
 
 /**
  * Days with many times as many questions, a guest team's masses of jobs, jobs with a mistake, and
@@ -23,36 +23,36 @@
     { ...calm, questionFlood: FLOOD, cancelNow: true, cancelAtEnd: true },
     ["questions", "cancelledAtOnce", "cancelledAtEnd"],
   ],
-  ["a guest team's masses", 103, { ...calm, floodTeam: true }, ["guestJobs"]],
+  ["a guest team's masses", 103, { ...calm, floodTeam: true }, ["floodTeamJobs"]],
   [
     "a guest team's masses beside crashes, lost and late writes",
     104,
     { ...calm, lost: 0.01, floodTeam: true, crashes: true, lateWrites: true },
-    ["guestJobs", "lateWrites"],
+    ["floodTeamJobs", "lateWrites"],
   ],
   ["machines late or never up", 105, { ...calm, lateBoots: true }, ["lateBoots"]],
   [
     "machines late or never up while controllers stand still",
     106,
     { ...calm, lateBoots: true, freezes: true },
-    ["lateBoots", "freezes"],
+    ["lateBoots", "processPauses"],
   ],
   [
     "questions while controllers stand still",
     107,
     { ...calm, questionFlood: FLOOD, freezes: true },
-    ["questions", "freezes"],
+    ["questions", "processPauses"],
   ],
   [
     "a guest team and jobs with a mistake, late boots, deaths",
     108,
     { ...calm, floodTeam: true, failures: "always", lateBoots: true, deaths: true },
-    ["guestJobs", "lateBoots"],
+    ["floodTeamJobs", "lateBoots"],
   ],
 ];
 
 const unended = (w: Simulation): readonly string[] =>
-  [...w.jobs].filter(([id, j]) => j.told === null && !w.mistaken(id)).map(([id]) => id);
+  [...w.jobs].filter(([id, j]) => j.finalState === null && !w.hasMistake(id)).map(([id]) => id);
 
 for (const [name, seed, trouble, met] of days)
   test(`the rules hold in floods: ${name}`, async () => {
@@ -62,9 +62,12 @@
     for (const m of met) assert.ok(w.occurrences[m] > 0, `${m} came about`);
     assert.deepEqual(unended(w), []);
     assert.deepEqual(w.forgottenMachines, []);
-    const { questions, answered } = w.occurrences;
+    const { questions, answeredQuestions } = w.occurrences;
     if (trouble.questionFlood !== undefined && trouble.freezes !== true)
-      assert.ok(answered >= ANSWERED_PART * questions, `${answered} of ${questions} answered`);
+      assert.ok(
+        answeredQuestions >= ANSWERED_PART * questions,
+        `${answeredQuestions} of ${questions} answered`,
+      );
   });
 
 const guards: readonly (readonly [DisabledSafeguard, FaultScenario])[] = [
@@ -77,7 +80,7 @@
   test(`a flood is noticed without its guard: ${guard}`, async () => {
     const w = new Simulation(105, trouble, SCALE, guard);
     await w.day(25);
-    const { questions, answered } = w.occurrences;
-    const refused = questions > 0 && answered < ANSWERED_PART * questions;
+    const { questions, answeredQuestions } = w.occurrences;
+    const refused = questions > 0 && answeredQuestions < ANSWERED_PART * questions;
     assert.ok(refused || w.forgottenMachines.length > 0);
   });
--- a/test/scenarios/load-spread.test.ts
+++ b/test/scenarios/load-spread.test.ts
@@ -3,7 +3,7 @@
 import { parseSpan, type Span, WHOLE } from "@umberfold/spans";
 import { type Burst, scheduleBurst } from "../sim/burst.js";
 import type { FaultScenario, SimulationScale } from "../sim/faults.js";
-import { Simulation } from "../sim/world.js";
+import { Simulation } from "../sim/simulation.js";
 
 /**
  * Simulated days with load spreading on: bursts of one team or two, alone and beside troubles. The
@@ -59,7 +59,7 @@
 };
 
 const unended = (w: Simulation): readonly string[] =>
-  [...w.jobs].filter(([id, j]) => j.told === null && !w.mistaken(id)).map(([id]) => id);
+  [...w.jobs].filter(([id, j]) => j.finalState === null && !w.hasMistake(id)).map(([id]) => id);
 
 const array: Burst = { team: "t0", atMs: BURST_MS, jobs: 1, tasks: 150 };
 const small: Burst = { team: "t0", atMs: BURST_MS, jobs: 100, tasks: 1 };
@@ -195,7 +195,7 @@
   await w.day(JOBS);
   assert.deepEqual(w.violations, []);
   assert.ok(
-    ids.some((id) => w.jobs.get(id)?.told === "cancelled"),
+    ids.some((id) => w.jobs.get(id)?.finalState === "cancelled"),
     "some were called off in time",
   );
   assert.ok(w.occurrences.cancelledAtOnce > 0);
--- a/test/scenarios/safety.test.ts
+++ b/test/scenarios/safety.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import type { DisabledSafeguard, FaultScenario } from "../sim/faults.js";
-import { Simulation } from "../sim/world.js";
+import { Simulation } from "../sim/simulation.js";
 
 const calm: FaultScenario = { lost: 0, crashes: false, outages: false, deaths: false };
 
@@ -80,7 +80,7 @@
     assert.ok(w.starts.length > 0, "something ran");
     for (const [id, j] of w.jobs) {
       assert.ok(j.accepted, `${id} is accepted`);
-      assert.ok(j.told !== null, `${id} comes to its end`);
+      assert.ok(j.finalState !== null, `${id} comes to its end`);
     }
   });
 
@@ -103,14 +103,18 @@
   // Conditions keep two holders from starting the same task, and a job from ending twice.
   ["conditions", storm, ["ran_twice", "went_back", "quota"]],
   // Tokens keep an earlier holder's late command from being executed.
-  ["tokens", { ...calm, lost: 0.15, crashes: true, elections: true }, ["ran_twice", "quota"]],
+  [
+    "fencing_tokens",
+    { ...calm, lost: 0.15, crashes: true, elections: true },
+    ["ran_twice", "quota"],
+  ],
   // The cloud's word that a machine is gone closes what stood there.
-  ["returns", storm, ["ran_twice", "quota"]],
+  ["cloud_returns", storm, ["ran_twice", "quota"]],
   // A final record is what an ended job is known by.
-  ["finals", calm, ["forgotten"]],
+  ["final_records", calm, ["forgotten"]],
   ["no_service", calm, ["unserved"]],
   // A cancel that is told and not carried out.
-  ["cancels", calm, ["ran_cancelled", "went_back"]],
+  ["cancellations", calm, ["ran_cancelled", "went_back"]],
 ];
 const MOST_DAYS = 16;
 
--- a/test/sim/burst.ts
+++ b/test/sim/burst.ts
@@ -1,5 +1,5 @@
 import { smallJob } from "./job-spec.js";
-import type { Simulation } from "./world.js";
+import type { Simulation } from "./simulation.js";
 
 /** One team sends many times its load at once. */
 export interface Burst {
@@ -19,7 +19,7 @@
 
 /** Schedules a burst; its jobs' numbers begin at `firstId`. Returns their ids. */
 export const scheduleBurst = (
-  world: Simulation,
+  simulation: Simulation,
   burst: Burst,
   firstId: number,
 ): readonly string[] => {
@@ -30,10 +30,10 @@
     const id = `wk-${String(number).padStart(6, "0")}`;
     ids.push(id);
     const atMs = burst.atMs + ((burst.withinMs ?? WITHIN_MS) * ids.length) / burst.jobs;
-    world.clock.after(
+    simulation.clock.after(
       atMs,
       () =>
-        void world.user(
+        void simulation.user(
           id,
           smallJob(id, burst.team, { weave: "b", threads: burst.tasks }),
           burst.cancelAfterMs ?? null,
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,3 +1,7 @@
+/**
+ * What a simulated day brings: its faults, its size, and the safeguard that a test switches off.
+ * All are plain data; `fault-injection/` and the parts of the simulation act on them.
+ */
 import type { LoadSpreadSettings } from "@umberfold/load-spread";
 
 /** Faults that a simulated day may bring, alone or together. */
@@ -96,19 +100,24 @@
   readonly tasks: number;
 }
 
-/** A guard that a test breaks, to show that the checks notice. */
+/** A safeguard that a test switches off, to show that the checks notice. */
 export type DisabledSafeguard =
-  | "pauses"
+  /** The state store applies transactions whatever their conditions. */
   | "conditions"
-  | "tokens"
-  | "returns"
-  | "finals"
+  /** Workers execute commands whatever their fencing token and epoch. */
+  | "fencing_tokens"
+  /** The cloud says that machines are gone, and leaves them running. */
+  | "cloud_returns"
+  /** Final records are never found. */
+  | "final_records"
+  /** No controller runs. */
   | "no_service"
-  | "cancels"
-  /** Word of cancellations is acknowledged and not heeded. */
-  | "words"
-  /** Machines are returned by the leader alone. */
-  | "own_returns"
+  /** Cancellations are confirmed and not carried out. */
+  | "cancellations"
+  /** Cancellation notices are acknowledged and not heeded. */
+  | "cancellation_notices"
+  /** Forced returns are refused: machines are returned by the leader alone. */
+  | "forced_returns"
   /** Comparisons are refused, so that each question would need a read of its own. */
   | "comparisons"
   /** Machines that never come up are not returned. */
--- /dev/null
+++ b/test/sim/partitions.ts
@@ -0,0 +1,86 @@
+/**
+ * Who reaches whom: the cuts that a scenario makes between controllers, the state store, the
+ * cloud, workers and users.
+ *
+ * Owns the cuts alone. Fault injection sets and heals them; the network's ends ask before they
+ * serve a call. Controllers are named by their indexes.
+ */
+import type { FakeWorker } from "./fakes/worker.js";
+
+/** While all controllers are cut off together, only the workers of this zone are with them. */
+const ZONE_OF_ALL_CUT = "a";
+/** A zone's cut leaves this zone's workers and this controller on the same side. */
+const CUT_ZONE = "b";
+const CUT_ZONE_CONTROLLER = 0;
+
+/** Whether the state store serves a controller, refuses it, or isn't reached. */
+export type StoreReach = "reachable" | "refused" | "unreachable";
+
+/** The cuts that stand at the moment. */
+export class Partitions {
+  /** Controllers cut from the state store and the other controllers, not from their workers. */
+  readonly cutControllers = new Set<number>();
+  /** Controllers that the state store refuses. */
+  readonly refusedByStore = new Set<number>();
+  /** Controllers that reach no worker, nor does any worker reach them. */
+  readonly withoutWorkers = new Set<number>();
+  /** Controllers that no other reaches. */
+  readonly withoutPeers = new Set<number>();
+  /** Controllers refuse one another's connections. */
+  peersRefuse = false;
+  /** All controllers are cut from the state store, the cloud, users and most workers. */
+  allControllersCut = false;
+  /** A zone's workers and one controller are cut from the rest. */
+  zoneCut = false;
+
+  /** How a controller's requests to the state store fare. */
+  storeReach(controller: number): StoreReach {
+    if (this.cutControllers.has(controller) || this.allControllersCut) return "unreachable";
+    if (this.zoneCut && controller === CUT_ZONE_CONTROLLER) return "unreachable";
+    return this.refusedByStore.has(controller) ? "refused" : "reachable";
+  }
+
+  /** Whether controllers reach the cloud. */
+  reachesCloud(): boolean {
+    return !this.allControllersCut;
+  }
+
+  /** Whether a controller's commands get to a worker, as far as the network goes. */
+  reachesWorker(controller: number, worker: FakeWorker): boolean {
+    return (
+      !this.withoutWorkers.has(controller) &&
+      !this.#parted(controller, worker) &&
+      !this.#outsideAllCut(worker)
+    );
+  }
+
+  /** Whether a heartbeat gets to a controller; its machine may be gone by the time it arrives. */
+  heartbeatArrives(controller: number, worker: FakeWorker | undefined): boolean {
+    if (this.withoutWorkers.has(controller)) return false;
+    if (worker === undefined) return true;
+    return !worker.mute && !this.#parted(controller, worker) && !this.#outsideAllCut(worker);
+  }
+
+  /** Whether one controller's messages get to another. */
+  reachesPeer(from: number, to: number): boolean {
+    if (this.peersRefuse) return false;
+    if (this.cutControllers.has(from) || this.cutControllers.has(to)) return false;
+    if (this.withoutPeers.has(from) || this.withoutPeers.has(to)) return false;
+    return !(this.zoneCut && (from === CUT_ZONE_CONTROLLER || to === CUT_ZONE_CONTROLLER));
+  }
+
+  /** Whether users' requests get to a controller. */
+  servesUsers(controller: number): boolean {
+    return !this.allControllersCut && !(this.zoneCut && controller === CUT_ZONE_CONTROLLER);
+  }
+
+  /** The controller and the worker are on different sides of a zone's cut. */
+  #parted(controller: number, worker: FakeWorker): boolean {
+    const behindCut = worker.rented.zone === CUT_ZONE;
+    return this.zoneCut && (controller === CUT_ZONE_CONTROLLER) !== behindCut;
+  }
+
+  #outsideAllCut(worker: FakeWorker): boolean {
+    return this.allControllersCut && worker.rented.zone !== ZONE_OF_ALL_CUT;
+  }
+}
--- a/test/sim/settings.ts
+++ b/test/sim/settings.ts
@@ -7,7 +7,7 @@
 
 export const TEAMS = ["t0", "t1", "t2", "t3"];
 /** A team without a guarantee. */
-export const GUEST_TEAM = "guest";
+export const FLOOD_TEAM = "guest";
 
 const team = (name: string, cpus: number, most: number): string =>
   `[[params.teams]]\nname = "${name}"\ncpus = ${cpus}.0\ncpus_max = ${most}.0`;
@@ -16,10 +16,10 @@
   n: number,
   labels: readonly string[],
   quota: number,
-  guest: boolean,
+  hasFloodTeam: boolean,
 ): Settings => {
   const teams = TEAMS.map((name) => team(name, 8, quota));
-  if (guest) teams.push(team(GUEST_TEAM, 0, quota));
+  if (hasFloodTeam) teams.push(team(FLOOD_TEAM, 0, quota));
   const seeds = labels.flatMap((label, i) =>
     i === n ? [] : [`[[seeds]]\nlabel = "${label}"\narea = "z"\naddress = "10.0.0.${i}:2"`],
   );
