--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,6 +1,6 @@
 import { type ControllerLabel, controllerLabel, type TeamName, teamName } from "@umberfold/ids";
 import { parse } from "smol-toml";
-import { leastSockets } from "../transport/sockets.js";
+import { minSockets } from "../transport/sockets.js";
 import { FieldReader } from "./field-reader.js";
 
 export interface Team {
@@ -155,7 +155,7 @@
     resources: {
       cpuShare: resources.number("cpu_share", 0.001, ANY, 1),
       ramMb: resources.number("ram_mb", LEAST_RAM_MB, ANY, 512),
-      maxSockets: resources.whole("max_sockets", leastSockets(members), 10_000_000, 1024),
+      maxSockets: resources.whole("max_sockets", minSockets(members), 10_000_000, 1024),
     },
   };
   const names = new Set(value.teams.map((t) => t.name));
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,11 +1,20 @@
+/**
+ * Messages to and from users: a submission and the status of a job.
+ *
+ * `SUBMISSION_FIELDS` maps the wire's names to the glossary's terms and holds each field's check, in
+ * the order of the checks: the reason that a user is given is that of the first fault.
+ */
 import { type JobId, jobId, type TeamName, teamName } from "@umberfold/ids";
 import { amount, count, type Fields, isMap, list, text } from "./cbor.js";
 
+/** All priorities, the most urgent first; the wire's words are the same. */
 export const PRIORITIES = ["production", "high", "normal", "best_effort"] as const;
+/** How urgent a job is. */
 export type Priority = (typeof PRIORITIES)[number];
 /** 0 is the most urgent. */
-export const priorityOrder = (rank: Priority): number => PRIORITIES.indexOf(rank);
+export const priorityOrder = (priority: Priority): number => PRIORITIES.indexOf(priority);
 
+/** What a task takes, or what a machine has. Processors and devices may be fractions. */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
@@ -19,122 +28,151 @@
   readonly team: TeamName;
   readonly priority: Priority;
   readonly taskCount: number;
+  /** What each task takes. */
   readonly resources: Resources;
   readonly image: string;
   readonly imageGb: number;
+  /** The machine types that may run it; null: all. */
   readonly machineTypes: readonly string[] | null;
+  /** The zone that it must run in; null: any. */
   readonly zone: string | null;
   readonly zoneAffinity: boolean;
   readonly spreadAcrossZones: boolean;
   readonly spotAllowed: boolean;
+  /** How long the user expects a task to run. */
   readonly expectedRunS: number;
+  /** Seconds of run between two checkpoints; 0: none are made. */
   readonly checkpointIntervalS: number;
+  /** Seconds that saving one takes. */
   readonly checkpointSaveS: number;
+  /** Seconds from acceptance until it should be finished; null: no deadline. */
   readonly deadlineS: number | null;
 }
 
+/** What a user is told of a job's progress; the wire's words are the same. */
 export type JobPhase = "queued" | "running" | "done" | "cancelled";
 
+/** The answer to a question for a job. */
 export interface JobStatus {
   readonly id: JobId;
   readonly phase: JobPhase;
+  /** How many tasks are finished. */
   readonly done: number;
+  /** How many tasks have an attempt now. */
   readonly running: number;
 }
 
+/** The protocol's bound on the tasks of one job. */
 export const MAX_TASKS = 100_000;
 const JOB_ID = /^wk-[0-9]{1,18}$/;
 
-export const isJobId = (s: string): boolean => JOB_ID.test(s);
+/** Whether a text is a job's id, and so may be part of a key. */
+export const isJobId = (id: string): boolean => JOB_ID.test(id);
 
+/** A value, or why there is none, in the words that the sender is told. */
 export type ParseResult<T> =
   | { readonly ok: true; readonly value: T }
   | { readonly ok: false; readonly reason: string };
 
-const bad = (reason: string): { ok: false; reason: string } => ({ ok: false, reason });
-const absent = (v: unknown): boolean => v === null || v === undefined;
-const flag = (v: unknown): boolean | undefined => (typeof v === "boolean" ? v : undefined);
+/** One field of a message: its wire name, its check, and the reason given where that fails. */
+interface FieldRule<Value> {
+  readonly wire: string;
+  /** The checked value; undefined if it is refused. Null and a missing field are the same. */
+  readonly read: (value: unknown) => Value | undefined;
+  readonly fault: string;
+}
 
-/** The job that a submission names, whatever else may be wrong with it. */
-export const submissionId = (body: unknown): JobId | undefined => {
-  const id = isMap(body) ? text(body.uid) : undefined;
+const nonEmptyText = (value: unknown): string | undefined => text(value) || undefined;
+const flag = (value: unknown): boolean | undefined =>
+  typeof value === "boolean" ? value : undefined;
+/** Only what may be null may be absent. */
+const orNull =
+  <Value>(read: (value: unknown) => Value | undefined) =>
+  (value: unknown): Value | null | undefined =>
+    value === null || value === undefined ? null : read(value);
+const texts = (value: unknown): readonly string[] | undefined => {
+  const names = list(value)?.map(text);
+  return names?.some((name) => name === undefined) ? undefined : (names as string[] | undefined);
+};
+const validJobId = (value: unknown): JobId | undefined => {
+  const id = text(value);
   return id !== undefined && isJobId(id) ? jobId(id) : undefined;
 };
+const validTeam = (value: unknown): TeamName | undefined => {
+  const team = nonEmptyText(value);
+  return team === undefined ? undefined : teamName(team);
+};
+const validTaskCount = (value: unknown): number | undefined => {
+  const tasks = count(value);
+  return tasks === undefined || tasks < 1 || tasks > MAX_TASKS ? undefined : tasks;
+};
+/** Job arrays are the only pattern there is. */
+const jobArray = (value: unknown): "sweep" | undefined => (value === "sweep" ? value : undefined);
+
+/** The fields of a submission as they are on the wire: flat, and with the pattern. */
+type SubmissionFields = Omit<JobSpec, "resources"> & Resources & { readonly pattern: "sweep" };
 
-/** Reads POST /work. The first fault found is the reason given. Only what may be null may be absent. */
+/** In the order of the checks. Times are in seconds, sizes in GB, as on the wire. */
+const SUBMISSION_FIELDS: {
+  readonly [Term in keyof SubmissionFields]: FieldRule<SubmissionFields[Term]>;
+} = {
+  id: { wire: "uid", read: validJobId, fault: "uid is not of the form wk-000000" },
+  jobClass: { wire: "weave", read: nonEmptyText, fault: "weave is missing" },
+  team: { wire: "crew", read: validTeam, fault: "crew is missing" },
+  pattern: { wire: "pattern", read: jobArray, fault: "pattern must be sweep" },
+  priority: {
+    wire: "rank",
+    read: (value) => PRIORITIES.find((known) => known === value),
+    fault: "rank is unknown",
+  },
+  taskCount: {
+    wire: "threads",
+    read: validTaskCount,
+    fault: `threads must be 1 to ${MAX_TASKS}`,
+  },
+  cpus: { wire: "cpus", read: amount, fault: "cpus is invalid" },
+  gpus: { wire: "gpus", read: amount, fault: "gpus is invalid" },
+  ramGb: { wire: "ramGb", read: amount, fault: "ramGb is invalid" },
+  image: { wire: "bolt", read: text, fault: "bolt is missing" },
+  imageGb: { wire: "imageGb", read: amount, fault: "imageGb is invalid" },
+  machineTypes: { wire: "frames", read: orNull(texts), fault: "frames must be a list of names" },
+  zone: { wire: "mill", read: orNull(text), fault: "mill is invalid" },
+  zoneAffinity: { wire: "oneZone", read: flag, fault: "oneZone is invalid" },
+  spreadAcrossZones: { wire: "apart", read: flag, fault: "apart is invalid" },
+  spotAllowed: { wire: "remnant", read: flag, fault: "remnant is invalid" },
+  expectedRunS: { wire: "expectS", read: amount, fault: "expectS is invalid" },
+  checkpointIntervalS: { wire: "knotS", read: amount, fault: "knotS is invalid" },
+  checkpointSaveS: { wire: "spoolS", read: amount, fault: "spoolS is invalid" },
+  deadlineS: { wire: "dueS", read: orNull(amount), fault: "dueS is invalid" },
+};
+const SUBMISSION_RULES: readonly (readonly [term: string, rule: FieldRule<unknown>])[] =
+  Object.entries(SUBMISSION_FIELDS);
+
+/** The job that a submission names, whatever else may be wrong with it. */
+export const submissionId = (body: unknown): JobId | undefined =>
+  isMap(body) ? SUBMISSION_FIELDS.id.read(body[SUBMISSION_FIELDS.id.wire]) : undefined;
+
+/** Reads a submission. The first fault found is the reason given; unknown fields are ignored. */
 export const parseSubmission = (body: unknown): ParseResult<JobSpec> => {
-  if (!isMap(body)) return bad("not a map");
-  const id = text(body.uid);
-  if (id === undefined || !isJobId(id)) return bad("uid is not of the form wk-000000");
-  const jobClass = text(body.weave);
-  if (!jobClass) return bad("weave is missing");
-  const team = text(body.crew);
-  if (!team) return bad("crew is missing");
-  if (body.pattern !== "sweep") return bad("pattern must be sweep");
-  const priority = PRIORITIES.find((r) => r === body.rank);
-  if (priority === undefined) return bad("rank is unknown");
-  const taskCount = count(body.threads);
-  if (taskCount === undefined || taskCount < 1 || taskCount > MAX_TASKS)
-    return bad(`threads must be 1 to ${MAX_TASKS}`);
-  const cpus = amount(body.cpus);
-  const gpus = amount(body.gpus);
-  const ramGb = amount(body.ramGb);
-  if (cpus === undefined) return bad("cpus is invalid");
-  if (gpus === undefined) return bad("gpus is invalid");
-  if (ramGb === undefined) return bad("ramGb is invalid");
-  const image = text(body.bolt);
-  if (image === undefined) return bad("bolt is missing");
-  const imageGb = amount(body.imageGb);
-  if (imageGb === undefined) return bad("imageGb is invalid");
-  let machineTypes: string[] | null = null;
-  if (!absent(body.frames)) {
-    const names = list(body.frames)?.map(text);
-    if (names === undefined || names.some((n) => n === undefined))
-      return bad("frames must be a list of names");
-    machineTypes = names as string[];
+  if (!isMap(body)) return { ok: false, reason: "not a map" };
+  const values: Record<string, unknown> = {};
+  for (const [term, { wire, read, fault }] of SUBMISSION_RULES) {
+    const value = read(body[wire]);
+    if (value === undefined) return { ok: false, reason: fault };
+    values[term] = value;
   }
-  if (!absent(body.mill) && typeof body.mill !== "string") return bad("mill is invalid");
-  const zoneAffinity = flag(body.oneZone);
-  const spreadAcrossZones = flag(body.apart);
-  const spotAllowed = flag(body.remnant);
-  if (zoneAffinity === undefined) return bad("oneZone is invalid");
-  if (spreadAcrossZones === undefined) return bad("apart is invalid");
-  if (spotAllowed === undefined) return bad("remnant is invalid");
-  const expectedRunS = amount(body.expectS);
-  if (expectedRunS === undefined) return bad("expectS is invalid");
-  const checkpointIntervalS = amount(body.knotS);
-  const checkpointSaveS = amount(body.spoolS);
-  if (checkpointIntervalS === undefined) return bad("knotS is invalid");
-  if (checkpointSaveS === undefined) return bad("spoolS is invalid");
-  const deadlineS = absent(body.dueS) ? null : amount(body.dueS);
-  if (deadlineS === undefined) return bad("dueS is invalid");
-  return {
-    ok: true,
-    value: {
-      id: jobId(id),
-      jobClass,
-      team: teamName(team),
-      priority,
-      taskCount,
-      resources: { cpus, gpus, ramGb },
-      image,
-      imageGb,
-      machineTypes,
-      zone: typeof body.mill === "string" ? body.mill : null,
-      zoneAffinity,
-      spreadAcrossZones,
-      spotAllowed,
-      expectedRunS,
-      checkpointIntervalS,
-      checkpointSaveS,
-      deadlineS,
-    },
-  };
+  // Each rule has been applied, and each returns its field's type.
+  const { pattern: _pattern, cpus, gpus, ramGb, ...fields } = values as unknown as SubmissionFields;
+  return { ok: true, value: { ...fields, resources: { cpus, gpus, ramGb } } };
 };
 
-export const jobStatusBody = (v: JobStatus): Fields => ({
-  uid: v.id,
-  stage: v.phase,
-  done: v.done,
-  running: v.running,
+/** The body of an answer with a job's status. */
+export const jobStatusBody = (status: JobStatus): Fields => ({
+  uid: status.id,
+  stage: status.phase,
+  done: status.done,
+  running: status.running,
 });
+
+/** The body of the answer to a submission that was accepted just now. */
+export const acceptedBody = (id: JobId): Fields => ({ uid: id, stage: "queued" });
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -1,3 +1,10 @@
+/**
+ * The one message that controllers send each other, in protocol buffers.
+ *
+ * The schema below is the wire's: field numbers and types must not change, and a field that an
+ * older controller doesn't send reads as its default. Its names are already the glossary's, but for
+ * `retire` (machines to be decommissioned) and `moves` (transfers).
+ */
 import {
   type JobId,
   jobId,
@@ -13,9 +20,17 @@
 import protobuf from "protobufjs/light.js";
 import { isJobId } from "./jobs.js";
 
+/** Where controllers send each other messages. */
+export const PEER_MESSAGE_PATH = "/peer";
+/** Whether the state store serves the controller that is asked: 204 or 503. */
+export const STORE_AVAILABILITY_PATH = "/served";
+/** Whether the controller that is asked receives its machines' heartbeats: 204, 503 or 404. */
+export const HEARTBEAT_RECEPTION_PATH = "/hears";
+
 /**
- * `drain`: stop what of lower rank runs there first. `whenEmpty`: start nothing more there, and move
- * it once what runs has ended. Neither: only if it is empty now.
+ * Asks a shard's owner to transfer a machine. `drain`: stop tasks of lower priority there first.
+ * `whenEmpty`: start nothing more there, and transfer it once what runs has ended. Neither: only if
+ * it is empty now.
  */
 export interface MachineTransferRequest {
   readonly machine: MachineId;
@@ -24,7 +39,7 @@
   readonly whenEmpty?: boolean;
 }
 
-/** A cancellation that is known to be written: the record's revision, and the time it bears. */
+/** A cancellation that is known to be written: its record's revision, and the time in the record. */
 export interface CancellationNotice {
   readonly job: JobId;
   readonly rev: Revision;
@@ -32,21 +47,24 @@
 }
 
 /**
- * What controllers tell one another. What the leader asks of a shard's owner are hints only: all
- * that must hold is in the state service. So is a cancellation, but who tells of one may have read
- * it where the other can't.
+ * What controllers tell one another. What the leader asks of a shard's owner is a hint only: all
+ * that must hold is in the state store. So is a cancellation, but the sender may have read it where
+ * the receiver can't.
  */
 export interface PeerMessage {
+  /** The sender's label. */
   readonly from: string;
   readonly moves: readonly MachineTransferRequest[];
+  /** Machines to be decommissioned. */
   readonly retire: readonly MachineId[];
-  /** Why they are to be retired at once; empty: they are surplus. */
+  /** Why they are to be decommissioned at once; empty: they are surplus. */
   readonly reason: string;
   readonly cancelled: readonly CancellationNotice[];
   /** Jobs of the sender's shards that fail wherever they are started. */
   readonly failing: readonly JobId[];
 }
 
+/** A message that says nothing, to be filled in. */
 export const EMPTY_PEER_MESSAGE: Omit<PeerMessage, "from"> = {
   moves: [],
   retire: [],
@@ -84,39 +102,65 @@
     },
   },
 });
-const Message = root.lookupType("PeerMessage");
+const peerMessageType = root.lookupType("PeerMessage");
+
+/** The message as protobufjs reads it: all fields there, and none of them checked. */
+interface WireMessage {
+  readonly from: string;
+  readonly moves: readonly WireMove[];
+  readonly retire: readonly string[];
+  readonly reason: string;
+  readonly cancelled: readonly WireCancelled[];
+  readonly failing: readonly string[];
+}
+
+interface WireMove {
+  readonly machine: string;
+  readonly to: number;
+  readonly drain: boolean;
+  readonly whenEmpty: boolean;
+}
+
+interface WireCancelled {
+  readonly job: string;
+  readonly rev: number;
+  readonly at: number;
+}
+
+const transferRequest = (move: WireMove): MachineTransferRequest => ({
+  machine: machineId(move.machine),
+  to: shardId(move.to),
+  drain: move.drain,
+  ...(move.whenEmpty ? { whenEmpty: true } : {}),
+});
 
-export const encodePeerMessage = (m: PeerMessage): Uint8Array =>
-  Message.encode(Message.fromObject(m)).finish();
+/** Whether a notice can be one; any other is ignored, and the rest of its message counts. */
+const isPossibleNotice = ({ job, rev, at }: WireCancelled): boolean =>
+  isJobId(job) && Number.isSafeInteger(rev) && rev > 0 && Number.isFinite(at);
+
+const cancellationNotice = ({ job, rev, at }: WireCancelled): CancellationNotice => ({
+  job: jobId(job),
+  rev: revision(rev),
+  at: wallClockMs(at),
+});
+
+/** The bytes of a message. */
+export const encodePeerMessage = (message: PeerMessage): Uint8Array =>
+  peerMessageType.encode(peerMessageType.fromObject(message)).finish();
 
 /** Throws on bytes that are no such message. */
 export const decodePeerMessage = (bytes: Uint8Array): PeerMessage => {
-  const o = Message.toObject(Message.decode(bytes), {
+  const wire = peerMessageType.toObject(peerMessageType.decode(bytes), {
     defaults: true,
     arrays: true,
     longs: Number,
-  }) as {
-    from: string;
-    moves: { machine: string; to: number; drain: boolean; whenEmpty: boolean }[];
-    retire: string[];
-    reason: string;
-    cancelled: { job: string; rev: number; at: number }[];
-    failing: string[];
-  };
+  }) as WireMessage;
   return {
-    from: o.from,
-    moves: o.moves.map((m) => ({
-      machine: machineId(m.machine),
-      to: shardId(m.to),
-      drain: m.drain,
-      ...(m.whenEmpty ? { whenEmpty: true } : {}),
-    })),
-    retire: o.retire.map(machineId),
-    reason: o.reason,
-    failing: o.failing.filter(isJobId).map(jobId),
-    cancelled: o.cancelled
-      .filter((c) => isJobId(c.job) && Number.isSafeInteger(c.rev) && c.rev > 0)
-      .filter((c) => Number.isFinite(c.at))
-      .map((c) => ({ job: jobId(c.job), rev: revision(c.rev), at: wallClockMs(c.at) })),
+    from: wire.from,
+    moves: wire.moves.map(transferRequest),
+    retire: wire.retire.map(machineId),
+    reason: wire.reason,
+    failing: wire.failing.filter(isJobId).map(jobId),
+    cancelled: wire.cancelled.filter(isPossibleNotice).map(cancellationNotice),
   };
 };
--- a/src/transport/server.ts
+++ b/src/transport/server.ts
@@ -1,13 +1,29 @@
+/**
+ * The HTTP server: it gathers bodies, calls a handler, writes the answer, and closes connections
+ * when too many are open.
+ *
+ * It owns its connections and their count. A handler's failure is answered with 503 and logged: it
+ * ends neither the connection nor the process.
+ */
 import http from "node:http";
+import { errorFields } from "../observability/error-fields.js";
 import type { Logger } from "../observability/log.js";
 import { decode, encode } from "../protocol/cbor.js";
+import { HEARTBEAT_PATH } from "../protocol/workers.js";
+import { BodyRequest, MAX_BODY_BYTES } from "./body-request.js";
 
+export { MAX_BODY_BYTES } from "./body-request.js";
+
+/** What a handler answers. */
 export interface HttpResponse {
   readonly status: number;
+  /** Bytes go out as they are, anything else as CBOR; undefined for none. */
   readonly body?: unknown;
+  /** Seconds after which the other side should ask again; rounded up to whole ones. */
   readonly retryAfterS?: number;
 }
 
+/** What a handler is given. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
@@ -15,14 +31,14 @@
   readonly bytes: Buffer;
 }
 
-export type RequestHandler = (req: HttpRequest) => HttpResponse | Promise<HttpResponse>;
+/** Answers at once where it can: a Promise costs turns of the queue. */
+export type RequestHandler = (request: HttpRequest) => HttpResponse | Promise<HttpResponse>;
 
-/** The protocol's bound on a request body. */
-export const MAX_BODY_BYTES = 64 * 1024;
+/** A body's value, or that its bytes aren't CBOR. */
+export type DecodedBody = { readonly ok: true; readonly value: unknown } | { readonly ok: false };
 
-export const decodeBody = (
-  bytes: Buffer,
-): { readonly ok: true; readonly value: unknown } | { readonly ok: false } => {
+/** Decodes a request's body without throwing. */
+export const decodeBody = (bytes: Buffer): DecodedBody => {
   try {
     return { ok: true, value: decode(bytes) };
   } catch {
@@ -43,7 +59,7 @@
  * Head and body go out as one string, in one write: with a buffer for the body Node's stream gathers
  * two, and a short answer costs half as much again.
  */
-const respond = (res: http.ServerResponse, answer: HttpResponse, close: boolean): void => {
+const respond = (response: http.ServerResponse, answer: HttpResponse, close: boolean): void => {
   const bytes = bodyBytes(answer.body);
   const headers = [
     ...["content-type", "application/cbor", "content-length", String(bytes.byteLength)],
@@ -51,104 +67,84 @@
   ];
   if (answer.retryAfterS !== undefined)
     headers.push("retry-after", String(Math.ceil(answer.retryAfterS)));
-  res.sendDate = false;
-  res.writeHead(answer.status, headers);
-  res.end(bytes.toString("latin1"), "latin1");
+  response.sendDate = false;
+  response.writeHead(answer.status, headers);
+  response.end(bytes.toString("latin1"), "latin1");
 };
 
-/**
- * A request whose body is gathered as the parser delivers it. The stream that Node would put
- * between costs three more turns of the queue for each report.
- */
-class BodyRequest extends http.IncomingMessage {
-  #chunks: Buffer[] = [];
-  #size = 0;
-  /** Called once with the whole body, or with nothing once it is larger than is taken. */
-  onBody: ((bytes: Buffer | undefined) => void) | undefined;
-
-  override push(chunk: Buffer | null): boolean {
-    if (chunk === null) {
-      const [first] = this.#chunks;
-      this.#deliver(this.#chunks.length === 1 ? first : Buffer.concat(this.#chunks));
-      return false;
-    }
-    this.#size += chunk.length;
-    if (this.#size > MAX_BODY_BYTES) this.#deliver(undefined);
-    else this.#chunks.push(chunk);
-    return true;
-  }
-
-  #deliver(bytes: Buffer | undefined): void {
-    const { onBody } = this;
-    this.onBody = undefined;
-    this.#chunks = [];
-    onBody?.(bytes);
-  }
-}
-/** What Node's server asks of a request before it lets go of it: nothing is left in a stream. */
-Object.defineProperties(BodyRequest.prototype, {
-  readableEnded: {
-    get(this: BodyRequest): boolean {
-      return this.complete;
-    },
-  },
-  _consumed: { value: true, writable: true },
-});
+/** The body was not read whole: the connection is closed once the answer is out. */
+const refuseLargeBody = (request: BodyRequest, response: http.ServerResponse): void => {
+  respond(response, { status: 413, body: { error: "body over 64 KiB" } }, true);
+  response.once("finish", () => request.destroy());
+};
 
 /**
  * From these parts of the connections on, answers close theirs: workers' first, who come back with
- * their next report, then everybody's. So all hosts of a fleet can be served, one report after the
- * other, by a survivor that has not a socket for each.
+ * their next heartbeat, then everybody's. So all hosts of a fleet can be served, one heartbeat after
+ * the other, by a survivor that has not a socket for each.
  */
 const CLOSE_WORKERS_PART = 0.75;
 const CLOSE_ALL_PART = 0.9;
 /**
  * Machines that vanish never close their connections, and in a fleet that changes all the time these
- * took up all that are let in. Whoever lives reports or asks many times as often.
+ * took up all that are let in. Whoever lives sends heartbeats or requests many times as often.
  */
 const SILENT_CONNECTION_MS = 120_000;
-const WORKERS_PATH = "/agent/beat";
 
-/** An HTTP server whose handler can't end the process, whatever comes in. */
+/** Whether a path's answers close their connections while so many are open. */
+const isCrowded = (openConnections: number, maxConnections: number, path: string): boolean => {
+  const part = path === HEARTBEAT_PATH ? CLOSE_WORKERS_PART : CLOSE_ALL_PART;
+  return openConnections > maxConnections * part;
+};
+
+/** Calls the handler once the body is there, and answers whatever becomes of it. */
+const serve = (
+  request: BodyRequest,
+  response: http.ServerResponse,
+  handler: RequestHandler,
+  closes: (path: string) => boolean,
+  log: Logger,
+): void => {
+  const path = request.url ?? "";
+  const answer = (result: HttpResponse): void => respond(response, result, closes(path));
+  const fail = (error: unknown): void => {
+    log.error("request handler failed", { path, ...errorFields(error) });
+    if (!response.headersSent) respond(response, { status: 503, retryAfterS: 1 }, false);
+  };
+  if (Number(request.headers["content-length"] ?? 0) > MAX_BODY_BYTES) {
+    refuseLargeBody(request, response);
+    return;
+  }
+  // An aborted request needs no answer, and without a listener its error would end the process.
+  request.on("error", () => undefined);
+  request.onBody = (bytes) => {
+    if (bytes === undefined) {
+      refuseLargeBody(request, response);
+      return;
+    }
+    try {
+      const result = handler({ method: request.method ?? "", path, bytes });
+      if (result instanceof Promise) result.then(answer).catch(fail);
+      else answer(result);
+    } catch (error) {
+      fail(error);
+    }
+  };
+};
+
+/** An HTTP server whose handler can't end the process, whatever comes in. It doesn't listen yet. */
 export const makeServer = (
   handler: RequestHandler,
   maxConnections: number,
   log: Logger,
 ): http.Server => {
   let open = 0;
-  const crowded = (path: string): boolean =>
-    open > maxConnections * (path === WORKERS_PATH ? CLOSE_WORKERS_PART : CLOSE_ALL_PART);
-  // biome-ignore lint/style/useNamingConvention: Node's name of the option.
-  const server = http.createServer({ IncomingMessage: BodyRequest }, (req, res) => {
-    const path = req.url ?? "";
-    const refuse = (): void => {
-      // Not read whole: the connection is closed once the answer is out.
-      respond(res, { status: 413, body: { error: "body over 64 KiB" } }, true);
-      res.once("finish", () => req.destroy());
-    };
-    const failed = (e: unknown): void => {
-      log.error("handler failed", { path, error: String(e) });
-      if (!res.headersSent) respond(res, { status: 503, retryAfterS: 1 }, false);
-    };
-    if (Number(req.headers["content-length"] ?? 0) > MAX_BODY_BYTES) {
-      refuse();
-      return;
-    }
-    req.on("error", () => undefined);
-    req.onBody = (bytes) => {
-      if (bytes === undefined) {
-        refuse();
-        return;
-      }
-      try {
-        const out = handler({ method: req.method ?? "", path, bytes });
-        if (out instanceof Promise) out.then((a) => respond(res, a, crowded(path))).catch(failed);
-        else respond(res, out, crowded(path));
-      } catch (e) {
-        failed(e);
-      }
-    };
-  });
+  const closes = (path: string): boolean => isCrowded(open, maxConnections, path);
+  const server = http.createServer(
+    // biome-ignore lint/style/useNamingConvention: Node's name of the option.
+    { IncomingMessage: BodyRequest },
+    (request, response) => serve(request, response, handler, closes, log),
+  );
   server.keepAliveTimeout = 0;
   server.requestTimeout = 0;
   server.headersTimeout = 0;
@@ -158,6 +154,6 @@
     open++;
     socket.once("close", () => open--);
   });
-  server.on("clientError", (_e, socket) => socket.destroy());
+  server.on("clientError", (_error, socket) => socket.destroy());
   return server;
 };
--- a/test/protocol/codecs.test.ts
+++ b/test/protocol/codecs.test.ts
@@ -16,7 +16,7 @@
 } from "../../src/storage/pages.js";
 import { rangesAdd, rangesCount, rangesHas, rangesMissing } from "../../src/storage/ranges.js";
 import { encodeAcceptedJob, parseAcceptedJob } from "../../src/storage/records.js";
-import { leastSockets, socketParts } from "../../src/transport/sockets.js";
+import { minSockets, socketParts } from "../../src/transport/sockets.js";
 
 export const SUBMISSION = {
   uid: "wk-000412",
@@ -285,8 +285,8 @@
     [1062, 3],
     [2150, 5],
     [1200, 3],
-    [leastSockets(3), 3],
-    [leastSockets(9), 9],
+    [minSockets(3), 3],
+    [minSockets(9), 9],
   ] as const) {
     const p = socketParts(most, members);
     const all = Object.values(p).reduce((sum, n) => sum + n, 0);
