--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,3 +1,10 @@
+/**
+ * The composition root: which parts make one controller, and what each of them is given.
+ *
+ * Nothing runs here. All parts live as long as the controller; whoever makes one starts its tasks
+ * and servers, and calls `stop` when they have ended. The order of construction is kept, since parts
+ * read the clock and the settings as they are made.
+ */
 import type { Incarnation } from "@umberfold/ids";
 import type { Operators } from "../config/operators.js";
 import type { PackageSettings } from "../config/packages.js";
@@ -18,30 +25,16 @@
 import { monotonicNow } from "../transport/clock.js";
 import type { RequestHandler } from "../transport/server.js";
 import { AvailabilityMonitor } from "./availability-monitor.js";
+import { controllerTasks } from "./controller-tasks.js";
+import { EventLoopWatch } from "./event-loop-watch.js";
 import { LoadSpreadLoader } from "./load-spread-loader.js";
-import { type PeriodicTask, periodicTask, withProportionalRest } from "./periodic-task.js";
+import type { PeriodicTask } from "./periodic-task.js";
 import { ReplicaSync } from "./replica-sync.js";
 import { RoundLoop } from "./round-loop.js";
 import { frontHandler, peerHandler } from "./routes.js";
 import { UserApi } from "./user-api.js";
 
-const MEMBERSHIP_MS = 250;
-/**
- * What happens within this time is decided together. A round costs much the same whether one
- * machine has changed or ten; at 15 ms rounds took a quarter of a controller's processor time.
- */
-const MIN_ROUND_GAP_MS = 50;
-const STANDING_MS = 400;
-const ADOPT_MS = 400;
-const REBALANCE_MS = 200;
-/** How many times as long as they took a rebalance and a plan of the fleet rest. */
-const REBALANCE_REST = 10;
-const PLAN_REST = 10;
-const CANCELS_MS = 500;
-const FAILING_EVERY_MS = 2000;
-const PAUSE_CHECK_MS = 250;
-
-/** What a node reaches the world through. */
+/** What a controller reaches other hosts through, by the kind of host. Whoever opens them closes them. */
 export interface Connections {
   readonly state: HttpClient;
   readonly cloud: HttpClient;
@@ -49,27 +42,34 @@
   readonly peers: HttpClient;
 }
 
+/** A controller that is put together, and does nothing yet. */
 export interface Controller {
+  /** Answers users, workers and the load balancer. */
   readonly front: RequestHandler;
+  /** Answers the other controllers. */
   readonly peer: RequestHandler;
+  /** To be started in this order. */
   readonly tasks: readonly PeriodicTask[];
+  /** Has its parts begin nothing more; the connections are closed by whoever opened them. */
   readonly stop: () => void;
 }
 
-/** All parts of one controller, put together; whoever calls this runs the tasks and the servers. */
-export const makeController = (
-  settings: Settings,
-  operators: Operators,
-  packages: PackageSettings,
-  log: Logger,
-  connections: Connections,
-  incarnation: Incarnation,
-  random: () => number,
-): Controller => {
+/** What one controller is made of. */
+interface ControllerInputs {
+  readonly settings: Settings;
+  readonly operators: Operators;
+  readonly log: Logger;
+  readonly connections: Connections;
+  readonly incarnation: Incarnation;
+  readonly random: () => number;
+}
+
+const makeContext = (inputs: ControllerInputs): ControllerContext => {
+  const { settings, operators, log, connections, incarnation, random } = inputs;
   const members = settings.seeds.length + 1;
   const replica = new Replica(settings.shardCount);
-  const teams = new Map(settings.teams.map((t) => [t.name, t]));
-  const ctx: ControllerContext = {
+  const teams = new Map(settings.teams.map((team) => [team.name, team]));
+  return {
     settings,
     teams,
     quotas: new ShardQuotas(replica, teams),
@@ -80,115 +80,49 @@
     log,
     random,
     metrics: new Metrics(),
-    // Half of its lease: after a longer pause it may have lapsed, and others may hold what it held.
+    // Half of its lease: after a longer pause it may have expired, and others own its shards.
     pauses: new PauseDetector(monotonicNow(), operators.memberLeaseMs / 2),
     loopLag: new EventLoopLag(),
     synced: false,
     stopping: false,
   };
+};
+
+/** All parts of one controller, put together; whoever calls this runs the tasks and the servers. */
+export const makeController = (
+  settings: Settings,
+  operators: Operators,
+  packages: PackageSettings,
+  log: Logger,
+  connections: Connections,
+  incarnation: Incarnation,
+  random: () => number,
+): Controller => {
+  const { cloud, peers, workers } = connections;
+  const ctx = makeContext({ settings, operators, log, connections, incarnation, random });
+
   const rounds = new RoundLoop(operators.roundMs);
   const wake = (): void => rounds.wake();
   const membership: Membership = new Membership(ctx, () => owner.channel.canReachMachines());
-  const owner: ShardOwner = new ShardOwner(ctx, membership, connections.workers, wake);
-  const leader = new Leader(
-    ctx,
-    membership,
-    owner,
-    connections.cloud,
-    connections.peers,
-    connections.workers,
-  );
-  const cancels = new Cancellations(
-    ctx,
-    membership,
-    owner,
-    connections.cloud,
-    connections.peers,
-    connections.workers,
-  );
-  const users = new UserApi(ctx, membership, wake, (w) => cancels.confirm(w));
-
+  const owner: ShardOwner = new ShardOwner(ctx, membership, workers, wake);
+  const leader = new Leader(ctx, membership, owner, cloud, peers, workers);
+  const cancels = new Cancellations(ctx, membership, owner, cloud, peers, workers);
+  const users = new UserApi(ctx, membership, wake, (notice) => cancels.confirm(notice));
   const loadSpread = new LoadSpreadLoader(ctx, membership, owner, packages.loadSpread, leader);
-
-  const parts = { ctx, membership, owner, leader, cancels, users, wake };
   const sync = new ReplicaSync(ctx, membership, wake);
+  const eventLoopWatch = new EventLoopWatch(ctx, owner);
+  const availability = new AvailabilityMonitor(ctx, membership, owner, peers);
 
-  let watchedAt = monotonicNow();
-  /** How late this task runs tells how far the process is behind. */
-  const watchLoop = (): void => {
-    const now = monotonicNow();
-    ctx.loopLag.observe(now - watchedAt - PAUSE_CHECK_MS, now);
-    watchedAt = now;
-    owner.detectPause();
-  };
-
-  const standing = new AvailabilityMonitor(ctx, membership, owner, connections.peers);
-
-  const stats = async (): Promise<void> => {
-    const { rss, heapUsed } = process.memoryUsage();
-    const cpu = process.cpuUsage();
-    log.info("stats", {
-      jobs: ctx.replica.accepted.size,
-      machines: ctx.replica.machines.size,
-      owner: owner.stats(),
-      cancels: cancels.stats(),
-      ...(loadSpread.stats() === undefined ? {} : { loadSpread: loadSpread.stats() }),
-      ...(membership.isLeader() ? { leader: leader.stats() } : {}),
-      state: ctx.store.counters,
-      questions: users.stats(),
-      lagMs: Math.round(ctx.loopLag.recentMs(monotonicNow())),
-      timesMs: await ctx.metrics.drain(),
-      rssMb: Math.round(rss / 1e6),
-      heapMb: Math.round(heapUsed / 1e6),
-      cpuMs: Math.round((cpu.user + cpu.system) / 1000),
-    });
-  };
-
+  const parts = { ctx, membership, owner, leader, cancels, users, wake };
   return {
     front: frontHandler(parts),
     peer: peerHandler(parts),
-    tasks: [
-      periodicTask("pauses", PAUSE_CHECK_MS, async () => watchLoop()),
-      periodicTask("lease", Math.floor(operators.memberLeaseMs / 4), () =>
-        membership.maintainLease(),
-      ),
-      periodicTask("membership", MEMBERSHIP_MS, () => membership.reconcile()),
-      periodicTask("standing", STANDING_MS, () => standing.update()),
-      periodicTask("adopt", ADOPT_MS, () => leader.adoptAll()),
-      periodicTask("cancels", CANCELS_MS, () => cancels.reconcile()),
-      periodicTask("watch", operators.watchPauseMs, () => sync.follow()),
-      periodicTask("rounds", MIN_ROUND_GAP_MS, () => rounds.run(() => owner.runRound())),
-      periodicTask("cloud", operators.fleetPeriodMs, () => leader.callCloud()),
-      periodicTask("failing", FAILING_EVERY_MS, () => leader.reportFailingJobs()),
-      periodicTask(
-        "rebalance",
-        REBALANCE_MS,
-        withProportionalRest(REBALANCE_REST, () => leader.rebalance()),
-      ),
-      periodicTask(
-        "fleet",
-        operators.fleetPeriodMs,
-        withProportionalRest(PLAN_REST, () => {
-          const planned = leader.plan();
-          // Spans of a time at which load spreading was on are drained home.
-          const leftOver = !packages.loadSpread.enabled && ctx.quotas.divided;
-          return leftOver ? planned.then(() => loadSpread.tick()) : planned;
-        }),
-      ),
-      ...(packages.loadSpread.enabled
-        ? [
-            periodicTask(
-              "load-spread",
-              packages.loadSpread.periodMs,
-              withProportionalRest(PLAN_REST, () => loadSpread.tick()),
-            ),
-          ]
-        : []),
-      periodicTask("stats", operators.statsPeriodS * 1000, stats),
-    ],
+    tasks: controllerTasks({
+      ...parts,
+      ...{ operators, packages, loadSpread, eventLoopWatch, availability, sync, rounds },
+    }),
     stop: () => {
       ctx.stopping = true;
-      for (const c of Object.values(connections)) c.close();
     },
   };
 };
--- a/src/service/periodic-task.ts
+++ b/src/service/periodic-task.ts
@@ -1,12 +1,20 @@
+/**
+ * Work that is done again and again, and how it is kept from taking all of the processor.
+ *
+ * A task never overlaps itself: its period runs from the end of one run to the start of the next.
+ */
 import { monotonicNow, sleep } from "../transport/clock.js";
 
 /** Work that is done again and again, `everyMs` after it last ended. */
 export interface PeriodicTask {
+  /** As logs call it. */
   readonly name: string;
   readonly everyMs: number;
+  /** What it resolves to is of no interest; what it rejects with is logged. */
   readonly run: () => Promise<unknown>;
 }
 
+/** A row of a table of tasks. */
 export const periodicTask = (
   name: string,
   everyMs: number,
@@ -14,23 +22,26 @@
 ): PeriodicTask => ({ name, everyMs, run });
 
 /** Decisions shorter than this need no rest. */
-const LEAST_REST_MS = 2;
+const MIN_DECISION_MS = 2;
 
-/** A process that stood still in the middle of a decision would else rest for minutes. */
-const MOST_REST_MS = 2000;
+/** A process that was paused in the middle of a decision would otherwise rest for minutes. */
+const MAX_REST_MS = 2000;
 
-/** A decision that rests for `times` as long as it took, so that it takes a bounded part of the time. */
+/**
+ * A decision that rests for `times` as long as it took, so that it takes a bounded part of the time.
+ * Only its synchronous part is measured: what it then waits for takes no processor time.
+ */
 export const withProportionalRest =
   (times: number, run: () => Promise<unknown>) => async (): Promise<void> => {
-    const began = monotonicNow();
+    const startedAt = monotonicNow();
     const done = run();
-    const tookMs = monotonicNow() - began;
+    const tookMs = monotonicNow() - startedAt;
     await done;
-    if (tookMs >= LEAST_REST_MS) await sleep(Math.min(MOST_REST_MS, times * tookMs));
+    if (tookMs >= MIN_DECISION_MS) await sleep(Math.min(MAX_REST_MS, times * tookMs));
   };
 
 /**
- * Runs a task again and again until the returned function is called. A failure is logged and the
+ * Runs a task again and again until the returned function is called. A failure is reported and the
  * task tried again: nothing that goes wrong in one ends the process. (As an `effect` schedule each
  * run cost several times what most tasks do: an eighth of a controller's processor time.)
  */
@@ -44,6 +55,7 @@
     if (!stopped) timer = setTimeout(runOnce, task.everyMs);
   };
   const runOnce = (): void => {
+    // Never rejects: a failure goes to `onFailure`, which only logs.
     Promise.resolve().then(task.run).catch(onFailure).then(scheduleNext);
   };
   runOnce();
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -1,25 +1,34 @@
+/**
+ * Which part answers which request, on the front address (users, workers, the load balancer) and on
+ * the internal one (the other controllers).
+ *
+ * Nothing here has state. A path with another method is answered 405, an unknown path 404.
+ */
 import type { Cancellations } from "../coordination/cancellation/cancellations.js";
 import type { ControllerContext } from "../coordination/context.js";
 import type { Leader } from "../coordination/fleet/leader.js";
 import type { Membership } from "../coordination/membership/membership.js";
 import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
-import { decodePeerMessage, type PeerMessage } from "../protocol/peer.js";
 import {
-  decodeBody,
-  type HttpRequest,
-  type HttpResponse,
-  type RequestHandler,
-} from "../transport/server.js";
+  decodePeerMessage,
+  HEARTBEAT_RECEPTION_PATH,
+  PEER_MESSAGE_PATH,
+  type PeerMessage,
+  STORE_AVAILABILITY_PATH,
+} from "../protocol/peer.js";
+import { parseUserPath } from "../protocol/user-paths.js";
+import { HEARTBEAT_PATH } from "../protocol/workers.js";
+import type { HttpRequest, HttpResponse, RequestHandler } from "../transport/server.js";
+import { decodeBody } from "../transport/server.js";
 import type { UserApi } from "./user-api.js";
+import { NOT_CBOR } from "./user-responses.js";
 
-/** Whether the state service serves the controller that is asked. */
-export const SERVED_PATH = "/served";
+/** Whether the state store serves the controller that is asked. */
+export const SERVED_PATH = STORE_AVAILABILITY_PATH;
 /** Whether the controller that is asked receives its machines' heartbeats. */
-export const HEARTBEATS_PATH = "/hears";
-const PEER_PATH = "/peer";
-const WORKER_PATH = "/agent/beat";
+export const HEARTBEATS_PATH = HEARTBEAT_RECEPTION_PATH;
 
-/** What requests are handed to. */
+/** The parts of a controller that requests are handed to. */
 export interface Parts {
   readonly ctx: ControllerContext;
   readonly membership: Membership;
@@ -32,60 +41,74 @@
 }
 
 const METHOD_NOT_ALLOWED: HttpResponse = { status: 405 };
+const UNKNOWN_PATH: HttpResponse = { status: 404, body: { error: "unknown path" } };
+
+const handleHeartbeat = ({ owner, leader }: Parts, bytes: Buffer): HttpResponse => {
+  const body = decodeBody(bytes);
+  if (!body.ok) return NOT_CBOR;
+  return owner.handleHeartbeat(body.value, (status) => leader.adoptMachine(status));
+};
 
 /** Requests of users, workers and the load balancer. */
-export const frontHandler = ({ owner, leader, users }: Parts): RequestHandler => {
-  const heartbeat = (bytes: Buffer): HttpResponse => {
-    const body = decodeBody(bytes);
-    if (!body.ok) return { status: 400, body: { error: "not CBOR" } };
-    return owner.handleHeartbeat(body.value, (report) => leader.adoptMachine(report));
-  };
-  const job = (method: string, id: string, action: string | undefined) => {
-    if (action === undefined) return method === "GET" ? users.getStatus(id) : METHOD_NOT_ALLOWED;
-    return method === "POST" ? users.cancel(id) : METHOD_NOT_ALLOWED;
-  };
+export const frontHandler = (parts: Parts): RequestHandler => {
+  const { users } = parts;
   return ({ method, path, bytes }) => {
-    if (path === WORKER_PATH) return method === "POST" ? heartbeat(bytes) : METHOD_NOT_ALLOWED;
-    if (path === "/ready") return method === "GET" ? users.readiness() : METHOD_NOT_ALLOWED;
-    if (path === "/work") return method === "POST" ? users.submit(bytes) : METHOD_NOT_ALLOWED;
-    const [, root, id, action, ...more] = path.split("/");
-    const known = action === undefined || action === "withdraw";
-    if (root !== "work" || id === undefined || !known || more.length > 0)
-      return { status: 404, body: { error: "unknown path" } };
-    return job(method, id, action);
+    // First, since nearly all requests are heartbeats.
+    if (path === HEARTBEAT_PATH)
+      return method === "POST" ? handleHeartbeat(parts, bytes) : METHOD_NOT_ALLOWED;
+    const target = parseUserPath(path);
+    switch (target.kind) {
+      case "readiness":
+        return method === "GET" ? users.readiness() : METHOD_NOT_ALLOWED;
+      case "submission":
+        return method === "POST" ? users.submit(bytes) : METHOD_NOT_ALLOWED;
+      case "status":
+        return method === "GET" ? users.getStatus(target.id) : METHOD_NOT_ALLOWED;
+      case "cancellation":
+        return method === "POST" ? users.cancel(target.id) : METHOD_NOT_ALLOWED;
+      case "unknown":
+        return UNKNOWN_PATH;
+    }
   };
 };
 
 /** Requests of the other controllers. */
 export const peerHandler = (parts: Parts): RequestHandler => {
-  const { ctx, membership, owner } = parts;
-  const heartbeats = (): HttpResponse => {
-    const known = ctx.synced && membership.holdsValidLease();
-    const received = known ? owner.channel.receivesHeartbeats() : undefined;
-    if (received === undefined) return { status: 404 };
-    return { status: received ? 204 : 503 };
-  };
+  const { ctx } = parts;
   return (request) => {
-    if (request.path === SERVED_PATH)
-      return { status: ctx.synced && !ctx.store.isFailing() ? 204 : 503 };
-    if (request.path === HEARTBEATS_PATH) return heartbeats();
-    if (request.path !== PEER_PATH) return { status: 404 };
-    return request.method === "POST" ? peerMessage(parts, request) : METHOD_NOT_ALLOWED;
+    switch (request.path) {
+      case SERVED_PATH:
+        return { status: ctx.synced && !ctx.store.isFailing() ? 204 : 503 };
+      case HEARTBEATS_PATH:
+        return heartbeatReception(parts);
+      case PEER_MESSAGE_PATH:
+        return request.method === "POST" ? handlePeerMessage(parts, request) : METHOD_NOT_ALLOWED;
+      default:
+        return { status: 404 };
+    }
   };
 };
 
-const peerMessage = (parts: Parts, { bytes }: HttpRequest): HttpResponse => {
+/** 404 where it can't be told: nothing is owned, or it isn't known what. */
+const heartbeatReception = ({ ctx, membership, owner }: Parts): HttpResponse => {
+  const isOwner = ctx.synced && membership.holdsValidLease();
+  const received = isOwner ? owner.channel.receivesHeartbeats() : undefined;
+  if (received === undefined) return { status: 404 };
+  return { status: received ? 204 : 503 };
+};
+
+const handlePeerMessage = (parts: Parts, { bytes }: HttpRequest): HttpResponse => {
+  const { ctx, owner, leader, cancels, wake } = parts;
   let message: PeerMessage;
   try {
     message = decodePeerMessage(bytes);
   } catch {
-    parts.ctx.log.info("malformed peer message", {});
+    ctx.log.info("malformed peer message", {});
     return { status: 400 };
   }
-  const { ctx, owner, leader, cancels, wake } = parts;
-  for (const move of message.moves) owner.requestTransfer(move);
-  for (const id of message.retire) owner.requestDecommission(id, message.reason);
-  // Not yet knowing what it owns, it could not say that it will see to it.
+  for (const transfer of message.moves) owner.requestTransfer(transfer);
+  for (const machine of message.retire) owner.requestDecommission(machine, message.reason);
+  // Before the first scan it isn't known what is owned here: it can't promise to see to it.
   if (message.cancelled.length > 0 && !ctx.synced) return { status: 503 };
   cancels.receiveNotices(message.cancelled);
   leader.recordFailingJobs(message.failing);
--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -1,6 +1,14 @@
+/**
+ * Runs one controller as a process: connections, servers and timers around the parts.
+ *
+ * All of these belong to one scope, which closes them in the reverse order of their opening: first
+ * no more tasks start, then no more requests are let in, then the parts stop, and last the
+ * connections are closed.
+ */
 import { randomUUID } from "node:crypto";
 import type http from "node:http";
 import { incarnation } from "@umberfold/ids";
+import * as Data from "effect/Data";
 import * as Effect from "effect/Effect";
 import type * as Scope from "effect/Scope";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
@@ -8,27 +16,84 @@
 import type { Operators } from "../config/operators.js";
 import type { PackageSettings } from "../config/packages.js";
 import type { Settings } from "../config/settings.js";
+import { errorFields } from "../observability/error-fields.js";
 import type { Logger } from "../observability/log.js";
 import { PooledHttpClient } from "../transport/client.js";
 import { makeServer } from "../transport/server.js";
-import { socketParts } from "../transport/sockets.js";
-import { makeController } from "./controller.js";
+import { type SocketParts, socketParts } from "../transport/sockets.js";
+import { type Connections, type Controller, makeController } from "./controller.js";
 import { type PeriodicTask, startPeriodic } from "./periodic-task.js";
 
-const listen = (server: http.Server, address: string, backlog: number) =>
+/** A server could not listen: the address is taken, or isn't this host's. */
+export class ListenError extends Data.TaggedError("ListenError")<{
+  /** Host and port, as in the settings. */
+  readonly address: string;
+  /** Node's code, such as `EADDRINUSE`. */
+  readonly code: string | undefined;
+  readonly message: string;
+  readonly cause: Error;
+}> {}
+
+/** Connections to one host of the kinds of which there are several. */
+const MAX_PER_HOST = 2;
+
+const openConnections = (parts: SocketParts): Connections => ({
+  state: new PooledHttpClient(parts.state, parts.state),
+  cloud: new PooledHttpClient(parts.cloud, parts.cloud),
+  peers: new PooledHttpClient(MAX_PER_HOST, parts.peers),
+  workers: new PooledHttpClient(MAX_PER_HOST, parts.workers, parts.idleWorkers),
+});
+
+/** Each kind of host has its part of the sockets, so that none can take them all. */
+const scopedConnections = (parts: SocketParts): Effect.Effect<Connections, never, Scope.Scope> =>
   Effect.acquireRelease(
-    Effect.callback<http.Server, Error>((resume) => {
-      const at = address.lastIndexOf(":");
-      server.once("error", (e) => resume(Effect.fail(e)));
-      server.listen(Number(address.slice(at + 1)), address.slice(0, at), backlog, () =>
+    Effect.sync(() => openConnections(parts)),
+    (connections) =>
+      Effect.sync(() => {
+        for (const client of Object.values(connections)) client.close();
+      }),
+  );
+
+const scopedController = (make: () => Controller): Effect.Effect<Controller, never, Scope.Scope> =>
+  Effect.acquireRelease(Effect.sync(make), (controller) => Effect.sync(controller.stop));
+
+const listenError = (address: string, cause: NodeJS.ErrnoException): ListenError =>
+  new ListenError({ address, code: cause.code, message: cause.message, cause });
+
+const scopedListening = (
+  server: http.Server,
+  address: string,
+  backlog: number,
+): Effect.Effect<http.Server, ListenError, Scope.Scope> =>
+  Effect.acquireRelease(
+    Effect.callback<http.Server, ListenError>((resume) => {
+      const colon = address.lastIndexOf(":");
+      server.once("error", (error) => resume(Effect.fail(listenError(address, error))));
+      server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), backlog, () =>
         resume(Effect.succeed(server)),
       );
     }),
-    (s) => Effect.sync(() => s.close()),
+    (listening) => Effect.sync(() => listening.close()),
   );
 
-const failureOf = (task: PeriodicTask, log: Logger) => (error: unknown) =>
-  log.error(`${task.name} failed`, { error: String(error) });
+/** Starts the tasks in their order. A failure of one is logged, and the task runs again. */
+const scopedTasks = (
+  tasks: readonly PeriodicTask[],
+  log: Logger,
+): Effect.Effect<unknown, never, Scope.Scope> =>
+  Effect.acquireRelease(
+    Effect.sync(() =>
+      tasks.map((task) =>
+        startPeriodic(task, (error) =>
+          log.error("periodic task failed", { task: task.name, ...errorFields(error) }),
+        ),
+      ),
+    ),
+    (stops) =>
+      Effect.sync(() => {
+        for (const stop of stops) stop();
+      }),
+  );
 
 /** One whole controller over HTTP; runs until its scope closes. */
 export const runController = (
@@ -36,41 +101,22 @@
   operators: Operators,
   packages: PackageSettings,
   log: Logger,
-): Effect.Effect<never, Error, Scope.Scope> =>
+): Effect.Effect<never, ListenError, Scope.Scope> =>
   Effect.gen(function* () {
-    const { maxSockets } = settings.resources;
     const members = settings.seeds.length + 1;
-    const seed = randomUUID();
-    const rng = xoroshiro128plus(Number.parseInt(seed.slice(0, 8), 16));
-    // Each kind of host has its part of the sockets, so that none can take them all.
-    const parts = socketParts(maxSockets, members);
-    const connections = {
-      state: new PooledHttpClient(parts.state, parts.state),
-      cloud: new PooledHttpClient(parts.cloud, parts.cloud),
-      peers: new PooledHttpClient(2, parts.peers),
-      workers: new PooledHttpClient(2, parts.workers, parts.idleWorkers),
-    };
-    const node = yield* Effect.acquireRelease(
-      Effect.sync(() =>
-        makeController(settings, operators, packages, log, connections, incarnation(seed), () =>
-          uniformFloat64(rng),
-        ),
-      ),
-      (n) => Effect.sync(n.stop),
-    );
-    yield* listen(
-      makeServer(node.front, parts.front, log),
-      settings.frontAddress,
-      parts.frontBacklog,
-    );
-    yield* listen(makeServer(node.peer, parts.inner, log), settings.internalAddress, parts.inner);
-
-    yield* Effect.acquireRelease(
-      Effect.sync(() => node.tasks.map((task) => startPeriodic(task, failureOf(task, log)))),
-      (stops) =>
-        Effect.sync(() => {
-          for (const stop of stops) stop();
-        }),
+    const parts = socketParts(settings.resources.maxSockets, members);
+    // The incarnation is new at each start, and seeds the random draws.
+    const uuid = randomUUID();
+    const generator = xoroshiro128plus(Number.parseInt(uuid.slice(0, 8), 16));
+    const random = (): number => uniformFloat64(generator);
+    const connections = yield* scopedConnections(parts);
+    const controller = yield* scopedController(() =>
+      makeController(settings, operators, packages, log, connections, incarnation(uuid), random),
     );
+    const front = makeServer(controller.front, parts.front, log);
+    yield* scopedListening(front, settings.frontAddress, parts.frontBacklog);
+    const internal = makeServer(controller.peer, parts.inner, log);
+    yield* scopedListening(internal, settings.internalAddress, parts.inner);
+    yield* scopedTasks(controller.tasks, log);
     return yield* Effect.never;
   });
