--- /dev/null
+++ b/src/cli/load-files.ts
@@ -0,0 +1,81 @@
+/**
+ * Reads the files that the command line names: settings, operators' settings, packages.
+ *
+ * All files are read even if one is faulty, so that every fault is reported at once. Each fault
+ * begins with its file's name.
+ */
+import { readFileSync } from "node:fs";
+import { type Checked, checked } from "../config/checked.js";
+import { defaultOperators, type Operators, parseOperators } from "../config/operators.js";
+import {
+  checkAgainstShards,
+  defaultPackages,
+  type PackageSettings,
+  parsePackages,
+} from "../config/packages.js";
+import { parseSettings, type Settings } from "../config/settings.js";
+
+/** The files' names; without one of the optional files its defaults hold. */
+export interface FileNames {
+  readonly config: string;
+  readonly operators?: string;
+  readonly packages?: string;
+}
+
+/** What all files say. */
+export interface LoadedFiles {
+  readonly settings: Settings;
+  readonly operators: Operators;
+  readonly packages: PackageSettings;
+}
+
+/** A file's text, or why it can't be read. */
+export const readText = (file: string): Checked<string> => {
+  try {
+    return { ok: true, value: readFileSync(file, "utf8") };
+  } catch (error) {
+    const { code } = error as NodeJS.ErrnoException;
+    return { ok: false, faults: [`can't be read: ${code ?? error}`] };
+  }
+};
+
+const named = <T>(file: string, result: Checked<T>): Checked<T> =>
+  result.ok ? result : { ok: false, faults: result.faults.map((fault) => `${file}: ${fault}`) };
+
+const loadSettings = (file: string): Checked<Settings> => {
+  const text = readText(file);
+  return named(file, text.ok ? parseSettings(text.value) : text);
+};
+
+const loadOperators = async (file: string | undefined): Promise<Checked<Operators>> => {
+  if (file === undefined) return { ok: true, value: defaultOperators() };
+  const text = readText(file);
+  return named(file, text.ok ? await parseOperators(text.value) : text);
+};
+
+/** With settings that can't be read, what depends on them isn't checked. */
+const loadPackages = async (
+  file: string | undefined,
+  settings: Checked<Settings>,
+): Promise<Checked<PackageSettings>> => {
+  if (file === undefined) return { ok: true, value: defaultPackages() };
+  const text = readText(file);
+  const packages = text.ok ? await parsePackages(file, text.value) : text;
+  if (!packages.ok || !settings.ok) return named(file, packages);
+  const faults = checkAgainstShards(packages.value, settings.value.shardCount);
+  return named(file, checked(packages.value, faults));
+};
+
+/** All files, or every fault found in them. */
+export const loadFiles = async (names: FileNames): Promise<Checked<LoadedFiles>> => {
+  const settings = loadSettings(names.config);
+  const operators = await loadOperators(names.operators);
+  const packages = await loadPackages(names.packages, settings);
+  if (settings.ok && operators.ok && packages.ok)
+    return {
+      ok: true,
+      value: { settings: settings.value, operators: operators.value, packages: packages.value },
+    };
+  const results = [settings, operators, packages];
+  return { ok: false, faults: results.flatMap((result) => (result.ok ? [] : result.faults)) };
+};
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,24 +1,20 @@
-import { readFileSync } from "node:fs";
+/**
+ * The command line: options, the check of all files, and the start of a controller.
+ *
+ * What a controller needs to run is loaded only once the files are found valid: `--check`,
+ * `--version` and a start with a fault cost little.
+ */
 import path from "node:path";
 import { Command } from "commander";
 import * as Effect from "effect/Effect";
-import { defaultOperators, type Operators, parseOperators } from "../config/operators.js";
-import {
-  checkAgainstShards,
-  defaultPackages,
-  type PackageSettings,
-  parsePackages,
-} from "../config/packages.js";
-import { type Checked, parseSettings, type Settings } from "../config/settings.js";
-import { makeLogger, parseLevel } from "../observability/log.js";
+import { errorFields, errorFieldsWithStack } from "../observability/error-fields.js";
+import { type Logger, makeLogger, parseLevel } from "../observability/log.js";
+import { EXIT_CODES } from "./exit-codes.js";
+import { type FileNames, type LoadedFiles, loadFiles, readText } from "./load-files.js";
 
-const readText = (path: string): Checked<string> => {
-  try {
-    return { ok: true, value: readFileSync(path, "utf8") };
-  } catch (e) {
-    return { ok: false, faults: [`can't be read: ${(e as NodeJS.ErrnoException).code ?? e}`] };
-  }
-};
+interface Options extends FileNames {
+  readonly check?: boolean;
+}
 
 const version = (): string => {
   const program = process.argv[1] ?? "";
@@ -26,75 +22,40 @@
   return text.ok ? String(JSON.parse(text.value).version) : "unknown";
 };
 
-interface Options {
-  readonly config: string;
-  readonly operators?: string;
-  readonly packages?: string;
-  readonly check?: boolean;
-}
-
-interface Loaded {
-  readonly settings: Settings;
-  readonly operators: Operators;
-  readonly packages: PackageSettings;
-}
+/** Last resort: a fault in one request or task must not end what serves all others. */
+const logUnexpectedErrors = (log: Logger): void => {
+  process.on("uncaughtException", (error) =>
+    log.error("uncaught exception", errorFieldsWithStack(error)),
+  );
+  process.on("unhandledRejection", (reason) =>
+    log.error("unhandled rejection", errorFieldsWithStack(reason)),
+  );
+};
 
-/** All files, or every fault found in them, each a line with its file's name. */
-const load = async ({ config, operators, packages }: Options): Promise<Checked<Loaded>> => {
-  const text = readText(config);
-  const settings = text.ok ? parseSettings(text.value) : text;
-  const faults = settings.ok ? [] : settings.faults.map((f) => `${config}: ${f}`);
-  let knobs: Checked<Operators> = { ok: true, value: defaultOperators() };
-  if (operators !== undefined) {
-    const hcl = readText(operators);
-    knobs = hcl.ok ? await parseOperators(hcl.value) : hcl;
-    if (!knobs.ok) faults.push(...knobs.faults.map((f) => `${operators}: ${f}`));
-  }
-  let switches: Checked<PackageSettings> = { ok: true, value: defaultPackages() };
-  if (packages !== undefined) {
-    const source = readText(packages);
-    switches = source.ok ? await parsePackages(packages, source.value) : source;
-    if (!switches.ok) faults.push(...switches.faults.map((f) => `${packages}: ${f}`));
-    else if (settings.ok)
-      faults.push(
-        ...checkAgainstShards(switches.value, settings.value.shardCount).map(
-          (f) => `${packages}: ${f}`,
-        ),
-      );
-  }
-  if (!settings.ok || !knobs.ok || !switches.ok || faults.length > 0) return { ok: false, faults };
-  return {
-    ok: true,
-    value: { settings: settings.value, operators: knobs.value, packages: switches.value },
-  };
+/** Runs until the process is killed; ends it if the controller can't start to serve. */
+const serve = async ({ settings, operators, packages }: LoadedFiles): Promise<void> => {
+  const log = makeLogger(parseLevel(process.env.LOG_LEVEL), { node: settings.label });
+  for (const what of settings.ignoredObjectives) log.info("objective ignored", { what });
+  logUnexpectedErrors(log);
+  const { ListenError, runController } = await import("../service/run-controller.js");
+  const running = Effect.scoped(runController(settings, operators, packages, log));
+  await Effect.runPromise(running).catch((error) => {
+    const where = error instanceof ListenError ? { address: error.address, code: error.code } : {};
+    log.error("can't run", { ...errorFields(error), ...where });
+    process.exit(EXIT_CODES.cannotRun);
+  });
 };
 
-const start = async (o: Options): Promise<void> => {
-  const loaded = await load(o);
+const start = async (options: Options): Promise<void> => {
+  const loaded = await loadFiles(options);
   if (!loaded.ok) {
-    for (const f of loaded.faults) process.stderr.write(`umberfold: ${f}\n`);
-    process.exitCode = 1;
-    return;
-  }
-  if (o.check === true) {
-    process.stdout.write("settings are valid\n");
-    return;
-  }
-  const { settings, operators, packages } = loaded.value;
-  const log = makeLogger(parseLevel(process.env.LOG_LEVEL), { node: settings.label });
-  for (const what of settings.ignoredObjectives) log.info("objective passed over", { what });
-  // Last resort: a fault in one request or pass must not end what serves all others.
-  process.on("uncaughtException", (e) => log.error("uncaught", { error: String(e.stack ?? e) }));
-  process.on("unhandledRejection", (e) => log.error("unhandled", { error: String(e) }));
-  const { runController } = await import("../service/run-controller.js");
-  await Effect.runPromise(Effect.scoped(runController(settings, operators, packages, log))).catch(
-    (e) => {
-      log.error("can't run", { error: String(e) });
-      process.exit(1);
-    },
-  );
+    for (const fault of loaded.faults) process.stderr.write(`umberfold: ${fault}\n`);
+    process.exitCode = EXIT_CODES.invalidSettings;
+  } else if (options.check === true) process.stdout.write("settings are valid\n");
+  else await serve(loaded.value);
 };
 
+/** Runs the program with Node's arguments; resolves once it has only been asked for something. */
 export const main = async (argv: readonly string[]): Promise<void> => {
   const program = new Command("umberfold")
     .description("a controller of the umberfold cluster scheduler")
--- a/src/config/field-reader.ts
+++ b/src/config/field-reader.ts
@@ -1,98 +1,132 @@
+/**
+ * Reads fields of an untrusted map and gathers every fault instead of stopping at the first.
+ *
+ * Each method returns a value in any case, and adds a line to `faults` if it isn't the file's: the
+ * field, what is allowed, and what is there instead. Readers of inner maps share the list.
+ */
 import { isMap } from "../protocol/cbor.js";
 
-/** Reads fields of an untrusted map and gathers every fault instead of stopping at the first. */
+const MAX_SHOWN_LENGTH = 60;
+
+/** A value as it is shown in a fault: enough to find it in the file. */
+export const describeValue = (value: unknown): string => {
+  if (value === undefined || value === null) return "nothing";
+  if (typeof value === "string") return JSON.stringify(value.slice(0, MAX_SHOWN_LENGTH));
+  if (Array.isArray(value)) return "a list";
+  return isMap(value) ? "a table" : String(value);
+};
+
+/** The fields of one map: a section, a block or a row of a file. */
 export class FieldReader {
   constructor(
     private readonly source: Readonly<Record<string, unknown>>,
+    /** The map's own place in its file; empty for the file itself. */
     readonly where: string,
+    /** A line for each fault found so far. */
     readonly faults: string[],
   ) {}
 
-  #at(name: string): string {
-    return this.where === "" ? name : `${this.where}.${name}`;
-  }
-
   /** The same fields, with faults gathered apart. */
   apart(faults: string[]): FieldReader {
     return new FieldReader(this.source, this.where, faults);
   }
 
+  /** Whether a field is there, whatever its value. */
   has(name: string): boolean {
     return this.source[name] !== undefined && this.source[name] !== null;
   }
 
+  /** A text that isn't empty. */
   text(name: string, fallback?: string): string {
-    const v = this.source[name];
-    if (typeof v === "string" && v !== "") return v;
+    const value = this.source[name];
+    if (typeof value === "string" && value !== "") return value;
     if (!this.has(name) && fallback !== undefined) return fallback;
-    this.faults.push(`${this.#at(name)}: must be a non-empty text`);
+    this.#refuse(name, "must be a non-empty text");
     return "";
   }
 
+  /** Host and port, of which the host is a number, so that no name has to be looked up. */
   address(name: string): string {
-    const v = this.text(name, "");
-    if (/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(v)) return v;
-    this.faults.push(`${this.#at(name)}: must be an IPv4 address with a port, such as 10.0.0.1:80`);
+    const address = this.text(name, "");
+    if (/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(address)) return address;
+    this.#refuse(name, "must be an IPv4 address with a port, such as 10.0.0.1:80");
     return "0.0.0.0:0";
   }
 
-  number(name: string, least: number, most: number, fallback?: number): number {
-    const v = this.source[name];
-    if (v === undefined && fallback !== undefined) return fallback;
-    if (typeof v === "number" && Number.isFinite(v) && v >= least && v <= most) return v;
-    const range = most === Number.POSITIVE_INFINITY ? `at least ${least}` : `${least} to ${most}`;
-    this.faults.push(`${this.#at(name)}: must be a number, ${range}`);
-    return least;
+  /** A number within bounds, both included; `max` may be infinite. */
+  number(name: string, min: number, max: number, fallback?: number): number {
+    const value = this.source[name];
+    if (value === undefined && fallback !== undefined) return fallback;
+    if (typeof value === "number" && Number.isFinite(value) && value >= min && value <= max)
+      return value;
+    const range = max === Number.POSITIVE_INFINITY ? `at least ${min}` : `${min} to ${max}`;
+    this.#refuse(name, `must be a number, ${range}`);
+    return min;
   }
 
-  whole(name: string, least: number, most: number, fallback?: number): number {
-    const n = this.number(name, least, most, fallback);
-    if (Number.isInteger(n)) return n;
-    this.faults.push(`${this.#at(name)}: must be a whole number`);
-    return least;
+  /** The same for a whole number. */
+  whole(name: string, min: number, max: number, fallback?: number): number {
+    const number = this.number(name, min, max, fallback);
+    if (Number.isInteger(number)) return number;
+    this.#refuse(name, "must be a whole number");
+    return min;
   }
 
+  /** A switch. */
   flag(name: string, fallback: boolean): boolean {
-    const v = this.source[name];
-    if (v === undefined) return fallback;
-    if (typeof v === "boolean") return v;
-    this.faults.push(`${this.#at(name)}: must be true or false`);
+    const value = this.source[name];
+    if (value === undefined) return fallback;
+    if (typeof value === "boolean") return value;
+    this.#refuse(name, "must be true or false");
     return fallback;
   }
 
+  /** An inner map that must be there. Of a missing one only that is a fault, not each field. */
   section(name: string): FieldReader {
-    const v = this.source[name];
-    if (isMap(v)) return new FieldReader(v, this.#at(name), this.faults);
-    this.faults.push(`${this.#at(name)}: section is missing`);
-    return new FieldReader({}, this.#at(name), []);
+    const value = this.source[name];
+    if (isMap(value)) return new FieldReader(value, this.#path(name), this.faults);
+    this.faults.push(`${this.#path(name)}: section is missing`);
+    return new FieldReader({}, this.#path(name), []);
   }
 
+  /** A list of inner maps; none if it is missing. */
   rows(name: string): readonly FieldReader[] {
-    const v = this.source[name];
-    if (v === undefined) return [];
-    if (!Array.isArray(v)) {
-      this.faults.push(`${this.#at(name)}: must be a list`);
+    const value = this.source[name];
+    if (value === undefined) return [];
+    if (!Array.isArray(value)) {
+      this.#refuse(name, "must be a list");
       return [];
     }
-    return v.map((row, i) => {
-      const at = `${this.#at(name)}[${i}]`;
-      if (isMap(row)) return new FieldReader(row, at, this.faults);
-      this.faults.push(`${at}: must be a table`);
-      return new FieldReader({}, at, []);
+    return value.map((row, index) => {
+      const where = `${this.#path(name)}[${index}]`;
+      if (isMap(row)) return new FieldReader(row, where, this.faults);
+      this.faults.push(`${where}: must be a table, not ${describeValue(row)}`);
+      return new FieldReader({}, where, []);
     });
   }
 
+  /** A list of texts; empty if it is missing. */
   texts(name: string): readonly string[] {
-    const v = this.source[name];
-    if (v === undefined) return [];
-    if (Array.isArray(v) && v.every((s) => typeof s === "string")) return v as string[];
-    this.faults.push(`${this.#at(name)}: must be a list of texts`);
+    const value = this.source[name];
+    if (value === undefined) return [];
+    if (Array.isArray(value) && value.every((item) => typeof item === "string"))
+      return value as string[];
+    this.#refuse(name, "must be a list of texts");
     return [];
   }
 
-  /** A misspelt setting must not pass for a set one. */
+  /** Refuses all other fields: a misspelt setting must not pass for a set one. */
   only(names: readonly string[]): void {
     for (const name of Object.keys(this.source))
-      if (!names.includes(name)) this.faults.push(`${this.#at(name)}: is not a known setting`);
+      if (!names.includes(name))
+        this.faults.push(`${this.#path(name)}: is not a known setting (${names.join(", ")})`);
+  }
+
+  #path(name: string): string {
+    return this.where === "" ? name : `${this.where}.${name}`;
+  }
+
+  #refuse(name: string, allowed: string): void {
+    this.faults.push(`${this.#path(name)}: ${allowed}, not ${describeValue(this.source[name])}`);
   }
 }
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -1,42 +1,76 @@
+/**
+ * The operators' own settings: an HCL file beside the platform's, in which each setting has a
+ * default.
+ *
+ * `OPERATOR_SETTINGS` is the one table of names, bounds and defaults; docs/operations.md tells each
+ * one's effect. Names end in their unit.
+ */
+import { type Checked, checked } from "./checked.js";
 import { FieldReader } from "./field-reader.js";
-import { parseHcl } from "./hcl.js";
-import type { Checked } from "./settings.js";
+import { blockFields, type NumberSetting, parseHcl, readNumber, singleBlock } from "./hcl.js";
 
-/** What operators may set beyond the platform's file. docs/operations.md tells each one's effect. */
+/** What operators may set beyond the platform's file. */
 export interface Operators {
+  /** A controller that is silent for this long loses its shards. */
   readonly memberLeaseMs: number;
+  /** Pause between two watches of the state store. */
   readonly watchPauseMs: number;
+  /** Longest pause between rounds when nothing happens, and the longest rest after one. */
   readonly roundMs: number;
+  /** A controller must have been a member for this long before it is given a shard back. */
   readonly handBackS: number;
+  /** A machine silent for this long, which also fails two calls, is returned. */
   readonly silenceS: number;
+  /** How often the swarm moves tasks. */
   readonly swarmPeriodS: number;
+  /** Most moves a shard and period; 0 turns moves off. */
   readonly swarmMoves: number;
+  /** The same as a part of the shard's machines, where that is more. */
   readonly swarmPart: number;
+  /** Only tasks that would lose at most this much work move. */
   readonly swarmMaxLossS: number;
+  /** How often the fleet is planned and the cloud called. */
   readonly fleetPeriodMs: number;
+  /** An unneeded machine idle for this long is returned. */
   readonly idleReturnS: number;
+  /** Room beyond what urgent classes use, as a part of it, on spot machines only. */
   readonly headroom: number;
+  /** Room beyond what perfectly divisible work would take; 1 is the bare bound. */
   readonly margin: number;
+  /** The part of the time left in which patient classes should be through, if room is cheap. */
   readonly patience: number;
+  /** The same where only costly machines are to be had. */
   readonly lastPatience: number;
+  /** How fast the forecast follows demand upwards. */
   readonly riseS: number;
+  /** How fast it follows demand downwards. */
   readonly fallS: number;
+  /** Work of higher priority preempts if it must start within this time. */
   readonly preemptSlackS: number;
+  /** Most work that making room for one task may throw away. */
   readonly preemptMaxLossS: number;
+  /** Work with less slack than this is spared in favour of work with more. */
   readonly spareSlackS: number;
+  /** A job that has waited this long without one start goes before all others. */
   readonly overdueS: number;
+  /** What a rented machine's boot is taken to be spread over when offers are compared. */
   readonly lifeS: number;
+  /** An offer refused for lack of capacity is not asked for again for this long. */
   readonly refusedPauseS: number;
+  /** A machine not up after this many times its type's boot time is returned. */
   readonly bootPatience: number;
+  /** How often `stats` is logged. */
   readonly statsPeriodS: number;
 }
 
-export interface OperatorSetting {
+/** One setting, and the block that it stands in. */
+export interface OperatorSetting extends NumberSetting<keyof Operators> {
   readonly section: string;
-  readonly name: string;
-  readonly key: keyof Operators;
-  readonly least: number;
-  readonly most: number;
+}
+
+interface Bounds {
+  readonly min: number;
+  readonly max: number;
   readonly fallback: number;
 }
 
@@ -44,66 +78,61 @@
   section: string,
   name: string,
   key: keyof Operators,
-  least: number,
-  most: number,
-  fallback: number,
-): OperatorSetting => ({ section, name, key, least, most, fallback });
+  bounds: Bounds,
+): OperatorSetting => ({ section, name, key, ...bounds });
 
+/** All settings, in the order in which faults are reported within a block. */
 export const OPERATOR_SETTINGS: readonly OperatorSetting[] = [
-  setting("membership", "lease_ms", "memberLeaseMs", 500, 600_000, 4000),
-  setting("membership", "hand_back_s", "handBackS", 0, 86_400, 6),
-  setting("state", "watch_pause_ms", "watchPauseMs", 0, 10_000, 100),
-  setting("rounds", "period_ms", "roundMs", 10, 10_000, 250),
-  setting("machines", "silence_s", "silenceS", 1, 86_400, 6.5),
-  setting("swarm", "period_s", "swarmPeriodS", 0.1, 86_400, 5),
-  setting("swarm", "moves_per_round", "swarmMoves", 0, 10_000, 2),
-  setting("swarm", "part_per_round", "swarmPart", 0, 1, 0.05),
-  setting("swarm", "max_loss_s", "swarmMaxLossS", 0, 86_400, 4),
-  setting("fleet", "period_ms", "fleetPeriodMs", 50, 60_000, 1000),
-  setting("fleet", "idle_return_s", "idleReturnS", 0, 86_400, 25),
-  setting("fleet", "headroom", "headroom", 0, 10, 0.3),
-  setting("fleet", "margin", "margin", 0.1, 100, 1.15),
-  setting("fleet", "patience", "patience", 0, 1, 0.2),
-  setting("fleet", "last_patience", "lastPatience", 0, 1, 0.35),
-  setting("fleet", "rise_s", "riseS", 0, 86_400, 15),
-  setting("fleet", "fall_s", "fallS", 0, 86_400, 60),
-  setting("order", "overdue_s", "overdueS", 1, 86_400, 120),
-  setting("preemption", "slack_s", "preemptSlackS", 0, 86_400, 8),
-  setting("preemption", "spare_slack_s", "spareSlackS", 0, 86_400, 120),
-  setting("preemption", "max_loss_s", "preemptMaxLossS", 0, 86_400, 600),
-  setting("fleet", "life_s", "lifeS", 1, 86_400, 300),
-  setting("fleet", "refused_pause_s", "refusedPauseS", 0, 86_400, 20),
-  setting("fleet", "boot_patience", "bootPatience", 1, 100, 3),
-  setting("logs", "stats_period_s", "statsPeriodS", 1, 86_400, 30),
+  setting("membership", "lease_ms", "memberLeaseMs", { min: 500, max: 600_000, fallback: 4000 }),
+  setting("membership", "hand_back_s", "handBackS", { min: 0, max: 86_400, fallback: 6 }),
+  setting("state", "watch_pause_ms", "watchPauseMs", { min: 0, max: 10_000, fallback: 100 }),
+  setting("rounds", "period_ms", "roundMs", { min: 10, max: 10_000, fallback: 250 }),
+  setting("machines", "silence_s", "silenceS", { min: 1, max: 86_400, fallback: 6.5 }),
+  setting("swarm", "period_s", "swarmPeriodS", { min: 0.1, max: 86_400, fallback: 5 }),
+  setting("swarm", "moves_per_round", "swarmMoves", { min: 0, max: 10_000, fallback: 2 }),
+  setting("swarm", "part_per_round", "swarmPart", { min: 0, max: 1, fallback: 0.05 }),
+  setting("swarm", "max_loss_s", "swarmMaxLossS", { min: 0, max: 86_400, fallback: 4 }),
+  setting("fleet", "period_ms", "fleetPeriodMs", { min: 50, max: 60_000, fallback: 1000 }),
+  setting("fleet", "idle_return_s", "idleReturnS", { min: 0, max: 86_400, fallback: 25 }),
+  setting("fleet", "headroom", "headroom", { min: 0, max: 10, fallback: 0.3 }),
+  setting("fleet", "margin", "margin", { min: 0.1, max: 100, fallback: 1.15 }),
+  setting("fleet", "patience", "patience", { min: 0, max: 1, fallback: 0.2 }),
+  setting("fleet", "last_patience", "lastPatience", { min: 0, max: 1, fallback: 0.35 }),
+  setting("fleet", "rise_s", "riseS", { min: 0, max: 86_400, fallback: 15 }),
+  setting("fleet", "fall_s", "fallS", { min: 0, max: 86_400, fallback: 60 }),
+  setting("order", "overdue_s", "overdueS", { min: 1, max: 86_400, fallback: 120 }),
+  setting("preemption", "slack_s", "preemptSlackS", { min: 0, max: 86_400, fallback: 8 }),
+  setting("preemption", "spare_slack_s", "spareSlackS", { min: 0, max: 86_400, fallback: 120 }),
+  setting("preemption", "max_loss_s", "preemptMaxLossS", { min: 0, max: 86_400, fallback: 600 }),
+  setting("fleet", "life_s", "lifeS", { min: 1, max: 86_400, fallback: 300 }),
+  setting("fleet", "refused_pause_s", "refusedPauseS", { min: 0, max: 86_400, fallback: 20 }),
+  setting("fleet", "boot_patience", "bootPatience", { min: 1, max: 100, fallback: 3 }),
+  setting("logs", "stats_period_s", "statsPeriodS", { min: 1, max: 86_400, fallback: 30 }),
 ];
 
+/** What holds without a file. */
 export const defaultOperators = (): Operators =>
-  Object.fromEntries(OPERATOR_SETTINGS.map((k) => [k.key, k.fallback])) as unknown as Operators;
+  Object.fromEntries(
+    OPERATOR_SETTINGS.map(({ key, fallback }) => [key, fallback]),
+  ) as unknown as Operators;
 
-/** `raw` is the HCL file as a map: blocks arrive as lists of one map. */
+/** Checks the file as a map, in which blocks arrive as lists of one map. */
 export const checkOperators = (raw: Readonly<Record<string, unknown>>): Checked<Operators> => {
   const faults: string[] = [];
-  const sections = [...new Set(OPERATOR_SETTINGS.map((k) => k.section))];
+  const sections = [...new Set(OPERATOR_SETTINGS.map(({ section }) => section))];
   new FieldReader(raw, "", faults).only(sections);
-  const out: Record<string, number> = {};
+  const values: Record<string, number> = {};
   for (const section of sections) {
-    const block = raw[section];
-    const body = Array.isArray(block) ? block[0] : block;
-    if (Array.isArray(block) && block.length > 1) faults.push(`${section}: block appears twice`);
-    const reader = new FieldReader(
-      typeof body === "object" && body !== null ? { ...body } : {},
-      section,
-      faults,
-    );
-    const knobs = OPERATOR_SETTINGS.filter((k) => k.section === section);
-    reader.only(knobs.map((k) => k.name));
-    for (const k of knobs) out[k.key] = reader.number(k.name, k.least, k.most, k.fallback);
+    const body = singleBlock(raw, section, faults);
+    const reader = new FieldReader(blockFields(body), section, faults);
+    const settings = OPERATOR_SETTINGS.filter((candidate) => candidate.section === section);
+    reader.only(settings.map(({ name }) => name));
+    for (const each of settings) values[each.key] = readNumber(reader, each);
   }
-  return faults.length > 0
-    ? { ok: false, faults }
-    : { ok: true, value: out as unknown as Operators };
+  return checked(values as unknown as Operators, faults);
 };
 
+/** Reads the file's text. */
 export const parseOperators = async (source: string): Promise<Checked<Operators>> => {
   const parsed = await parseHcl(source);
   return parsed.ok ? checkOperators(parsed.value) : parsed;
--- a/src/config/packages.ts
+++ b/src/config/packages.ts
@@ -1,22 +1,26 @@
+/**
+ * The packages' file: which packages are on, and their settings. It is HCL, or the JSON that the
+ * build makes of it, which is cheaper to read.
+ *
+ * Reading it loads nothing of a package. A package without a block is off, with its defaults.
+ */
 import type { LoadSpreadSettings } from "@umberfold/load-spread";
-import { FieldReader } from "./field-reader.js";
-import { parseHcl } from "./hcl.js";
-import type { Checked } from "./settings.js";
+import { type Checked, checked } from "./checked.js";
+import { describeValue, FieldReader } from "./field-reader.js";
+import {
+  blockFields,
+  type HclMap,
+  type NumberSetting,
+  parseHcl,
+  readNumber,
+  singleBlock,
+} from "./hcl.js";
 
 /** Which packages are switched on, and their settings. A package without a block is off. */
 export interface PackageSettings {
   readonly loadSpread: LoadSpreadSettings;
 }
 
-interface NumberSetting<Key> {
-  readonly name: string;
-  readonly key: Key;
-  readonly least: number;
-  readonly most: number;
-  readonly fallback: number;
-  readonly whole?: boolean;
-}
-
 type LoadSpreadNumber = Exclude<
   keyof LoadSpreadSettings,
   "enabled" | "fairShares" | "balanceMachines"
@@ -24,32 +28,25 @@
 
 const LOAD_SPREAD = "load_spread";
 const LOAD_SPREAD_NUMBERS: readonly NumberSetting<LoadSpreadNumber>[] = [
-  { name: "max_span", key: "maxSpan", least: 1, most: 1000, fallback: 3, whole: true },
-  { name: "min_tasks", key: "minTasks", least: 1, most: 1e9, fallback: 40, whole: true },
-  { name: "grow_after_s", key: "growAfterS", least: 0, most: 86_400, fallback: 3 },
-  { name: "shrink_after_s", key: "shrinkAfterS", least: 0, most: 86_400, fallback: 30 },
-  { name: "imbalance", key: "imbalance", least: 1, most: 1000, fallback: 1.5 },
-  { name: "min_share", key: "minShare", least: 0, most: 1, fallback: 0.05 },
-  { name: "share_step", key: "shareStep", least: 0.001, most: 1, fallback: 0.05 },
-  { name: "load_cost", key: "loadCost", least: 0, most: 1e6, fallback: 1 },
-  { name: "transfer_cost", key: "transferCost", least: 0, most: 1e6, fallback: 0.1 },
-  { name: "solver_cells", key: "solverCells", least: 0, most: 1e6, fallback: 60, whole: true },
-  { name: "solver_ms", key: "solverMs", least: 0, most: 10_000, fallback: 20 },
-  { name: "period_ms", key: "periodMs", least: 50, most: 60_000, fallback: 1000 },
+  { name: "max_span", key: "maxSpan", min: 1, max: 1000, fallback: 3, whole: true },
+  { name: "min_tasks", key: "minTasks", min: 1, max: 1e9, fallback: 40, whole: true },
+  { name: "grow_after_s", key: "growAfterS", min: 0, max: 86_400, fallback: 3 },
+  { name: "shrink_after_s", key: "shrinkAfterS", min: 0, max: 86_400, fallback: 30 },
+  { name: "imbalance", key: "imbalance", min: 1, max: 1000, fallback: 1.5 },
+  { name: "min_share", key: "minShare", min: 0, max: 1, fallback: 0.05 },
+  { name: "share_step", key: "shareStep", min: 0.001, max: 1, fallback: 0.05 },
+  { name: "load_cost", key: "loadCost", min: 0, max: 1e6, fallback: 1 },
+  { name: "transfer_cost", key: "transferCost", min: 0, max: 1e6, fallback: 0.1 },
+  { name: "solver_cells", key: "solverCells", min: 0, max: 1e6, fallback: 60, whole: true },
+  { name: "solver_ms", key: "solverMs", min: 0, max: 10_000, fallback: 20 },
+  { name: "period_ms", key: "periodMs", min: 50, max: 60_000, fallback: 1000 },
 ];
 
-const loadSpread = (reader: FieldReader): LoadSpreadSettings => {
-  reader.only([
-    "enabled",
-    "fair_shares",
-    "balance_machines",
-    ...LOAD_SPREAD_NUMBERS.map((s) => s.name),
-  ]);
+const readLoadSpread = (reader: FieldReader): LoadSpreadSettings => {
+  const numberNames = LOAD_SPREAD_NUMBERS.map(({ name }) => name);
+  reader.only(["enabled", "fair_shares", "balance_machines", ...numberNames]);
   const numbers = Object.fromEntries(
-    LOAD_SPREAD_NUMBERS.map((s) => {
-      const read = s.whole === true ? reader.whole : reader.number;
-      return [s.key, read.call(reader, s.name, s.least, s.most, s.fallback)];
-    }),
+    LOAD_SPREAD_NUMBERS.map((setting) => [setting.key, readNumber(reader, setting)]),
   ) as Record<LoadSpreadNumber, number>;
   const settings: LoadSpreadSettings = {
     ...numbers,
@@ -57,33 +54,33 @@
     fairShares: reader.flag("fair_shares", true),
     balanceMachines: reader.flag("balance_machines", true),
   };
-  if (settings.minShare * settings.maxSpan > 1)
-    reader.faults.push(`${LOAD_SPREAD}: max_span times min_share is more than the whole`);
+  const { minShare, maxSpan } = settings;
+  if (minShare * maxSpan > 1)
+    reader.faults.push(
+      `${LOAD_SPREAD}: max_span times min_share is more than the whole: ${maxSpan} times ${minShare}`,
+    );
   return settings;
 };
 
-/** `raw` is the file as a map: HCL blocks arrive as lists of one map, JSON objects as they are. */
-export const checkPackages = (raw: Readonly<Record<string, unknown>>): Checked<PackageSettings> => {
+/** Checks the file as a map: HCL blocks arrive as lists of one map, JSON objects as they are. */
+export const checkPackages = (raw: HclMap): Checked<PackageSettings> => {
   const faults: string[] = [];
   new FieldReader(raw, "", faults).only([LOAD_SPREAD]);
-  const block = raw[LOAD_SPREAD];
-  if (Array.isArray(block) && block.length > 1) faults.push(`${LOAD_SPREAD}: block appears twice`);
-  const body = Array.isArray(block) ? block[0] : block;
+  const body = singleBlock(raw, LOAD_SPREAD, faults);
   if (body !== undefined && (typeof body !== "object" || body === null))
-    faults.push(`${LOAD_SPREAD}: must be a block`);
-  const fields = typeof body === "object" && body !== null ? { ...body } : {};
-  const value = { loadSpread: loadSpread(new FieldReader(fields, LOAD_SPREAD, faults)) };
-  return faults.length > 0 ? { ok: false, faults } : { ok: true, value };
+    faults.push(`${LOAD_SPREAD}: must be a block, not ${describeValue(body)}`);
+  const reader = new FieldReader(blockFields(body), LOAD_SPREAD, faults);
+  return checked({ loadSpread: readLoadSpread(reader) }, faults);
 };
 
-/** All packages off. */
+/** All packages off, as without a file. Throws only if a default is out of its own bounds. */
 export const defaultPackages = (): PackageSettings => {
-  const checked = checkPackages({});
-  if (!checked.ok) throw new Error(checked.faults.join("; "));
-  return checked.value;
+  const defaults = checkPackages({});
+  if (!defaults.ok) throw new Error(defaults.faults.join("; "));
+  return defaults.value;
 };
 
-/** What can only be judged beside the platform's settings. */
+/** The faults that only show beside the platform's settings. */
 export const checkAgainstShards = (
   { loadSpread: { enabled, maxSpan } }: PackageSettings,
   shards: number,
@@ -92,7 +89,7 @@
     ? [`${LOAD_SPREAD}.max_span: ${maxSpan}, but there are ${shards} shards`]
     : [];
 
-/** The operators' file in HCL, or what the build made of it in JSON, which is cheaper to read. */
+/** Reads the file's text; its name tells whether it is JSON. */
 export const parsePackages = async (
   file: string,
   source: string,
@@ -105,7 +102,7 @@
     const raw: unknown = JSON.parse(source);
     if (typeof raw === "object" && raw !== null) return checkPackages({ ...raw });
   } catch {
-    // Told below, as for any other text that is no JSON object.
+    // Reported below, as for any other text that is no JSON object.
   }
   return { ok: false, faults: ["not a JSON object"] };
 };
--- a/src/observability/log.ts
+++ b/src/observability/log.ts
@@ -1,8 +1,19 @@
+/**
+ * Logs: one JSON object a line, on standard error. The events and their fields are in
+ * docs/operations.md.
+ *
+ * Nothing here has state. Whatever fields an event has, `level`, `event` and the base fields are
+ * there as well.
+ */
+
+/** How much a line matters: `debug` is for a single job or machine, and may be a flood. */
 export type Level = "error" | "info" | "debug";
 const ORDER: Readonly<Record<Level, number>> = { error: 0, info: 1, debug: 2 };
 
+/** The fields of an event, by name; durations and sizes have their unit in the name. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
+/** Writes events of each level, if that level is on. */
 export interface Logger {
   readonly error: (event: string, fields?: LogFields) => void;
   readonly info: (event: string, fields?: LogFields) => void;
@@ -11,27 +22,28 @@
   readonly enabled: (level: Level) => boolean;
 }
 
-export const parseLevel = (s: string | undefined): Level =>
-  s === "error" || s === "debug" ? s : "info";
+/** The level that `LOG_LEVEL` names; `info` for anything else. */
+export const parseLevel = (name: string | undefined): Level =>
+  name === "error" || name === "debug" ? name : "info";
 
-/** One JSON object a line, on standard error. */
+/** A logger that writes this level and what matters more; `base` goes into each line. */
 export const makeLogger = (
-  level: Level,
+  threshold: Level,
   base: LogFields,
   write: (line: string) => void = (line) => {
     process.stderr.write(line);
   },
 ): Logger => {
-  const at =
-    (l: Level) =>
+  const enabled = (level: Level): boolean => ORDER[level] <= ORDER[threshold];
+  const writerOf =
+    (level: Level) =>
     (event: string, fields: LogFields = {}): void => {
-      if (ORDER[l] > ORDER[level]) return;
-      write(`${JSON.stringify({ level: l, event, ...base, ...fields })}\n`);
+      if (enabled(level)) write(`${JSON.stringify({ level, event, ...base, ...fields })}\n`);
     };
   return {
-    error: at("error"),
-    info: at("info"),
-    debug: at("debug"),
-    enabled: (l) => ORDER[l] <= ORDER[level],
+    error: writerOf("error"),
+    info: writerOf("info"),
+    debug: writerOf("debug"),
+    enabled,
   };
 };
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -1,34 +1,51 @@
-/** Most samples kept between two logs; more than that say nothing new about the spread. */
-const MOST = 4096;
+/**
+ * Samples of how long things took, gathered between two `stats` events.
+ *
+ * It owns the samples since the last `drain`. Recording is an array push; percentiles wait for the
+ * log. The histogram library is loaded on first use: it costs a third of a second of a controller's
+ * start.
+ */
 
-/** Times measured since the last log. Recording is an array push; sorting out waits for the log. */
+/** Most samples kept of one name between two logs; more say nothing new about the spread. */
+const MAX_SAMPLES = 4096;
+const SIGNIFICANT_DIGITS = 2;
+
+/** How the samples of one name are spread, in their own unit. */
+export interface SampleSummary {
+  readonly n: number;
+  readonly p50: number;
+  readonly p95: number;
+  readonly max: number;
+}
+
+/** Samples by name. */
 export class Metrics {
   readonly #samples = new Map<string, number[]>();
 
+  /** Adds a sample, of which at most `MAX_SAMPLES` are kept. */
   record(name: string, value: number): void {
-    const s = this.#samples.get(name);
-    if (s === undefined) this.#samples.set(name, [value]);
-    else if (s.length < MOST) s.push(value);
+    const samples = this.#samples.get(name);
+    if (samples === undefined) this.#samples.set(name, [value]);
+    else if (samples.length < MAX_SAMPLES) samples.push(value);
   }
 
-  /** Percentiles of what was recorded since the last call. */
-  async drain(): Promise<Readonly<Record<string, unknown>>> {
+  /** Summaries of what was recorded since the last call, rounded to two digits. */
+  async drain(): Promise<Readonly<Record<string, SampleSummary>>> {
     if (this.#samples.size === 0) return {};
-    // Loaded on first use: it costs a third of a second of a controller's start.
     const hdr = await import("hdr-histogram-js");
-    const out: Record<string, unknown> = {};
+    const summaries: Record<string, SampleSummary> = {};
     for (const [name, samples] of this.#samples) {
-      const h = hdr.build({ numberOfSignificantValueDigits: 2 });
-      for (const v of samples) h.recordValue(Math.max(0, Math.round(v)));
-      out[name] = {
-        n: h.totalCount,
-        p50: h.getValueAtPercentile(50),
-        p95: h.getValueAtPercentile(95),
-        max: h.maxValue,
+      const histogram = hdr.build({ numberOfSignificantValueDigits: SIGNIFICANT_DIGITS });
+      for (const sample of samples) histogram.recordValue(Math.max(0, Math.round(sample)));
+      summaries[name] = {
+        n: histogram.totalCount,
+        p50: histogram.getValueAtPercentile(50),
+        p95: histogram.getValueAtPercentile(95),
+        max: histogram.maxValue,
       };
-      h.destroy();
+      histogram.destroy();
     }
     this.#samples.clear();
-    return out;
+    return summaries;
   }
 }
--- a/src/start.cts
+++ b/src/start.cts
@@ -15,6 +15,8 @@
 /** Set by the build: run for a while, write what was compiled by then, and end. */
 const WRITE_CACHE_AFTER_MS = Number(process.env.UMBERFOLD_WRITE_CACHE_AFTER_MS ?? 0);
 
+const cacheIsWritten = WRITE_CACHE_AFTER_MS > 0;
+
 const readCache = (): Buffer | undefined => {
   try {
     return fs.readFileSync(CACHE);
@@ -23,6 +25,7 @@
   }
 };
 
+/** What Node wraps around the source of a CommonJS module. */
 type ModuleWrapper = (
   exports: object,
   require: NodeJS.Require,
@@ -31,17 +34,21 @@
   dirname: string,
 ) => void;
 
-const source = fs.readFileSync(BUNDLE, "utf8").replace(/^#!.*/, "");
-const cachedData = WRITE_CACHE_AFTER_MS > 0 ? undefined : readCache();
-const script = new vm.Script(
-  `(function (exports, require, module, __filename, __dirname) {${source}\n})`,
-  { filename: BUNDLE, ...(cachedData === undefined ? {} : { cachedData }) },
-);
+const compileBundle = (): vm.Script => {
+  const source = fs.readFileSync(BUNDLE, "utf8").replace(/^#!.*/, "");
+  const cachedData = cacheIsWritten ? undefined : readCache();
+  return new vm.Script(
+    `(function (exports, require, module, __filename, __dirname) {${source}\n})`,
+    { filename: BUNDLE, ...(cachedData === undefined ? {} : { cachedData }) },
+  );
+};
+
+const script = compileBundle();
 const bundle = { exports: {} };
 const run = script.runInThisContext() as ModuleWrapper;
 run(bundle.exports, createRequire(BUNDLE), bundle, BUNDLE, __dirname);
 
-if (WRITE_CACHE_AFTER_MS > 0)
+if (cacheIsWritten)
   setTimeout(() => {
     fs.writeFileSync(CACHE, script.createCachedData());
     process.exit(0);
