--- a/scripts/rename-symbols.mjs
+++ b/scripts/rename-symbols.mjs
@@ -30,6 +30,26 @@
     .flatMap((name) => ts.sys.readDirectory(`packages/${name}/src`, [".ts"]))
     .map((file) => path.resolve(file));
 
+/** What the language service asks of the file system; texts and versions are the edited ones. */
+const languageServiceHost = (options, files, textOf, versionOf) => ({
+  getCompilationSettings: () => options,
+  getScriptFileNames: () => files,
+  getScriptVersion: (file) => String(versionOf(file)),
+  getScriptSnapshot: (file) => {
+    const text = textOf(file);
+    return text === undefined ? undefined : ts.ScriptSnapshot.fromString(text);
+  },
+  getCurrentDirectory: () => process.cwd(),
+  getDefaultLibFileName: (compilerOptions) => ts.getDefaultLibFilePath(compilerOptions),
+  fileExists: ts.sys.fileExists,
+  readFile: ts.sys.readFile,
+  readDirectory: ts.sys.readDirectory,
+  directoryExists: ts.sys.directoryExists,
+  getDirectories: ts.sys.getDirectories,
+  realpath: ts.sys.realpath,
+});
+
+/** Owns the texts of all files as they are after the renames so far, on disk and in memory. */
 class RenameService {
   #texts = new Map();
   #versions = new Map();
@@ -37,26 +57,16 @@
   constructor() {
     const { options, files } = readProject();
     this.files = [...new Set([...files, ...packageSources()])];
-    const host = {
-      getCompilationSettings: () => options,
-      getScriptFileNames: () => this.files,
-      getScriptVersion: (file) => String(this.#versions.get(file) ?? 0),
-      getScriptSnapshot: (file) => {
-        const text = this.text(file);
-        return text === undefined ? undefined : ts.ScriptSnapshot.fromString(text);
-      },
-      getCurrentDirectory: () => process.cwd(),
-      getDefaultLibFileName: (some) => ts.getDefaultLibFilePath(some),
-      fileExists: ts.sys.fileExists,
-      readFile: ts.sys.readFile,
-      readDirectory: ts.sys.readDirectory,
-      directoryExists: ts.sys.directoryExists,
-      getDirectories: ts.sys.getDirectories,
-      realpath: ts.sys.realpath,
-    };
+    const host = languageServiceHost(
+      options,
+      this.files,
+      (file) => this.text(file),
+      (file) => this.#versions.get(file) ?? 0,
+    );
     this.service = ts.createLanguageService(host);
   }
 
+  /** The file's present text; undefined if there is no such file. */
   text(file) {
     if (!this.#texts.has(file)) this.#texts.set(file, ts.sys.readFile(file));
     return this.#texts.get(file);
@@ -78,14 +88,17 @@
    * `{ newName: oldName }` becomes `{ newName }`, unless the new name has another meaning there.
    */
   renameShorthandLocals(oldName, newName) {
-    for (const file of this.files)
-      for (let local = this.#shorthandLocal(file, oldName, newName); local !== undefined; ) {
-        const before = this.text(file);
-        this.rename(file, local, newName);
-        this.#collapseShorthand(file, newName);
-        local =
-          this.text(file) === before ? undefined : this.#shorthandLocal(file, oldName, newName);
-      }
+    for (const file of this.files) while (this.#renameShorthandLocal(file, oldName, newName));
+  }
+
+  /** Whether one was found and its renaming changed the file. */
+  #renameShorthandLocal(file, oldName, newName) {
+    const local = this.#shorthandLocal(file, oldName, newName);
+    if (local === undefined) return false;
+    const before = this.text(file);
+    this.rename(file, local, newName);
+    this.#collapseShorthand(file, newName);
+    return this.text(file) !== before;
   }
 
   #sourceFile(file) {
@@ -112,42 +125,40 @@
     const spans = [];
     const visit = (node) => {
       const alias = aliasOf(node, name, name);
-      if (alias !== undefined)
-        spans.push({
-          textSpan: {
-            start: (node.propertyName ?? node.name).getStart(sourceFile),
-            length: alias.end - (node.propertyName ?? node.name).getStart(sourceFile),
-          },
-        });
+      if (alias !== undefined) {
+        const start = (node.propertyName ?? node.name).getStart(sourceFile);
+        spans.push({ textSpan: { start, length: alias.end - start } });
+      }
       ts.forEachChild(node, visit);
     };
     visit(sourceFile);
     if (spans.length > 0) this.#edit(file, spans.reverse(), name);
   }
 
-  /** How many places were changed. */
+  /** Renames what stands at a position, wherever it is used. How many places were changed. */
   rename(file, position, newName) {
     const places = this.service.findRenameLocations(file, position, false, false, {
       providePrefixAndSuffixTextForRename: true,
     });
     if (places === undefined) return 0;
-    const byFile = new Map();
-    for (const place of places) {
-      if (place.fileName.includes("node_modules")) continue;
-      const spans = byFile.get(place.fileName) ?? [];
-      if (!spans.some((span) => span.textSpan.start === place.textSpan.start)) spans.push(place);
-      byFile.set(place.fileName, spans);
-    }
-    for (const [name, spans] of byFile)
-      this.#edit(
-        name,
-        spans.sort((a, b) => b.textSpan.start - a.textSpan.start),
-        newName,
-      );
+    for (const [fileName, spans] of placesByFile(places)) this.#edit(fileName, spans, newName);
     return places.length;
   }
 }
 
+/** The places of each file of ours, each once and the last first, so that edits don't shift others. */
+const placesByFile = (places) => {
+  const byFile = new Map();
+  for (const place of places) {
+    if (place.fileName.includes("node_modules")) continue;
+    const spans = byFile.get(place.fileName) ?? [];
+    if (!spans.some((span) => span.textSpan.start === place.textSpan.start)) spans.push(place);
+    byFile.set(place.fileName, spans);
+  }
+  for (const spans of byFile.values()) spans.sort((a, b) => b.textSpan.start - a.textSpan.start);
+  return byFile;
+};
+
 /** The local in `{ property: local }`, of an object literal or of a binding pattern. */
 const aliasOf = (node, local, property) => {
   if (ts.isBindingElement(node) && node.propertyName !== undefined)
@@ -160,11 +171,24 @@
     : undefined;
 };
 
+/** The function around a node, arrow functions apart, or the whole file. */
 const enclosingFunction = (node) => {
-  let at = node.parent;
-  while (!ts.isSourceFile(at) && !(ts.isFunctionLike(at) && !ts.isArrowFunction(at)))
-    at = at.parent;
-  return at;
+  let scope = node.parent;
+  while (!ts.isSourceFile(scope) && !(ts.isFunctionLike(scope) && !ts.isArrowFunction(scope)))
+    scope = scope.parent;
+  return scope;
+};
+
+/** Whether an identifier names a property, which has nothing to do with values of that name. */
+const isPropertyName = (identifier) => {
+  const { parent } = identifier;
+  return (
+    (ts.isPropertyAccessExpression(parent) && parent.name === identifier) ||
+    (ts.isPropertyAssignment(parent) && parent.name === identifier) ||
+    (ts.isBindingElement(parent) && parent.propertyName === identifier) ||
+    ts.isPropertySignature(parent) ||
+    (ts.isMethodDeclaration(parent) && parent.name === identifier)
+  );
 };
 
 /** Whether a name stands for a value anywhere within a function, other than as a property. */
@@ -172,16 +196,7 @@
   let found = false;
   const visit = (node) => {
     if (found) return;
-    if (ts.isIdentifier(node) && node.text === name) {
-      const { parent } = node;
-      const property =
-        (ts.isPropertyAccessExpression(parent) && parent.name === node) ||
-        (ts.isPropertyAssignment(parent) && parent.name === node) ||
-        (ts.isBindingElement(parent) && parent.propertyName === node) ||
-        ts.isPropertySignature(parent) ||
-        (ts.isMethodDeclaration(parent) && parent.name === node);
-      if (!property) found = true;
-    }
+    if (ts.isIdentifier(node) && node.text === name && !isPropertyName(node)) found = true;
     ts.forEachChild(node, visit);
   };
   visit(scope);
@@ -202,49 +217,59 @@
   ts.isParameter(node) ||
   ts.isPropertyAssignment(node);
 
+/** The identifier that a node declares, if it declares one. */
+const declaredName = (node) => {
+  const { name } = node;
+  if (!isDeclaration(node) || name === undefined) return undefined;
+  return ts.isIdentifier(name) || ts.isPrivateIdentifier(name) ? name : undefined;
+};
+
 /** The first declaration of a name in a file, or within the container of that name. */
 const findDeclaration = (sourceFile, container, name) => {
   let found;
   const visit = (node, inside) => {
     if (found !== undefined) return;
-    const own = node.name;
-    const declares =
-      isDeclaration(node) &&
-      own !== undefined &&
-      (ts.isIdentifier(own) || ts.isPrivateIdentifier(own));
-    if (declares && inside && own.text === name) {
-      found = own;
+    const declared = declaredName(node);
+    if (inside && declared?.text === name) {
+      found = declared;
       return;
     }
-    const entered = inside || (declares && own.text === container);
+    const entered = inside || (declared !== undefined && declared.text === container);
     ts.forEachChild(node, (child) => visit(child, entered));
   };
   visit(sourceFile, container === undefined);
   return found;
 };
 
-const renames = readFileSync(process.argv[2], "utf8")
-  .split("\n")
-  .map((line) => line.trim())
-  .filter((line) => line !== "" && !line.startsWith("#"))
-  .map((line) => line.split(/\s+/));
-const service = new RenameService();
-let failed = 0;
-for (const [place, oldName, newName] of renames) {
+/** The lines of the table: where, the old name, the new one. */
+const readTable = (file) =>
+  readFileSync(file, "utf8")
+    .split("\n")
+    .map((line) => line.trim())
+    .filter((line) => line !== "" && !line.startsWith("#"))
+    .map((line) => line.split(/\s+/));
+
+/** Whether the declaration was found and renamed. */
+const applyRename = (service, [place, oldName, newName]) => {
   const [relative, container] = place.split(":");
   const file = path.resolve(relative);
   const text = service.text(file);
-  const sourceFile =
-    text === undefined ? undefined : ts.createSourceFile(file, text, ts.ScriptTarget.Latest, true);
-  const declaration =
-    sourceFile === undefined ? undefined : findDeclaration(sourceFile, container, oldName);
-  const count =
-    declaration === undefined ? 0 : service.rename(file, declaration.getStart(sourceFile), newName);
-  if (count > 0) service.renameShorthandLocals(oldName, newName);
-  else {
-    console.error(`not renamed: ${place} ${oldName}`);
-    failed++;
-  }
+  if (text === undefined) return false;
+  const sourceFile = ts.createSourceFile(file, text, ts.ScriptTarget.Latest, true);
+  const declaration = findDeclaration(sourceFile, container, oldName);
+  if (declaration === undefined) return false;
+  if (service.rename(file, declaration.getStart(sourceFile), newName) === 0) return false;
+  service.renameShorthandLocals(oldName, newName);
+  return true;
+};
+
+const renames = readTable(process.argv[2]);
+const service = new RenameService();
+let failed = 0;
+for (const rename of renames) {
+  if (applyRename(service, rename)) continue;
+  console.error(`not renamed: ${rename[0]} ${rename[1]}`);
+  failed++;
 }
 console.log(`${renames.length - failed} of ${renames.length} names changed`);
 if (failed > 0) process.exitCode = 1;
