--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -4,7 +4,6 @@
   type MachineId,
   type MonotonicMs,
   monotonicMs,
-  type ShardId,
   type TaskId,
   taskId,
 } from "@umberfold/ids";
@@ -12,9 +11,9 @@
 import { rangesAdd, rangesCount } from "../../storage/ranges.js";
 import { type JobProgress, type LiveJob, NO_PROGRESS } from "../../storage/records.js";
 import type { IndexedAttempt } from "../../storage/shard-jobs.js";
-import type { TransactionBatch } from "../../storage/transaction-batch.js";
 import { JOB_FAULT_MACHINES, type ShardState } from "../ownership/shard-state.js";
 import { observeAttempt } from "../ownership/worker-session.js";
+import type { ShardRound } from "./shard-round.js";
 
 /**
  * What part of a transaction the ends of jobs may fill: each takes two changes of its own. (In a flood
@@ -34,34 +33,6 @@
   readonly report: TaskStatus | undefined;
 }
 
-/** What a round has decided of one shard so far. */
-export interface ShardRound {
-  readonly shard: ShardId;
-  readonly batch: TransactionBatch;
-  readonly now: MonotonicMs;
-  /** Jobs as this round will write them. */
-  readonly drafts: Map<JobId, LiveJob>;
-  /** Machines that should hear from us once this is written. */
-  readonly machinesToCall: Set<MachineId>;
-  /** Closings in the batch, by machine, and their attempts' keys. */
-  readonly terminatedByMachine: Map<MachineId, Set<TaskId>>;
-  readonly terminatedKeys: string[];
-}
-
-export const newShardRound = (
-  shard: ShardId,
-  batch: TransactionBatch,
-  now: MonotonicMs,
-): ShardRound => ({
-  shard,
-  batch,
-  now,
-  drafts: new Map(),
-  machinesToCall: new Set(),
-  terminatedByMachine: new Map(),
-  terminatedKeys: [],
-});
-
 /** Is the attempt proved gone, and how did it end? Null: it isn't. */
 const terminationEvidence = (
   owned: ShardState,
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -1,3 +1,11 @@
+/**
+ * The filter step of placement: which machines of a shard may be given tasks in this round, and how
+ * much of each is in use.
+ *
+ * Owns a cache of the use of each machine, keyed by the shard's jobs and the version of the machine's
+ * open attempts. A candidate's use counts every open attempt that this round does not terminate, and
+ * every reservation.
+ */
 import { type MachineId, type ShardId, splitTask, type TaskId } from "@umberfold/ids";
 import type { Resources } from "../../protocol/jobs.js";
 import {
@@ -12,118 +20,160 @@
 import { monotonicNow } from "../../transport/clock.js";
 import type { ShardState } from "../ownership/shard-state.js";
 
-/** How long a place is kept for a task that moves. */
+/** How long room is reserved for a task that moves or preempts. */
 export const RESERVATION_MS = 10_000;
 
-/** Spot prices move by a third; what costs this many times the cheapest is of another kind. */
-const DEAR = 2;
+/**
+ * A machine is costly if its price per processor is this many times that of the cheapest type: spot
+ * prices vary by a third, so more than this is a different kind of machine.
+ */
+const COSTLY_PRICE_RATIO = 2;
 /** Calls in a row that a machine may leave unanswered and still be given tasks. */
-const MOST_UNANSWERED = 1;
+const MAX_UNANSWERED_CALLS = 1;
 
 const NO_TASKS: ReadonlySet<TaskId> = new Set();
 
-/** Where a job's other open attempts stand, as `oneZone` and `apart` judge them. */
-export const zoneCounts = (owned: ShardState, job: LiveJob): Map<string, number> => {
-  const zones = new Map<string, number>();
+/** Open attempts of one job by zone. */
+export type MutableZoneCounts = Map<string, number>;
+
+/**
+ * In which zones a job's open attempts are. Empty for jobs without zone affinity and without spread
+ * across zones, for which it is not needed.
+ */
+export const zoneCounts = (state: ShardState, job: LiveJob): MutableZoneCounts => {
+  const zones: MutableZoneCounts = new Map();
   if (!job.spec.zoneAffinity && !job.spec.spreadAcrossZones) return zones;
-  for (const o of job.open) {
-    const zone = owned.ctx.replica.machines.get(o.machine)?.zone ?? "";
+  for (const attempt of job.open) {
+    const zone = state.ctx.replica.machines.get(attempt.machine)?.zone ?? "";
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
   return zones;
 };
 
 /** Whether a machine of the shard may be given tasks. */
-const takesTasks = (owned: ShardState, id: MachineId, machine: MachineRecord): boolean => {
-  const session = owned.sessions.get(id);
-  if (machine.phase !== "up" || owned.ctx.replica.isGone(id)) return false;
+const mayTakeTasks = (state: ShardState, id: MachineId, record: MachineRecord): boolean => {
+  const session = state.sessions.get(id);
+  if (record.phase !== "up" || state.ctx.replica.isGone(id)) return false;
   if (session?.state !== "ready" || session.status?.preemptionNoticeS != null) return false;
-  const note = owned.machineState(id);
-  if (note.decommission !== null || note.pendingTransfer !== null) return false;
-  return note.unreachableCalls <= MOST_UNANSWERED && !owned.heartbeatOverdue(id, monotonicNow());
+  const machineState = state.machineState(id);
+  if (machineState.decommission !== null || machineState.pendingTransfer !== null) return false;
+  return (
+    machineState.unreachableCalls <= MAX_UNANSWERED_CALLS &&
+    !state.heartbeatOverdue(id, monotonicNow())
+  );
 };
 
-interface Occupancy {
+/** What the open attempts on a machine take. */
+interface MachineOccupancy {
   readonly use: Resources;
-  readonly least: Resources;
+  /** The smallest demand of each resource among them; unbounded if there are none. */
+  readonly smallestDemand: Resources;
 }
 
-/** What stood on machines when they were last looked at: it is added up again only after a change. */
-const known = new WeakMap<ShardJobs, Map<MachineId, Occupancy & { readonly changes: number }>>();
+interface CachedOccupancy extends MachineOccupancy {
+  /** The version of the machine's open attempts that it was summed up for. */
+  readonly openVersion: number;
+}
 
-/** What stands on a machine once the closings of this round are written. */
-const occupancyOn = (
-  work: ShardJobs,
+/** Occupancy at the last look, per shard and machine: summed up again only after a change. */
+const occupancyCaches = new WeakMap<ShardJobs, Map<MachineId, CachedOccupancy>>();
+
+/** Occupancy of a machine once the terminations of this round are written. */
+const occupancyOf = (
+  shardJobs: ShardJobs,
   id: MachineId,
-  closed: ReadonlySet<TaskId> | undefined,
-): Occupancy => {
-  if (closed !== undefined && closed.size > 0) return addUp(work, id, closed);
-  const machines =
-    known.get(work) ?? new Map<MachineId, Occupancy & { readonly changes: number }>();
-  known.set(work, machines);
-  const changes = work.openVersionOn(id);
-  const before = machines.get(id);
-  if (before?.changes === changes) return before;
-  const now = { ...addUp(work, id, NO_TASKS), changes };
-  machines.set(id, now);
-  return now;
+  terminated: ReadonlySet<TaskId> | undefined,
+): MachineOccupancy => {
+  if (terminated !== undefined && terminated.size > 0)
+    return sumOccupancy(shardJobs, id, terminated);
+  const cache = occupancyCaches.get(shardJobs) ?? new Map<MachineId, CachedOccupancy>();
+  occupancyCaches.set(shardJobs, cache);
+  const openVersion = shardJobs.openVersionOn(id);
+  const cached = cache.get(id);
+  if (cached?.openVersion === openVersion) return cached;
+  const occupancy = { ...sumOccupancy(shardJobs, id, NO_TASKS), openVersion };
+  cache.set(id, occupancy);
+  return occupancy;
 };
 
-const addUp = (work: ShardJobs, id: MachineId, closed: ReadonlySet<TaskId>): Occupancy => {
+const sumOccupancy = (
+  shardJobs: ShardJobs,
+  id: MachineId,
+  terminated: ReadonlySet<TaskId>,
+): MachineOccupancy => {
   let use = NO_RESOURCES;
-  let least = UNBOUNDED_RESOURCES;
-  for (const [task, o] of work.openAttemptsOn(id)) {
-    const needs = work.jobs.get(o.job)?.spec.resources;
-    if (needs === undefined || closed.has(task)) continue;
-    use = add(use, needs);
-    least = minimumOf(least, needs);
+  let smallestDemand = UNBOUNDED_RESOURCES;
+  for (const [task, attempt] of shardJobs.openAttemptsOn(id)) {
+    const resources = shardJobs.jobs.get(attempt.job)?.spec.resources;
+    if (resources === undefined || terminated.has(task)) continue;
+    use = add(use, resources);
+    smallestDemand = minimumOf(smallestDemand, resources);
   }
-  return { use, least };
+  return { use, smallestDemand };
 };
 
-/** Machines of the shard that take tasks, with what stands on them once this round is written. */
+const pricePerCpu = (price: number, cpus: number): number => price / Math.max(1, cpus);
+
+/** Counts the room that is reserved for tasks that move or preempt as use of its machine. */
+const addReservations = (
+  state: ShardState,
+  shardJobs: ShardJobs,
+  candidates: ReadonlyMap<MachineId, CandidateMachine>,
+): void => {
+  for (const [task, reservation] of state.reservations) {
+    const candidate = candidates.get(reservation.to);
+    const resources = shardJobs.jobs.get(splitTask(task).job)?.spec.resources;
+    if (candidate !== undefined && resources !== undefined) addUse(candidate, resources);
+  }
+};
+
+/**
+ * Machines of the shard that may be given tasks, with their use once this round is written.
+ *
+ * @param terminatedByMachine tasks whose attempts this round terminates
+ * @param changedMachines machines whose records this round changes: nothing starts there
+ */
 export const candidateMachines = (
-  owned: ShardState,
+  state: ShardState,
   shard: ShardId,
-  closed: ReadonlyMap<MachineId, ReadonlySet<TaskId>>,
-  edited: ReadonlySet<MachineId>,
+  terminatedByMachine: ReadonlyMap<MachineId, ReadonlySet<TaskId>>,
+  changedMachines: ReadonlySet<MachineId>,
 ): Map<MachineId, CandidateMachine> => {
-  const { replica } = owned.ctx;
-  const work = replica.shardJobs(shard);
-  const out = new Map<MachineId, CandidateMachine>();
-  const perCpu = (price: number, cpus: number): number => price / Math.max(1, cpus);
+  const { replica } = state.ctx;
+  const shardJobs = replica.shardJobs(shard);
+  const candidates = new Map<MachineId, CandidateMachine>();
   const types = replica.machineTypes?.value ?? [];
-  const shapes = distinctShapes(work.index.distinctResources());
-  const byName = new Map(
-    types.map((type) => [type.name, { type, rivals: countCompetingShapes(type.capacity, shapes) }]),
+  const shapes = distinctShapes(shardJobs.index.distinctResources());
+  const typesByName = new Map(
+    types.map((type) => [
+      type.name,
+      { type, competingShapes: countCompetingShapes(type.capacity, shapes) },
+    ]),
   );
-  const cheapest = Math.min(...types.map((t) => perCpu(t.spotPrice, t.capacity.cpus)));
-  for (const id of owned.sessions.keys()) {
-    const machine = replica.machines.get(id);
-    if (machine === undefined || machine.shard !== shard || edited.has(id)) continue;
-    const known = byName.get(machine.type);
-    if (known === undefined || !takesTasks(owned, id, machine)) continue;
-    const { use, least: smallestDemand } = occupancyOn(work, id, closed.get(id));
-    const price = machine.spot ? known.type.spotPrice : known.type.price;
-    out.set(id, {
+  const cheapest = Math.min(...types.map((t) => pricePerCpu(t.spotPrice, t.capacity.cpus)));
+  for (const id of state.sessions.keys()) {
+    const record = replica.machines.get(id);
+    if (record === undefined || record.shard !== shard || changedMachines.has(id)) continue;
+    const known = typesByName.get(record.type);
+    if (known === undefined || !mayTakeTasks(state, id, record)) continue;
+    const { type, competingShapes } = known;
+    const { use, smallestDemand } = occupancyOf(shardJobs, id, terminatedByMachine.get(id));
+    const price = record.spot ? type.spotPrice : type.price;
+    candidates.set(id, {
       id,
-      type: machine.type,
-      zone: machine.zone,
-      spot: machine.spot,
-      capacity: known.type.capacity,
+      type: record.type,
+      zone: record.zone,
+      spot: record.spot,
+      capacity: type.capacity,
       use,
       smallestDemand,
       price,
-      isCostly: perCpu(price, known.type.capacity.cpus) > DEAR * cheapest,
-      fetchGbPerS: known.type.fetchGbPerS,
-      images: owned.machineState(id).images,
-      competingShapes: known.rivals,
+      isCostly: pricePerCpu(price, type.capacity.cpus) > COSTLY_PRICE_RATIO * cheapest,
+      fetchGbPerS: type.fetchGbPerS,
+      images: state.machineState(id).images,
+      competingShapes,
     });
   }
-  for (const [task, reservation] of owned.reservations) {
-    const place = out.get(reservation.to);
-    const needs = work.jobs.get(splitTask(task).job)?.spec.resources;
-    if (place !== undefined && needs !== undefined) addUse(place, needs);
-  }
-  return out;
+  addReservations(state, shardJobs, candidates);
+  return candidates;
 };
--- a/src/coordination/rounds/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -1,3 +1,10 @@
+/**
+ * Divides the room beyond guarantees fairly between teams: takes the ordered queue of a round and
+ * returns the order and the number of tasks with which jobs are placed.
+ *
+ * Owns no state. Only jobs that are equal in every rule but fairness change places: the order given
+ * by overdue jobs, guarantees and priorities holds.
+ */
 import type { TeamName } from "@umberfold/ids";
 import type { FairTurn, FairTurnInput } from "@umberfold/load-spread";
 import { priorityOrder, type Resources } from "../../protocol/jobs.js";
@@ -6,35 +13,38 @@
 import { add, NO_RESOURCES } from "../../scheduling/resources.js";
 import { waitingTaskCount } from "../../storage/records.js";
 
-/** A job's turn in a round, with the most tasks that it may start in it. */
+/** One visit to a job in a round, with the number of tasks that may start during it. */
 export interface QueueStep extends QueuedJob {
-  readonly mostStarts?: number;
+  /** No limit if absent. */
+  readonly maxStarts?: number;
 }
 
 /**
- * A team that spans several shards is judged by what it has in all of them: what it has here, by the
- * part of its quota that is here. (Judged by this shard alone, a burst that had just come to a shard
- * went before the team at home there.) A smaller part is taken for this one.
+ * A team that spans several shards is judged by what it uses in all of them, estimated as its use in
+ * this shard divided by the part of its quota that is in this shard. (Judged by this shard alone, a
+ * burst that had just come to a shard went before the team whose home is there.) Smaller parts are
+ * raised to this one.
  */
-const LEAST_PART = 0.01;
-/** Tasks that turns are made for; what a transaction holds is of this order. */
-const MOST_TASKS = 256;
+const MIN_QUOTA_FRACTION = 0.01;
+/** Tasks that fair turns are computed for: of the order of what one transaction can start. */
+const MAX_FAIR_TASKS = 256;
 
-/** The largest part of all room that these resources take, over processors, devices and memory. */
-const dominantShare = (needs: Resources, capacity: Resources): number =>
+/** The largest fraction of the capacity that these resources take: processors, devices or memory. */
+const dominantShare = (resources: Resources, capacity: Resources): number =>
   Math.max(
-    capacity.cpus > 0 ? needs.cpus / capacity.cpus : 0,
-    capacity.gpus > 0 ? needs.gpus / capacity.gpus : 0,
-    capacity.ramGb > 0 ? needs.ramGb / capacity.ramGb : 0,
+    capacity.cpus > 0 ? resources.cpus / capacity.cpus : 0,
+    capacity.gpus > 0 ? resources.gpus / capacity.gpus : 0,
+    capacity.ramGb > 0 ? resources.ramGb / capacity.ramGb : 0,
   );
 
-/** Jobs among which nothing but fairness decides: guarantees, ranks and overdue jobs come before. */
+/** Jobs between which only fairness decides: guarantees, priorities and overdue jobs come first. */
 const haveSamePrecedence = (a: QueuedJob, b: QueuedJob): boolean =>
   a.overdue === b.overdue &&
   a.withinGuarantee === b.withinGuarantee &&
   priorityOrder(a.job.spec.priority) === priorityOrder(b.job.spec.priority);
 
-function* runsOfSameStanding(queue: readonly QueuedJob[]): Iterable<readonly QueuedJob[]> {
+/** The queue cut into runs of neighbours that have the same precedence. */
+function* runsOfSamePrecedence(queue: readonly QueuedJob[]): Iterable<readonly QueuedJob[]> {
   let begin = 0;
   for (let i = 1; i <= queue.length; i++) {
     const first = queue[begin];
@@ -45,104 +55,114 @@
   }
 }
 
-const severalTeams = (run: readonly QueuedJob[]): boolean =>
-  run.some((q) => q.job.spec.team !== run[0]?.job.spec.team);
+const hasSeveralTeams = (run: readonly QueuedJob[]): boolean =>
+  run.some((queued) => queued.job.spec.team !== run[0]?.job.spec.team);
 
+/** The load-spread package's division of tasks between teams. */
 type FairTurns = (input: FairTurnInput) => readonly FairTurn[];
 
-interface Room {
+/** What fairness is measured against. */
+interface FairnessBasis {
+  /** Of all candidate machines together. */
   readonly capacity: Resources;
+  /** Each team's dominant share of it. */
   readonly shares: ReadonlyMap<TeamName, number>;
 }
 
-/** The turns of one class's jobs, in a queue that is taken from task by task. */
-class ClassTurns {
-  readonly #turns: { readonly queued: QueuedJob; left: number }[] = [];
+/** The jobs of one class in fair order, consumed task by task. */
+class FairClassQueue {
+  readonly #remaining: { readonly queued: QueuedJob; tasks: number }[] = [];
 
-  constructor(run: readonly QueuedJob[], fairTurns: FairTurns, { capacity, shares }: Room) {
-    const byId = new Map(run.map((q) => [q.id, q]));
-    const jobs = run.map((q) => ({
-      id: q.id,
-      team: q.job.spec.team,
-      tasks: waitingTaskCount(q.job),
-      dominant: dominantShare(q.job.spec.resources, capacity),
+  constructor(run: readonly QueuedJob[], fairTurns: FairTurns, basis: FairnessBasis) {
+    const { capacity, shares } = basis;
+    const byId = new Map(run.map((queued) => [queued.id, queued]));
+    const jobs = run.map((queued) => ({
+      id: queued.id,
+      team: queued.job.spec.team,
+      tasks: waitingTaskCount(queued.job),
+      dominant: dominantShare(queued.job.spec.resources, capacity),
     }));
-    for (const turn of fairTurns({ jobs, shares, mostTasks: MOST_TASKS })) {
-      const queued = byId.get(turn.id);
-      if (queued !== undefined) this.#turns.push({ queued, left: turn.tasks });
+    for (const { id, tasks } of fairTurns({ jobs, shares, mostTasks: MAX_FAIR_TASKS })) {
+      const queued = byId.get(id);
+      if (queued !== undefined) this.#remaining.push({ queued, tasks });
     }
   }
 
-  /** The next turns, for so many tasks together. */
+  /** The next steps, with this many tasks altogether. */
   *take(tasks: number): Iterable<QueueStep> {
-    let rest = tasks;
-    while (rest > 0) {
-      const turn = this.#turns[0];
-      if (turn === undefined) return;
-      const mostStarts = Math.min(rest, turn.left);
-      yield { ...turn.queued, mostStarts };
-      turn.left -= mostStarts;
-      rest -= mostStarts;
-      if (turn.left === 0) this.#turns.shift();
+    let untaken = tasks;
+    while (untaken > 0) {
+      const [next] = this.#remaining;
+      if (next === undefined) return;
+      const maxStarts = Math.min(untaken, next.tasks);
+      yield { ...next.queued, maxStarts };
+      next.tasks -= maxStarts;
+      untaken -= maxStarts;
+      if (next.tasks === 0) this.#remaining.shift();
     }
   }
 }
 
-const byClass = (run: readonly QueuedJob[]): ReadonlyMap<string, readonly QueuedJob[]> => {
-  const out = new Map<string, QueuedJob[]>();
-  for (const q of run) {
-    const jobs = out.get(q.job.spec.jobClass) ?? [];
-    out.set(q.job.spec.jobClass, jobs);
-    jobs.push(q);
+const groupByClass = (run: readonly QueuedJob[]): ReadonlyMap<string, readonly QueuedJob[]> => {
+  const byClass = new Map<string, QueuedJob[]>();
+  for (const queued of run) {
+    const { jobClass } = queued.job.spec;
+    const jobs = byClass.get(jobClass) ?? [];
+    byClass.set(jobClass, jobs);
+    jobs.push(queued);
   }
-  return out;
+  return byClass;
 };
 
-/** A run in its order of slack between classes, with the turns within a class divided fairly. */
+/** Keeps a run's order of slack between classes, and divides the steps within a class fairly. */
 function* fairRun(
   run: readonly QueuedJob[],
   fairTurns: FairTurns,
-  room: Room,
+  basis: FairnessBasis,
 ): Iterable<QueueStep> {
-  const classes = new Map<string, ClassTurns>();
-  for (const [jobClass, jobs] of byClass(run))
-    if (severalTeams(jobs)) classes.set(jobClass, new ClassTurns(jobs, fairTurns, room));
-  for (const q of run) {
-    const turns = classes.get(q.job.spec.jobClass);
-    if (turns === undefined) yield q;
-    else yield* turns.take(waitingTaskCount(q.job));
+  const classes = new Map<string, FairClassQueue>();
+  for (const [jobClass, jobs] of groupByClass(run))
+    if (hasSeveralTeams(jobs)) classes.set(jobClass, new FairClassQueue(jobs, fairTurns, basis));
+  for (const queued of run) {
+    const fairClass = classes.get(queued.job.spec.jobClass);
+    if (fairClass === undefined) yield queued;
+    else yield* fairClass.take(waitingTaskCount(queued.job));
   }
-  // What the others can't use is not left idle: each comes once more without a bound.
-  for (const q of run) if (classes.has(q.job.spec.jobClass)) yield q;
+  // Room that the other teams can't use is not left idle: each job is visited again without a limit.
+  for (const queued of run) if (classes.has(queued.job.spec.jobClass)) yield queued;
 }
 
 /**
- * The queue with the room beyond guarantees divided fairly between the teams that wait with jobs of
- * one class. Between classes slack decides as before: their objectives differ, and so does what
- * waiting costs them.
+ * The queue in which the room beyond guarantees is divided fairly between the teams that wait with
+ * jobs of one class. Between classes slack decides, since their objectives and so their costs of
+ * waiting differ. Without `fairTurns` (the load-spread package is off) the queue stays as it is.
+ *
+ * @param teamUse what each team's open attempts take in this shard
+ * @param quotaFractionOf the part of a team's quota that this shard may use, 0 to 1
+ * @param candidates the machines whose capacity is divided
  */
 export const fairQueue = (
   queue: readonly QueuedJob[],
   fairTurns: FairTurns | undefined,
-  use: ReadonlyMap<TeamName, Resources>,
-  partOf: (team: TeamName) => number,
-  places: Iterable<CandidateMachine>,
+  teamUse: ReadonlyMap<TeamName, Resources>,
+  quotaFractionOf: (team: TeamName) => number,
+  candidates: Iterable<CandidateMachine>,
 ): readonly QueueStep[] => {
   if (fairTurns === undefined) return queue;
   let capacity = NO_RESOURCES;
-  for (const place of places) capacity = add(capacity, place.capacity);
+  for (const candidate of candidates) capacity = add(capacity, candidate.capacity);
   const shares = new Map(
-    [...use].map(([team, taken]) => {
-      const part = Math.max(LEAST_PART, partOf(team));
-      return [team, dominantShare(taken, capacity) / part];
+    [...teamUse].map(([team, use]) => {
+      const fraction = Math.max(MIN_QUOTA_FRACTION, quotaFractionOf(team));
+      return [team, dominantShare(use, capacity) / fraction];
     }),
   );
-  const out: QueueStep[] = [];
-  for (const run of runsOfSameStanding(queue)) {
+  const steps: QueueStep[] = [];
+  for (const run of runsOfSamePrecedence(queue)) {
     const [first] = run;
     if (first === undefined) continue;
-    if (first.withinGuarantee || first.overdue) out.push(...run);
-    else out.push(...fairRun(run, fairTurns, { capacity, shares }));
+    if (first.withinGuarantee || first.overdue) steps.push(...run);
+    else steps.push(...fairRun(run, fairTurns, { capacity, shares }));
   }
-  return out;
+  return steps;
 };
--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -10,7 +10,7 @@
   shouldRaiseToken,
   type WorkerSession,
 } from "../ownership/worker-session.js";
-import type { ShardRound } from "./attempt-termination.js";
+import type { ShardRound } from "./shard-round.js";
 
 /** What is to become of a machine's record. */
 type Change =
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -1,3 +1,11 @@
+/**
+ * The preemption phase of a round in one shard: where no machine has room for an urgent task, running
+ * tasks of lower standing are stopped and their room is reserved for it.
+ *
+ * Owns the searches of one round and their limits. It requests stops and makes reservations in the
+ * shard's soft state; the victims are terminated, and the task started, by later rounds. Who may
+ * preempt whom is decided in `scheduling/preemption.ts`.
+ */
 import type { JobId, MachineId, TaskId } from "@umberfold/ids";
 import { type JobSpec, priorityOrder } from "../../protocol/jobs.js";
 import { slackS, targetsOf } from "../../scheduling/objectives.js";
@@ -22,129 +30,142 @@
 import type { LiveJob } from "../../storage/records.js";
 import { wallClockNow } from "../../transport/clock.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import type { ShardRound } from "./attempt-termination.js";
 import { RESERVATION_MS } from "./candidate-machines.js";
+import type { ShardRound } from "./shard-round.js";
 
-/** Most tasks a round makes room for. */
-const MOST_A_ROUND = 24;
-/** Most searches a round begins: each looks at all that stands in the shard. */
-const MOST_SEARCHES = 16;
+/** Tasks that one round makes room for. */
+const MAX_PREEMPTIONS_PER_ROUND = 24;
+/** Searches that one round begins: each looks at all open attempts of the shard. */
+const MAX_SEARCHES_PER_ROUND = 16;
 
 /** Preemption within one round of one shard. */
 export class PreemptionPhase {
-  #made = 0;
-  #begun = 0;
-  /** What a job's tasks cost beyond the work they lose: worked out once a job. */
-  readonly #surcharge = new Map<JobId, number>();
-  /** Searches by group: like jobs go on where the one before them stopped. */
+  #preemptions = 0;
+  #searchesBegun = 0;
+  /** What stopping a job's tasks costs beyond the work they lose, in seconds: computed once a job. */
+  readonly #surchargeS = new Map<JobId, number>();
+  /** Searches by group: jobs that are alike continue where the previous one stopped. */
   readonly #searches = new Map<string, PreemptionSearch>();
 
+  /**
+   * @param withinGuarantee jobs that their teams' guarantees cover
+   * @param candidates the round's candidate machines; their use rises with each reservation
+   */
   constructor(
-    private readonly owned: ShardState,
+    private readonly state: ShardState,
     private readonly round: ShardRound,
     private readonly withinGuarantee: ReadonlySet<JobId>,
-    private readonly places: ReadonlyMap<MachineId, CandidateMachine>,
+    private readonly candidates: ReadonlyMap<MachineId, CandidateMachine>,
   ) {}
 
-  /** Whether this round makes no more room. */
+  /** Whether this round has reached its limit of preemptions. */
   get exhausted(): boolean {
-    return this.#made >= MOST_A_ROUND;
+    return this.#preemptions >= MAX_PREEMPTIONS_PER_ROUND;
   }
 
-  /** A search for room for a job's tasks, or undefined if this round begins no more of them. */
+  /** A search for room for a job's tasks; undefined if this round may not begin another one. */
   search(
-    by: QueuedJob,
+    preemptor: QueuedJob,
     zones: ZoneCounts,
     failedOn: ReadonlySet<MachineId>,
   ): PreemptionSearch | undefined {
-    const { spec } = by.job;
-    const shared = !hasZoneRules(spec) && failedOn.size === 0;
-    const group = `${placementGroupKey(spec)}|${spec.priority}|${spec.team}|${by.withinGuarantee}`;
-    const known = shared ? this.#searches.get(group) : undefined;
+    const { spec } = preemptor.job;
+    const isShared = !hasZoneRules(spec) && failedOn.size === 0;
+    const group = `${placementGroupKey(spec)}|${spec.priority}|${spec.team}|${preemptor.withinGuarantee}`;
+    const known = isShared ? this.#searches.get(group) : undefined;
     if (known !== undefined) return known;
-    if (this.#begun >= MOST_SEARCHES) return undefined;
-    this.#begun++;
+    if (this.#searchesBegun >= MAX_SEARCHES_PER_ROUND) return undefined;
+    this.#searchesBegun++;
     const sources: PreemptionSource[] = [];
-    for (const place of this.places.values())
-      if (!failedOn.has(place.id) && isPermitted(spec, place, zones))
+    for (const machine of this.candidates.values())
+      if (!failedOn.has(machine.id) && isPermitted(spec, machine, zones))
         sources.push({
-          candidate: () => this.#candidate(by, place),
-          // Whatever is started or kept room for on the machine changes its use.
-          version: () => place.use,
+          candidate: () => this.#preemptionCandidate(preemptor, machine),
+          // Each start and each reservation on the machine replaces its use.
+          version: () => machine.use,
         });
-    const { preemptMaxLossS } = this.owned.ctx.operators;
+    const { preemptMaxLossS } = this.state.ctx.operators;
     const search = new PreemptionSearch(spec.resources, sources, preemptMaxLossS);
-    if (shared) this.#searches.set(group, search);
+    if (isShared) this.#searches.set(group, search);
     return search;
   }
 
-  /** Stops what loses least to make room for a task, and keeps the room for it. False: there is none. */
-  make(task: TaskId, by: QueuedJob, search: PreemptionSearch): boolean {
-    const { owned, round } = this;
-    const work = owned.ctx.replica.shardJobs(round.shard);
-    const room = search.take();
-    if (room === null) return false;
-    this.#made++;
-    for (const victim of room.victims) {
-      const o = work.openAttemptsOn(room.machine).get(victim.task);
-      const job = o === undefined ? undefined : work.jobs.get(o.job);
-      if (o === undefined || job === undefined) continue;
-      owned.stop(o.key, room.machine, "preempted", job.spec.checkpointSaveS);
-      owned.counters.preempted++;
+  /**
+   * Makes room for a task where stopping loses the least, and reserves it. Returns false if no room
+   * can be made.
+   */
+  makeRoom(task: TaskId, preemptor: QueuedJob, search: PreemptionSearch): boolean {
+    const { state, round } = this;
+    const shardJobs = state.ctx.replica.shardJobs(round.shard);
+    const plan = search.take();
+    if (plan === null) return false;
+    this.#preemptions++;
+    for (const victim of plan.victims) {
+      const attempt = shardJobs.openAttemptsOn(plan.machine).get(victim.task);
+      const job = attempt === undefined ? undefined : shardJobs.jobs.get(attempt.job);
+      if (attempt === undefined || job === undefined) continue;
+      state.stop(attempt.key, plan.machine, "preempted", job.spec.checkpointSaveS);
+      state.counters.preempted++;
     }
-    const place = this.places.get(room.machine);
-    // The victims' room is not free before they are gone: the newcomer's need comes on top.
-    if (place !== undefined) addUse(place, by.job.spec.resources);
-    search.noted(room.machine);
-    owned.reserve(task, room.machine, RESERVATION_MS);
-    round.machinesToCall.add(room.machine);
+    const machine = this.candidates.get(plan.machine);
+    // The victims' room is not free until they are gone: the new task's demand is added to theirs.
+    if (machine !== undefined) addUse(machine, preemptor.job.spec.resources);
+    search.noted(plan.machine);
+    state.reserve(task, plan.machine, RESERVATION_MS);
+    round.machinesToCall.add(plan.machine);
     return true;
   }
 
-  #standing(id: JobId, spec: JobSpec): PreemptionContext {
+  #preemptionContext(id: JobId, spec: JobSpec): PreemptionContext {
     const withinGuarantee = this.withinGuarantee.has(id);
     return { priority: priorityOrder(spec.priority), withinGuarantee, team: spec.team };
   }
 
-  #candidate(by: QueuedJob, place: CandidateMachine): PreemptionCandidate | undefined {
-    const { owned, round } = this;
-    const work = owned.ctx.replica.shardJobs(round.shard);
-    const standing = this.#standing(by.id, by.job.spec);
+  /** What could be freed on a machine for this job; undefined if the job would not fit even so. */
+  #preemptionCandidate(
+    preemptor: QueuedJob,
+    machine: CandidateMachine,
+  ): PreemptionCandidate | undefined {
+    const { state, round } = this;
+    const shardJobs = state.ctx.replica.shardJobs(round.shard);
+    const context = this.#preemptionContext(preemptor.id, preemptor.job.spec);
     const victims: Victim[] = [];
-    let free = subtract(place.capacity, place.use);
-    for (const [task, o] of work.openAttemptsOn(place.id)) {
-      const job = work.jobs.get(o.job);
+    let free = subtract(machine.capacity, machine.use);
+    for (const [task, attempt] of shardJobs.openAttemptsOn(machine.id)) {
+      const job = shardJobs.jobs.get(attempt.job);
       if (job === undefined) continue;
-      const note = owned.attemptStates.get(o.key);
+      const attemptState = state.attemptStates.get(attempt.key);
       const { resources, checkpointSaveS } = job.spec;
-      // On its way out: its room may be kept for somebody, but is not there to start on yet.
-      if (job.cancelledAt !== null || note?.requestStop != null) {
-        if (round.terminatedByMachine.get(place.id)?.has(task) !== true)
+      // It is stopping already: its room may be reserved, but nothing can be started in it yet.
+      if (job.cancelledAt !== null || attemptState?.requestStop != null) {
+        if (round.terminatedByMachine.get(machine.id)?.has(task) !== true)
           free = add(free, resources);
         continue;
       }
-      if (!mayPreempt(standing, this.#standing(o.job, job.spec))) continue;
+      if (!mayPreempt(context, this.#preemptionContext(attempt.job, job.spec))) continue;
       const lossS =
-        owned.lossS(job, note, round.now) + checkpointSaveS + this.#surchargeOf(o.job, job);
-      victims.push({ task, resources: resources, lossS });
+        state.lossS(job, attemptState, round.now) +
+        checkpointSaveS +
+        this.#surchargeOf(attempt.job, job);
+      victims.push({ task, resources, lossS });
     }
-    if (victims.length === 0 && !fits(by.job.spec.resources, free)) return undefined;
-    return { id: place.id, free, victims };
+    if (victims.length === 0 && !fits(preemptor.job.spec.resources, free)) return undefined;
+    return { id: machine.id, free, victims };
   }
 
   /**
-   * The nearer a victim's own objective, the dearer: else the same young tasks of the same jobs are
-   * stopped again and again, each time at little loss, until their job is late.
+   * The nearer a victim's own objective, the higher its surcharge: otherwise the same young tasks of
+   * the same jobs are stopped again and again, each time at little loss, until their job is late.
    */
   #surchargeOf(id: JobId, job: LiveJob): number {
-    const known = this.#surcharge.get(id);
+    const known = this.#surchargeS.get(id);
     if (known !== undefined) return known;
-    const { operators, settings } = this.owned.ctx;
+    const { operators, settings } = this.state.ctx;
     const targets = targetsOf(job.spec, settings.objectives, this.withinGuarantee.has(id));
     const ageS = (wallClockNow() - job.acceptedAt) / 1000;
-    const slack = slackS(targets, ageS, this.owned.expectedRunS(job.spec));
-    const surcharge = Math.max(0, operators.spareSlackS - slack);
-    this.#surcharge.set(id, surcharge);
-    return surcharge;
+    const jobSlackS = slackS(targets, ageS, this.state.expectedRunS(job.spec));
+    const surchargeS = Math.max(0, operators.spareSlackS - jobSlackS);
+    this.#surchargeS.set(id, surchargeS);
+    return surchargeS;
   }
 }
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -11,11 +11,12 @@
 import type { Membership } from "../membership/membership.js";
 import { ShardState } from "../ownership/shard-state.js";
 import { WorkerChannel } from "../workers/worker-channel.js";
-import { finishCompletedJobs, newShardRound, terminateAttempts } from "./attempt-termination.js";
+import { finishCompletedJobs, terminateAttempts } from "./attempt-termination.js";
 import { drainRequestedMachines, handleSpotNotices } from "./evictions.js";
 import { MachineRecordPhase } from "./machine-record-phase.js";
 import { MachineSweep } from "./machine-sweep.js";
 import { PlacementPhase } from "./placement-phase.js";
+import { newShardRound } from "./shard-round.js";
 import { runSwarmPhase } from "./swarm-phase.js";
 
 /** How long a request of the leader's stands. */
@@ -24,7 +25,6 @@
 const LAZY_MS = 700;
 /** A round is decided once this many changes may be written; a larger one is paid off after. */
 const LEAST_WRITES = 2;
-
 /** How soon to look again whether the watch has come as far as what was read by itself. */
 const CATCH_UP_MS = 25;
 const PAGES: ReadonlySet<string> = new Set(["work", "fleet"]);
--- a/test/coordination/rounds/fair-queue.test.ts
+++ b/test/coordination/rounds/fair-queue.test.ts
@@ -68,7 +68,7 @@
     const places = [{ capacity: CAPACITY } as unknown as CandidateMachine];
     const steps = fairQueue(queue, fairTurns, use, () => 1, places);
     assert.deepEqual(
-      steps.map((s) => (s.mostStarts === undefined ? s.id : `${s.id}:${s.mostStarts}`)),
+      steps.map((s) => (s.maxStarts === undefined ? s.id : `${s.id}:${s.maxStarts}`)),
       expected,
     );
     assert.equal(
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -19,11 +19,11 @@
 import { ShardState } from "../../src/coordination/ownership/shard-state.js";
 import {
   finishCompletedJobs,
-  newShardRound,
   terminateAttempts,
 } from "../../src/coordination/rounds/attempt-termination.js";
 import { MachineRecordPhase } from "../../src/coordination/rounds/machine-record-phase.js";
 import { PlacementPhase } from "../../src/coordination/rounds/placement-phase.js";
+import { newShardRound } from "../../src/coordination/rounds/shard-round.js";
 import { ShardQuotas } from "../../src/coordination/sharding/shard-quotas.js";
 import type { JobSpec } from "../../src/protocol/jobs.js";
 import { encodeMachineTypes, encodeTeams } from "../../src/storage/cluster-records.js";
