--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -135,7 +135,7 @@
   }
 
   /** A new name for the pages of the next round's moves. */
-  nextNames(): void {
+  nextPageNames(): void {
     this.#names++;
   }
 
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -1,54 +1,43 @@
-import { type MachineId, type MonotonicMs, monotonicMs, revision } from "@umberfold/ids";
+/**
+ * An owner: all that one controller does for the shards that it owns. Heartbeats, requests of the
+ * leader, process pauses and rounds enter here.
+ *
+ * Owns the shard state, the worker channel and the rule that at most one transaction of the owned
+ * shards is in flight. Nothing is written without a valid lease.
+ */
+import { type MachineId, monotonicMs } from "@umberfold/ids";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
 import type { Transaction } from "../../protocol/store.js";
 import type { WorkerStatus } from "../../protocol/workers.js";
-import { classifyKey } from "../../storage/records.js";
-import { TransactionBatch } from "../../storage/transaction-batch.js";
 import type { HttpClient } from "../../transport/client.js";
 import { monotonicNow } from "../../transport/clock.js";
 import type { HttpResponse } from "../../transport/server.js";
-import { applyCommitted, type ControllerContext, rereadKeys } from "../context.js";
+import type { ControllerContext } from "../context.js";
 import type { Membership } from "../membership/membership.js";
 import { ShardState } from "../ownership/shard-state.js";
 import { WorkerChannel } from "../workers/worker-channel.js";
-import { finishCompletedJobs, terminateAttempts } from "./attempt-termination.js";
-import { drainRequestedMachines, handleSpotNotices } from "./evictions.js";
-import { MachineRecordPhase } from "./machine-record-phase.js";
-import { MachineSweep } from "./machine-sweep.js";
-import { PlacementPhase } from "./placement-phase.js";
-import { newShardRound } from "./shard-round.js";
-import { runSwarmPhase } from "./swarm-phase.js";
+import { RoundCommit } from "./round-commit.js";
+import { RoundCycle, type RoundOutcome } from "./round-cycle.js";
 
-/** How long a request of the leader's stands. */
-const MOVE_MS = 10_000;
-/** How long ends of tasks may wait for company, if nothing else is to be written. */
-const LAZY_MS = 700;
-/** A round is decided once this many changes may be written; a larger one is paid off after. */
-const LEAST_WRITES = 2;
-/** How soon to look again whether the watch has come as far as what was read by itself. */
-const CATCH_UP_MS = 25;
-const PAGES: ReadonlySet<string> = new Set(["work", "fleet"]);
+export type { RoundOutcome } from "./round-cycle.js";
 
-/** Transactions of ends alone that may follow a round. */
-const MOST_END_TXNS = 3;
+/** How long the leader's request for a transfer stands. */
+const TRANSFER_REQUEST_MS = 10_000;
 
-/** What to do after a round: another at once, one after a pause, or one when something happens. */
-export type RoundOutcome = "again" | "idle" | { readonly pauseMs: number };
-
-/** Runs the shards held here, in rounds: look, decide, commit, send. */
+/** Runs the shards that this controller owns. */
 export class ShardOwner {
+  /** Soft state of the owned shards. */
   readonly state: ShardState;
+  /** Commands to workers and heartbeats from them. */
   readonly channel: WorkerChannel;
-  readonly #records: MachineRecordPhase;
-  readonly #heartbeats = { accepted: 0, redirected: 0, refused: 0 };
-  #committing = false;
-  #swarmAt: MonotonicMs = monotonicNow();
-  readonly #sweep = new MachineSweep();
-  #turn = 0;
-  #coalescingSince: MonotonicMs | undefined;
-  /** Nothing is decided before the watch has told everything up to here. */
-  #catchUp = revision(0);
-
+  readonly #commit: RoundCommit;
+  readonly #cycle: RoundCycle;
+  /** Heartbeats by their outcome, for the logs. */
+  readonly #heartbeatCounts = { accepted: 0, redirected: 0, refused: 0 };
+  /** A transaction of the owned shards is being decided on or written. */
+  #isCommitting = false;
+
+  /** @param wake has a round run soon */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
@@ -57,26 +46,32 @@
   ) {
     this.state = new ShardState(ctx, membership, wake);
     this.channel = new WorkerChannel(this.state, workers);
-    this.#records = new MachineRecordPhase(this.state);
+    this.#commit = new RoundCommit(this.state);
+    this.#cycle = new RoundCycle(this.state, this.channel, this.#commit);
   }
 
-  handleHeartbeat(body: unknown, adopt: (r: WorkerStatus) => void): HttpResponse {
+  /**
+   * Takes a worker's heartbeat and answers it with commands.
+   *
+   * @param adopt called on the leader with the status of a machine that the records don't know
+   */
+  handleHeartbeat(body: unknown, adopt: (status: WorkerStatus) => void): HttpResponse {
     this.detectPause();
     const answer = this.channel.handleHeartbeat(body, adopt);
     this.#countHeartbeat(answer.status);
     return answer;
   }
 
-  /** Heartbeats by what became of them, for the logs. */
-  #countHeartbeat(status: number): void {
-    if (status === 200) this.#heartbeats.accepted++;
-    else if (status === 421) this.#heartbeats.redirected++;
-    else this.#heartbeats.refused++;
+  #countHeartbeat(httpStatus: number): void {
+    if (httpStatus === 200) this.#heartbeatCounts.accepted++;
+    else if (httpStatus === 421) this.#heartbeatCounts.redirected++;
+    else this.#heartbeatCounts.refused++;
   }
 
   /**
-   * Called wherever something begins. After this process stood still it holds nobody's silence
-   * against him, and acts on nothing until the state service has shown what it still holds.
+   * To be called first wherever this controller begins to act. After a process pause no machine's
+   * silence counts against it, and nothing is done until a read of the state store has shown which
+   * shards are still owned.
    */
   detectPause(): void {
     const now = monotonicNow();
@@ -87,18 +82,20 @@
     this.channel.resetTimers(now);
   }
 
-  // ---- Requests of the leader ---------------------------------------------------------------
-
+  /** The leader wants a machine for another shard. Ignored for machines that are not owned here. */
   requestTransfer(m: MachineTransferRequest): void {
     if (!this.state.sessions.has(m.machine)) return;
-    const until = monotonicMs(monotonicNow() + MOVE_MS);
+    const until = monotonicMs(monotonicNow() + TRANSFER_REQUEST_MS);
     const { to, drain, whenEmpty = false } = m;
     this.state.machineState(m.machine).pendingTransfer = { to, drain, whenEmpty, until };
     this.state.dirtyMachines.add(m.machine);
     this.state.wake();
   }
 
-  /** Without a reason it is surplus, and goes once it is empty; else it is lost, and goes at once. */
+  /**
+   * Has a machine decommissioned. Without a reason it is surplus and returned once it is empty; with
+   * one it is lost and returned at once. Ignored for machines that are not owned here.
+   */
   requestDecommission(id: MachineId, reason?: string): void {
     if (!this.state.sessions.has(id)) return;
     const note = this.state.machineState(id);
@@ -108,194 +105,46 @@
     this.state.wake();
   }
 
-  // ---- Rounds -------------------------------------------------------------------------------
-
+  /** Runs one round, unless another transaction is in flight or the lease is not valid. */
   async runRound(): Promise<RoundOutcome> {
     this.detectPause();
     if (!this.#mayCommit()) return "idle";
-    this.#committing = true;
+    this.#isCommitting = true;
     try {
-      return await this.#round();
+      return await this.#cycle.run();
     } finally {
-      this.#committing = false;
+      this.#isCommitting = false;
       this.state.terminating.clear();
     }
   }
 
   /**
-   * Writes something of the shards owned here while no round is in flight, so that what the records
-   * show as open is all that is. False if it has to wait, or nothing was written.
+   * Writes a transaction of the owned shards while no round is in flight, so that the records show
+   * all open attempts. Returns false if it has to wait, or if nothing was written.
+   *
+   * @param decide called once it may be written; undefined if there is nothing to write
    */
   async writeBetweenRounds(decide: () => Transaction | undefined): Promise<boolean> {
-    if (!this.#mayCommit() || this.ctx.replica.syncedRevision < this.#catchUp) return false;
-    const txn = decide();
-    if (txn === undefined || !this.ctx.store.mayWriteBatch(txn.ops.length, txn.ops.length))
-      return false;
-    this.#committing = true;
+    if (!this.#mayCommit() || this.#commit.isReplicaBehind) return false;
+    const transaction = decide();
+    if (transaction === undefined) return false;
+    const operations = transaction.ops.length;
+    if (!this.ctx.store.mayWriteBatch(operations, operations)) return false;
+    this.#isCommitting = true;
     try {
-      return await this.#commit(txn);
+      return await this.#commit.commit(transaction);
     } finally {
-      this.#committing = false;
+      this.#isCommitting = false;
       this.state.wake();
     }
   }
 
   #mayCommit(): boolean {
-    return !this.#committing && this.ctx.synced && this.membership.holdsValidLease();
-  }
-
-  async #round(): Promise<RoundOutcome> {
-    const { ctx, state } = this;
-    const now = monotonicNow();
-    state.syncSessions(now);
-    this.channel.detectFailures(now);
-    const shards = this.membership.ownedShards();
-    if (shards.length === 0) return "idle";
-    if (this.ctx.replica.syncedRevision < this.#catchUp) return { pauseMs: CATCH_UP_MS };
-    const pauseMs = ctx.store.writeWaitMs(LEAST_WRITES);
-    if (pauseMs > 0) return { pauseMs };
-    for (const [task, x] of state.reservations) if (x.until <= now) state.reservations.delete(task);
-    handleSpotNotices(state, now);
-    // What is stopped to make room could not be started again while nothing can be written.
-    const writes = !ctx.store.isFailing();
-    if (writes) drainRequestedMachines(state, now);
-    if (writes && now - this.#swarmAt >= ctx.operators.swarmPeriodS * 1000) {
-      this.#swarmAt = now;
-      for (const shard of shards) runSwarmPhase(state, shard, now);
-    }
-    const { batch, call, closedKeys, looked } = this.#decide(shards, now);
-    const callAll = (): void => {
-      for (const id of call) this.channel.callMachine(id, true);
-    };
-    if (batch.empty) {
-      callAll();
-      return "idle";
-    }
-    // Ends alone are not waited for by anybody: they gather until a start or a second comes along.
-    if (!batch.urgent) {
-      this.#coalescingSince ??= now;
-      const waitMs = LAZY_MS - (now - this.#coalescingSince);
-      if (waitMs > 0) {
-        for (const id of looked) state.dirtyMachines.add(id);
-        callAll();
-        return { pauseMs: waitMs };
-      }
-    }
-    this.#coalescingSince = undefined;
-    const t = batch.transaction();
-    if (!ctx.store.mayWriteBatch(t.ops.length, LEAST_WRITES)) {
-      for (const id of looked) state.dirtyMachines.add(id);
-      return { pauseMs: ctx.store.writeWaitMs(LEAST_WRITES) };
-    }
-    this.#records.nextNames();
-    if (!(await this.#commit(t))) {
-      for (const id of looked) state.dirtyMachines.add(id);
-      return "again";
-    }
-    for (const key of closedKeys) state.attemptStates.delete(key);
-    state.syncSessions(monotonicNow());
-    callAll();
-    await this.#endJobs();
-    return "again";
-  }
-
-  /** True if it was applied; else what stood in the way is known by now. */
-  async #commit(t: Transaction): Promise<boolean> {
-    const { ctx, state } = this;
-    const began = monotonicNow();
-    const r = await ctx.store.commitUntilDecided(t, () => ctx.stopping);
-    ctx.metrics.record("commit", monotonicNow() - began);
-    if (r.kind === "applied") {
-      applyCommitted(ctx.replica, t.ops, r.rev);
-      state.counters.commits++;
-      state.counters.puts += t.ops.length;
-      return true;
-    }
-    state.counters.conflicts++;
-    ctx.log.debug("round not applied", { result: r.kind, ops: t.ops.length });
-    const failed = r.kind === "conflict" ? r.failed : [];
-    // Its own first copy was applied, most likely, without an answer. Keys read one by one are of
-    // different moments: a job or a machine that went from one page to another in that write could
-    // be seen in neither, and what it has open be taken for nothing.
-    const pages = failed.filter((key) => PAGES.has(classifyKey(key).kind));
-    await rereadKeys(ctx, failed.length > 0 ? failed : t.conditions.map((c) => c.key));
-    for (const key of pages)
-      this.#catchUp = revision(Math.max(this.#catchUp, ctx.replica.revisionOf(key)));
-    return false;
-  }
-
-  /**
-   * Final records of jobs whose ends had no room in the round, in transactions of their own: these
-   * need no look at machines, so in a flood of small jobs they come faster than rounds do.
-   */
-  async #endJobs(): Promise<void> {
-    const { ctx, state } = this;
-    const { replica, settings } = ctx;
-    for (let n = 0; n < MOST_END_TXNS && !ctx.stopping; n++) {
-      if (replica.syncedRevision < this.#catchUp || !this.membership.holdsValidLease()) return;
-      const batch = new TransactionBatch(replica, {
-        ...settings.state,
-        shardCount: settings.shardCount,
-      });
-      // Asked anew each time: a shard may have gone to another while the last one was written.
-      for (const shard of this.membership.ownedShards())
-        finishCompletedJobs(state, newShardRound(shard, batch, monotonicNow()));
-      if (batch.empty) return;
-      const t = batch.transaction();
-      if (!ctx.store.mayWriteBatch(t.ops.length, LEAST_WRITES)) return;
-      if (!(await this.#commit(t))) return;
-    }
-  }
-
-  #decide(shards: readonly ReturnType<Membership["ownedShards"]>[number][], now: MonotonicMs) {
-    const { ctx, state } = this;
-    const { replica, settings } = ctx;
-    const batch = new TransactionBatch(replica, {
-      ...settings.state,
-      shardCount: settings.shardCount,
-    });
-    const call = new Set<MachineId>();
-    const closedKeys: string[] = [];
-    this.#disturbRewritten();
-    this.#sweep.markDirty(state, now);
-    const looked = new Set(state.dirtyMachines);
-    state.dirtyMachines.clear();
-    // Each has its turn at being first, for the batch may be full before the last.
-    this.#turn = (this.#turn + 1) % shards.length;
-    for (let i = 0; i < shards.length; i++) {
-      const shard = shards[(i + this.#turn) % shards.length];
-      if (shard === undefined) continue;
-      const round = {
-        ...newShardRound(shard, batch, now),
-        machinesToCall: call,
-        terminatedKeys: closedKeys,
-      };
-      const own = [...looked].filter((id) => replica.machines.get(id)?.shard === shard);
-      // What frees resources and ends jobs goes first, then machines, then starts.
-      terminateAttempts(state, round, own);
-      const edited = this.#records.reconcile(round, own);
-      if (PlacementPhase.needed(state, round)) new PlacementPhase(state, round, edited).run();
-    }
-    return { batch, call, closedKeys, looked };
-  }
-
-  /** Machines with attempts of jobs that were cancelled, and those proved gone, are looked at now. */
-  #disturbRewritten(): void {
-    const { replica } = this.ctx;
-    const { dirtyMachines, sessions } = this.state;
-    for (const id of replica.rewrittenJobs) {
-      const shard = replica.shardOf(id);
-      // Pages of shards that are not owned here need not be read for it.
-      if (shard === undefined || !this.membership.ownsShard(shard)) continue;
-      for (const o of replica.job(id)?.open ?? [])
-        if (sessions.has(o.machine)) dirtyMachines.add(o.machine);
-    }
-    for (const id of replica.recentlyGone) if (sessions.has(id)) dirtyMachines.add(id);
-    replica.rewrittenJobs.clear();
-    replica.recentlyGone.clear();
+    return !this.#isCommitting && this.ctx.synced && this.membership.holdsValidLease();
   }
 
+  /** Counters for the logs. */
   stats(): Readonly<Record<string, unknown>> {
-    return { ...this.state.stats(), heartbeats: this.#heartbeats };
+    return { ...this.state.stats(), heartbeats: this.#heartbeatCounts };
   }
 }
