--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -55,11 +55,10 @@
   const session = state.sessions.get(id);
   if (record.phase !== "up" || state.ctx.replica.isGone(id)) return false;
   if (session?.state !== "ready" || session.status?.preemptionNoticeS != null) return false;
-  const machineState = state.machineState(id);
-  if (machineState.decommission !== null || machineState.pendingTransfer !== null) return false;
+  const { departure, health } = state.machineState(id);
+  if (departure.isPending) return false;
   return (
-    machineState.unreachableCalls <= MAX_UNANSWERED_CALLS &&
-    !state.heartbeatOverdue(id, monotonicNow())
+    health.unreachableCalls <= MAX_UNANSWERED_CALLS && !state.heartbeatOverdue(id, monotonicNow())
   );
 };
 
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -146,9 +146,9 @@
    * the fencing token in force: the token has to rise.
    */
   #requestTokenRaise(machine: CandidateMachine): void {
-    const machineState = this.state.machineState(machine.id);
-    if (!machineState.needsTokenRaise) this.state.dirtyMachines.add(machine.id);
-    machineState.needsTokenRaise = true;
+    const { tokenRaise } = this.state.machineState(machine.id);
+    if (!tokenRaise.pending) this.state.dirtyMachines.add(machine.id);
+    tokenRaise.request();
   }
 
   #hasEarlierAttempt(task: TaskId, machine: CandidateMachine): boolean {
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -137,7 +137,7 @@
       const attemptState = state.attemptStates.get(attempt.key);
       const { resources, checkpointSaveS } = job.spec;
       // It is stopping already: its room may be reserved, but nothing can be started in it yet.
-      if (job.cancelledAt !== null || attemptState?.requestStop != null) {
+      if (job.cancelledAt !== null || attemptState?.stopRequest != null) {
         if (round.terminatedByMachine.get(machine.id)?.has(task) !== true)
           free = add(free, resources);
         continue;
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -77,7 +77,7 @@
     if (this.commit.isReplicaBehind) return { pauseMs: CATCH_UP_MS };
     const writeWaitMs = store.writeWaitMs(MIN_ROUND_WRITES);
     if (writeWaitMs > 0) return { pauseMs: writeWaitMs };
-    this.#expireReservations(now);
+    state.reservations.expire(now);
     this.#evictAndSwarm(shards, now);
     const decision = this.#decide(shards, now);
     if (decision.batch.empty) {
@@ -100,18 +100,13 @@
       this.#abandon(decision);
       return "again";
     }
-    for (const key of decision.terminatedKeys) state.attemptStates.delete(key);
+    for (const key of decision.terminatedKeys) state.forgetAttempt(key);
     state.syncSessions(monotonicNow());
     this.#dispatch(decision);
     await this.#finishJobs();
     return "again";
   }
 
-  #expireReservations(now: MonotonicMs): void {
-    const { reservations } = this.state;
-    for (const [task, { until }] of reservations) if (until <= now) reservations.delete(task);
-  }
-
   /** Requests the stops that clear machines: spot notices, drains for other shards, swarm moves. */
   #evictAndSwarm(shards: readonly ShardId[], now: MonotonicMs): void {
     const { state } = this;
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -83,12 +83,12 @@
   }
 
   /** The leader wants a machine for another shard. Ignored for machines that are not owned here. */
-  requestTransfer(m: MachineTransferRequest): void {
-    if (!this.state.sessions.has(m.machine)) return;
+  requestTransfer({ machine, to, drain, whenEmpty = false }: MachineTransferRequest): void {
+    if (!this.state.sessions.has(machine)) return;
     const until = monotonicMs(monotonicNow() + TRANSFER_REQUEST_MS);
-    const { to, drain, whenEmpty = false } = m;
-    this.state.machineState(m.machine).pendingTransfer = { to, drain, whenEmpty, until };
-    this.state.dirtyMachines.add(m.machine);
+    const transfer = { to, drain, whenEmpty, until };
+    this.state.machineState(machine).departure.step({ kind: "transfer_requested", transfer });
+    this.state.dirtyMachines.add(machine);
     this.state.wake();
   }
 
@@ -98,9 +98,9 @@
    */
   requestDecommission(id: MachineId, reason?: string): void {
     if (!this.state.sessions.has(id)) return;
-    const note = this.state.machineState(id);
-    if (reason !== undefined && reason !== "") note.decommission = { reason, force: true };
-    else note.decommission ??= { reason: "surplus", force: false };
+    const { departure } = this.state.machineState(id);
+    if (reason) departure.step({ kind: "decommission_forced", reason });
+    else departure.step({ kind: "decommission_requested", reason: "surplus" });
     this.state.dirtyMachines.add(id);
     this.state.wake();
   }
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -67,7 +67,7 @@
     const attemptState = state.attemptStates.get(attempt.key);
     // A job that fails everywhere would draw tasks back and forth, so it does not count in n.
     const isFailing = (state.jobBackoffs.get(attempt.job)?.failures ?? 0) > 0;
-    if (attemptState?.requestStop != null || isFailing || job.cancelledAt !== null) {
+    if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
       use = subtract(use, job.spec.resources);
       continue;
     }
