--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -14,6 +14,7 @@
 import { parse } from "smol-toml";
 import { parseHcl } from "../target/config/hcl.js";
 import { checkPackages } from "../target/config/packages.js";
+import { minimalSettings } from "./minimal-settings.mjs";
 
 const RUN_MS = 1500;
 /** See `src/start.cts`. */
@@ -91,31 +92,17 @@
     });
   });
 
+const freeAddress = async () => `127.0.0.1:${await freePort()}`;
+
 /** Of a controller that reaches nobody: nothing listens at the addresses of the services. */
-const settings = async () => `
-label = "build"
-area = "build"
-front = "127.0.0.1:${await freePort()}"
-internal_addr = "127.0.0.1:${await freePort()}"
-[services]
-cloud = "127.0.0.1:${await freePort()}"
-state = "127.0.0.1:${await freePort()}"
-[params]
-size = 1
-zones = ["build"]
-[params.workers]
-report_s = 3.0
-lease_s = 20.0
-cancel_s = 40.0
-[params.state]
-rps = 100.0
-write_rps = 50.0
-value_kb = 8.0
-txn_ops = 16
-[params.cloud]
-rps = 1.0
-[params.resources]
-`;
+const settings = async () =>
+  minimalSettings({
+    label: "build",
+    front: await freeAddress(),
+    internal: await freeAddress(),
+    cloud: await freeAddress(),
+    state: await freeAddress(),
+  });
 
 /** V8 takes a cache only under the flags it was made with: those of the deploy file. */
 const startCommand = () => {
--- a/scripts/compare-processor-time.mjs
+++ b/scripts/compare-processor-time.mjs
@@ -20,6 +20,7 @@
 import { fileURLToPath } from "node:url";
 import { parseArgs } from "node:util";
 import { parse } from "smol-toml";
+import { minimalSettings } from "./minimal-settings.mjs";
 
 const USAGE = `usage: npm run measure:processor -- BEFORE AFTER [--pairs N] [--json]
     [--day-before PATTERN] [--day-after PATTERN]
@@ -35,29 +36,13 @@
 const TEST_NAME = /\b(?:test|it)\(\s*(["'`])((?:\\.|(?!\1).)*)\1/g;
 
 /** Only checked, never served: nothing listens at these addresses. */
-const SETTINGS = `label = "processor-time"
-area = "processor-time"
-front = "127.0.0.1:18001"
-internal_addr = "127.0.0.1:18002"
-[services]
-cloud = "127.0.0.1:18003"
-state = "127.0.0.1:18004"
-[params]
-size = 1
-zones = ["a"]
-[params.workers]
-report_s = 3.0
-lease_s = 20.0
-cancel_s = 40.0
-[params.state]
-rps = 100.0
-write_rps = 50.0
-value_kb = 8.0
-txn_ops = 16
-[params.cloud]
-rps = 1.0
-[params.resources]
-`;
+const SETTINGS = minimalSettings({
+  label: "processor-time",
+  front: "127.0.0.1:18001",
+  internal: "127.0.0.1:18002",
+  cloud: "127.0.0.1:18003",
+  state: "127.0.0.1:18004",
+});
 
 /** A reason why nothing can be measured, told to the user without a stack. */
 class MeasurementError extends Error {}
--- a/src/config/field-reader.ts
+++ b/src/config/field-reader.ts
@@ -27,7 +27,7 @@
   ) {}
 
   /** The same fields, with faults gathered apart. */
-  apart(faults: string[]): FieldReader {
+  withFaults(faults: string[]): FieldReader {
     return new FieldReader(this.source, this.where, faults);
   }
 
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -46,7 +46,7 @@
 /** One that can't be read is no reason not to start: it is ignored, and logged. */
 const readObjective = (row: FieldReader, ignored: string[]): Objective | undefined => {
   const faults: string[] = [];
-  const fields = row.apart(faults);
+  const fields = row.withFaults(faults);
   const kind = fields.text("kind");
   if (faults.length === 0 && !OBJECTIVE_KINDS.includes(kind))
     faults.push(
--- a/src/service/job-cancellation.ts
+++ b/src/service/job-cancellation.ts
@@ -5,13 +5,12 @@
  * read, so that neither a final record nor an earlier cancellation is ever overwritten.
  */
 import type { JobId } from "@umberfold/ids";
-import { applyCommitted, type ControllerContext } from "../coordination/context.js";
-import type { GroupCommit } from "../storage/group-commit.js";
-import type { JobLookup, JobReader } from "../storage/job-reader.js";
+import { applyCommitted } from "../coordination/context.js";
+import type { JobLookup } from "../storage/job-reader.js";
 import { encodeAcceptedJob, keys } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
 import type { HttpResponse } from "../transport/server.js";
-import type { JobAnswers } from "./job-answers.js";
+import type { JobWriteParts } from "./job-write-parts.js";
 import { tryAgain } from "./user-responses.js";
 
 /** How often, and for how long, a write is tried again that met with another's. */
@@ -20,35 +19,28 @@
 
 /** Cancels the jobs that users withdraw. */
 export class JobCancellation {
-  constructor(
-    private readonly ctx: ControllerContext,
-    private readonly jobs: JobReader,
-    private readonly writes: GroupCommit,
-    private readonly answers: JobAnswers,
-    /** Has a round run soon. */
-    private readonly wake: () => void,
-  ) {}
+  constructor(private readonly parts: JobWriteParts) {}
 
   /** Idempotent: a job that is finished or cancelled is answered as it is. */
   async cancel(id: JobId): Promise<HttpResponse> {
-    const { ctx, answers } = this;
+    const { ctx, jobs, writes, answers, wake } = this.parts;
     const deadline = monotonicNow() + MAX_ATTEMPTS_MS;
     for (let attempt = 0; attempt < MAX_ATTEMPTS && monotonicNow() < deadline; attempt++) {
       // The write is conditional, so the replica's copy will do to begin with.
-      const found = (attempt === 0 && this.#fromReplica(id)) || (await this.jobs.read(id));
+      const found = (attempt === 0 && this.#fromReplica(id)) || (await jobs.read(id));
       if (found.kind !== "live") return answers.about(id, found);
       if (found.job.cancelledAt !== null) return answers.about(id, found);
       if (!ctx.store.mayWriteNow(1)) return tryAgain(429);
       const key = keys.live(id);
       const cancelled = { ...found.job, cancelledAt: wallClockNow() };
       const operations = [{ kind: "put", key, value: encodeAcceptedJob(cancelled) }] as const;
-      const result = await this.writes.commit({
+      const result = await writes.commit({
         conditions: [{ key, rev: found.rev }],
         ops: operations,
       });
       if (result.kind === "applied") {
         applyCommitted(ctx.replica, operations, result.rev);
-        this.wake();
+        wake();
         const askedAt = monotonicNow();
         return answers.aboutCancelled(id, {
           kind: "live",
@@ -65,7 +57,7 @@
 
   /** A live job as the replica has it, which another controller may have changed since. */
   #fromReplica(id: JobId): JobLookup | undefined {
-    const accepted = this.ctx.replica.accepted.get(id);
+    const accepted = this.parts.ctx.replica.accepted.get(id);
     if (accepted === undefined) return undefined;
     const { value: job, rev } = accepted;
     return { kind: "live", job, rev, askedAt: monotonicNow() };
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -6,15 +6,13 @@
  * the state store or secured by the conditions of the write.
  */
 import { type JobId, KEY_ABSENT } from "@umberfold/ids";
-import { applyCommitted, type ControllerContext } from "../coordination/context.js";
+import { applyCommitted } from "../coordination/context.js";
 import { acceptedBody, type JobSpec, parseSubmission, submissionId } from "../protocol/jobs.js";
 import { fits } from "../scheduling/resources.js";
-import type { GroupCommit } from "../storage/group-commit.js";
-import type { JobReader } from "../storage/job-reader.js";
 import { encodeAcceptedJob, keys, newJob } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
 import { decodeBody, type HttpResponse } from "../transport/server.js";
-import type { JobAnswers } from "./job-answers.js";
+import type { JobWriteParts } from "./job-write-parts.js";
 import { malformed, NOT_CBOR, neverRuns, tryAgain } from "./user-responses.js";
 
 const MIN_PENDING = 4;
@@ -30,14 +28,7 @@
 export class JobSubmission {
   #pending = 0;
 
-  constructor(
-    private readonly ctx: ControllerContext,
-    private readonly jobs: JobReader,
-    private readonly writes: GroupCommit,
-    private readonly answers: JobAnswers,
-    /** Has a round run soon. */
-    private readonly wake: () => void,
-  ) {}
+  constructor(private readonly parts: JobWriteParts) {}
 
   /**
    * Answers a submission, of which only the bytes are known. Not async itself: one more Promise
@@ -54,14 +45,15 @@
 
   /** A known job is answered before any check of what else a repetition says. */
   async #refuse(id: JobId | undefined, reason: string): Promise<HttpResponse> {
-    const found = id === undefined ? undefined : await this.jobs.read(id);
+    const { jobs, answers } = this.parts;
+    const found = id === undefined ? undefined : await jobs.read(id);
     if (id !== undefined && found !== undefined && found.kind !== "none")
-      return this.answers.about(id, found);
+      return answers.about(id, found);
     return malformed(reason);
   }
 
   async #submitParsed(spec: JobSpec): Promise<HttpResponse> {
-    const { ctx, jobs, answers } = this;
+    const { ctx, jobs, answers } = this.parts;
     // Known jobs come first: settings or types may have changed since they were accepted.
     if (jobs.finalOf(spec.id) !== undefined || ctx.replica.accepted.has(spec.id)) {
       const found = await jobs.read(spec.id);
@@ -87,18 +79,19 @@
 
   /** Without them it can't be told whether a job could ever run. */
   #knowsMachineTypes(): boolean {
-    const types = this.ctx.replica.machineTypes?.value;
-    return this.ctx.synced && types !== undefined && types.length > 0;
+    const { replica, synced } = this.parts.ctx;
+    const types = replica.machineTypes?.value;
+    return synced && types !== undefined && types.length > 0;
   }
 
   /** About what the state store lets us write in a second; more would only wait its turn. */
   #maxPending(): number {
-    return Math.max(MIN_PENDING, Math.ceil(this.ctx.settings.state.writeRps));
+    return Math.max(MIN_PENDING, Math.ceil(this.parts.ctx.settings.state.writeRps));
   }
 
   #runnability(spec: JobSpec): Runnability {
-    const { replica } = this.ctx;
-    const team = this.ctx.teams.get(spec.team);
+    const { replica, teams } = this.parts.ctx;
+    const team = teams.get(spec.team);
     if (team === undefined) return never("unknown team");
     const types = replica.machineTypes?.value ?? [];
     const fitsSomeType = types.some(
@@ -114,12 +107,12 @@
   }
 
   async #accept(spec: JobSpec): Promise<HttpResponse> {
-    const { ctx } = this;
+    const { ctx, jobs, writes, answers, wake } = this.parts;
     const key = keys.live(spec.id);
     const shard = ctx.loadSpread?.placeJob(spec) ?? null;
     const value = encodeAcceptedJob(newJob(spec, wallClockNow(), shard));
     const operations = [{ kind: "put", key, value }] as const;
-    const result = await this.writes.commit({
+    const result = await writes.commit({
       conditions: [
         { key, rev: KEY_ABSENT },
         { key: keys.final(spec.id), rev: KEY_ABSENT },
@@ -128,12 +121,11 @@
     });
     if (result.kind === "applied") {
       applyCommitted(ctx.replica, operations, result.rev);
-      this.wake();
+      wake();
       return { status: 201, body: acceptedBody(spec.id) };
     }
     // A conflict means it is known already. No answer means it may be: the user asks again.
-    if (result.kind === "conflict")
-      return this.answers.about(spec.id, await this.jobs.read(spec.id));
+    if (result.kind === "conflict") return answers.about(spec.id, await jobs.read(spec.id));
     return tryAgain(503);
   }
 }
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -18,8 +18,12 @@
 } from "../protocol/peer.js";
 import { parseUserPath } from "../protocol/user-paths.js";
 import { HEARTBEAT_PATH } from "../protocol/workers.js";
-import type { HttpRequest, HttpResponse, RequestHandler } from "../transport/server.js";
-import { decodeBody } from "../transport/server.js";
+import {
+  decodeBody,
+  type HttpRequest,
+  type HttpResponse,
+  type RequestHandler,
+} from "../transport/server.js";
 import type { UserApi } from "./user-api.js";
 import { NOT_CBOR } from "./user-responses.js";
 
@@ -49,28 +53,41 @@
   return owner.handleHeartbeat(body.value, (status) => leader.adoptMachine(status));
 };
 
+/** The one method of each path of a user's request. */
+const METHODS = {
+  readiness: "GET",
+  submission: "POST",
+  status: "GET",
+  cancellation: "POST",
+} as const;
+
+const handleUserRequest = (
+  users: UserApi,
+  { method, path, bytes }: HttpRequest,
+): HttpResponse | Promise<HttpResponse> => {
+  const target = parseUserPath(path);
+  if (target.kind === "unknown") return UNKNOWN_PATH;
+  if (method !== METHODS[target.kind]) return METHOD_NOT_ALLOWED;
+  switch (target.kind) {
+    case "readiness":
+      return users.readiness();
+    case "submission":
+      return users.submit(bytes);
+    case "status":
+      return users.getStatus(target.id);
+    case "cancellation":
+      return users.cancel(target.id);
+  }
+};
+
 /** Requests of users, workers and the load balancer. */
-export const frontHandler = (parts: Parts): RequestHandler => {
-  const { users } = parts;
-  return ({ method, path, bytes }) => {
+export const frontHandler =
+  (parts: Parts): RequestHandler =>
+  (request) => {
     // First, since nearly all requests are heartbeats.
-    if (path === HEARTBEAT_PATH)
-      return method === "POST" ? handleHeartbeat(parts, bytes) : METHOD_NOT_ALLOWED;
-    const target = parseUserPath(path);
-    switch (target.kind) {
-      case "readiness":
-        return method === "GET" ? users.readiness() : METHOD_NOT_ALLOWED;
-      case "submission":
-        return method === "POST" ? users.submit(bytes) : METHOD_NOT_ALLOWED;
-      case "status":
-        return method === "GET" ? users.getStatus(target.id) : METHOD_NOT_ALLOWED;
-      case "cancellation":
-        return method === "POST" ? users.cancel(target.id) : METHOD_NOT_ALLOWED;
-      case "unknown":
-        return UNKNOWN_PATH;
-    }
+    if (request.path !== HEARTBEAT_PATH) return handleUserRequest(parts.users, request);
+    return request.method === "POST" ? handleHeartbeat(parts, request.bytes) : METHOD_NOT_ALLOWED;
   };
-};
 
 /** Requests of the other controllers. */
 export const peerHandler = (parts: Parts): RequestHandler => {
--- a/src/service/stats-report.ts
+++ b/src/service/stats-report.ts
@@ -4,23 +4,12 @@
  * Nothing here has state, but writing the report empties the metrics: `timesMs` covers the time
  * since the report before. All counters else are totals since the start.
  */
-import type { Cancellations } from "../coordination/cancellation/cancellations.js";
-import type { ControllerContext } from "../coordination/context.js";
-import type { Leader } from "../coordination/fleet/leader.js";
-import type { Membership } from "../coordination/membership/membership.js";
-import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
 import { monotonicNow } from "../transport/clock.js";
 import type { LoadSpreadLoader } from "./load-spread-loader.js";
-import type { UserApi } from "./user-api.js";
+import type { Parts } from "./routes.js";
 
 /** The parts that report counters. */
-export interface ReportedParts {
-  readonly ctx: ControllerContext;
-  readonly membership: Membership;
-  readonly owner: ShardOwner;
-  readonly leader: Leader;
-  readonly cancels: Cancellations;
-  readonly users: UserApi;
+export interface ReportedParts extends Parts {
   readonly loadSpread: LoadSpreadLoader;
 }
 
--- a/src/service/user-api.ts
+++ b/src/service/user-api.ts
@@ -42,9 +42,11 @@
     const jobs = new JobReader(ctx.store, ctx.replica, maxConditions);
     const writes = new GroupCommit(ctx.store, { maxOps, maxConditions });
     this.#jobs = jobs;
-    this.#answers = new JobAnswers(ctx, jobs, confirm);
-    this.#submission = new JobSubmission(ctx, jobs, writes, this.#answers, wake);
-    this.#cancellation = new JobCancellation(ctx, jobs, writes, this.#answers, wake);
+    const answers = new JobAnswers(ctx, jobs, confirm);
+    this.#answers = answers;
+    const parts = { ctx, jobs, writes, answers, wake };
+    this.#submission = new JobSubmission(parts);
+    this.#cancellation = new JobCancellation(parts);
   }
 
   /** Counters of the questions for jobs since the start. */
