--- a/test/cli/start.test.ts
+++ b/test/cli/start.test.ts
@@ -1,12 +1,31 @@
 import assert from "node:assert/strict";
-import { execFileSync } from "node:child_process";
+import { execFileSync, spawnSync } from "node:child_process";
 import { copyFileSync, mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import path from "node:path";
 import test from "node:test";
 
+const BUILT_FILES = ["start.cjs", "umberfold.cjs", "umberfold.cache"];
+
+/** Copies built files, without what else the build made, to a directory that is removed afterwards. */
+const withBuiltCopy = (files: readonly string[], use: (target: string) => void): void => {
+  const directory = mkdtempSync(path.join(tmpdir(), "start-"));
+  try {
+    const target = path.join(directory, "target");
+    mkdirSync(target);
+    for (const file of files) copyFileSync(path.join("target", file), path.join(target, file));
+    copyFileSync("package.json", path.join(directory, "package.json"));
+    use(target);
+  } finally {
+    rmSync(directory, { recursive: true });
+  }
+};
+
+const runStart = (target: string, ...words: readonly string[]): string =>
+  execFileSync(process.execPath, [path.join(target, "start.cjs"), ...words]).toString();
+
 /** The bundle starts whatever became of its code cache: that only makes it faster. */
-const caches: readonly (readonly [string, ((file: string) => void) | undefined])[] = [
+const caches: readonly (readonly [name: string, damage: ((file: string) => void) | undefined])[] = [
   ["as built", undefined],
   ["missing", (file) => rmSync(file)],
   ["cut short", (file) => writeFileSync(file, readFileSync(file).subarray(0, 1000))],
@@ -14,40 +33,33 @@
 ];
 for (const [name, damage] of caches)
   test(`the program starts with its code cache ${name}`, () => {
-    const dir = mkdtempSync(path.join(tmpdir(), "start-"));
-    try {
-      mkdirSync(path.join(dir, "target"));
-      for (const file of ["start.cjs", "umberfold.cjs", "umberfold.cache"])
-        copyFileSync(path.join("target", file), path.join(dir, "target", file));
-      copyFileSync("package.json", path.join(dir, "package.json"));
-      damage?.(path.join(dir, "target", "umberfold.cache"));
-      const out = execFileSync(process.execPath, [
-        path.join(dir, "target", "start.cjs"),
-        "--version",
-      ]);
-      assert.equal(out.toString().trim(), JSON.parse(readFileSync("package.json", "utf8")).version);
-    } finally {
-      rmSync(dir, { recursive: true });
-    }
+    withBuiltCopy(BUILT_FILES, (target) => {
+      damage?.(path.join(target, "umberfold.cache"));
+      const { version } = JSON.parse(readFileSync("package.json", "utf8"));
+      assert.equal(runStart(target, "--version").trim(), version);
+    });
   });
 
 test("a package that is off is not loaded: the program checks its settings without its file", () => {
-  const dir = mkdtempSync(path.join(tmpdir(), "start-"));
-  try {
-    mkdirSync(path.join(dir, "target"));
-    for (const file of ["start.cjs", "umberfold.cjs", "umberfold.cache", "packages.json"])
-      copyFileSync(path.join("target", file), path.join(dir, "target", file));
-    copyFileSync("package.json", path.join(dir, "package.json"));
-    const out = execFileSync(process.execPath, [
-      path.join(dir, "target", "start.cjs"),
-      "--packages",
-      path.join(dir, "target", "packages.json"),
-      "--check",
-      "--config",
-      path.join("target", "build-settings.toml"),
-    ]);
-    assert.match(out.toString(), /settings are valid/);
-  } finally {
-    rmSync(dir, { recursive: true });
-  }
+  withBuiltCopy([...BUILT_FILES, "packages.json"], (target) => {
+    const packages = path.join(target, "packages.json");
+    const settings = path.join("target", "build-settings.toml");
+    const output = runStart(target, "--packages", packages, "--check", "--config", settings);
+    assert.match(output, /settings are valid/);
+  });
+});
+
+test("settings with faults end the program with exit code 1 and a line for each on standard error", () => {
+  withBuiltCopy(BUILT_FILES, (target) => {
+    const settings = path.join(target, "settings.toml");
+    writeFileSync(settings, 'label = "a"\n');
+    const words = [path.join(target, "start.cjs"), "--check", "--config", settings];
+    const finished = spawnSync(process.execPath, words, { encoding: "utf8" });
+    assert.equal(finished.status, 1);
+    assert.equal(finished.stdout, "");
+    const lines = finished.stderr.trimEnd().split("\n");
+    assert.ok(lines.length > 1);
+    for (const line of lines) assert.ok(line.startsWith(`umberfold: ${settings}: `), line);
+    assert.ok(lines.includes(`umberfold: ${settings}: services: section is missing`));
+  });
 });
--- a/test/config/packages.test.ts
+++ b/test/config/packages.test.ts
@@ -8,7 +8,7 @@
   parsePackages,
 } from "../../src/config/packages.js";
 
-const refused: readonly (readonly [string, unknown, RegExp])[] = [
+const refused: readonly (readonly [name: string, raw: unknown, fault: RegExp])[] = [
   ["an unknown block", { load_spreading: {} }, /load_spreading: is not a known setting/],
   ["an unknown setting", { load_spread: { span: 2 } }, /load_spread\.span: is not a known/],
   ["a block twice", { load_spread: [{}, {}] }, /appears twice/],
--- a/test/service/periodic-task.test.ts
+++ b/test/service/periodic-task.test.ts
@@ -8,10 +8,10 @@
 import { SimulatedClock } from "../sim/clock.js";
 
 /** How long a decision that took so long rests, at five times as long. */
-const cases: readonly (readonly [string, number, number])[] = [
+const cases: readonly (readonly [name: string, tookMs: number, restMs: number])[] = [
   ["too short to count", 1, 0],
   ["in proportion", 20, 100],
-  // The process stood still in the middle of it: its clock ran on, and nobody would be moved for minutes.
+  // A process pause in the middle of it: its clock ran on, and nothing would be moved for minutes.
   ["after a pause not for minutes", 35_000, 2000],
 ];
 
@@ -38,7 +38,7 @@
   const stops: (() => void)[] = [];
   let runs = 0;
   await new Promise<void>((resolve) => {
-    const task = periodicTask("t", 1, async () => {
+    const task = periodicTask("failing", 1, async () => {
       runs++;
       if (runs === 4) resolve();
       if (runs < 4) throw new Error(`run ${runs}`);
