--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -87,21 +87,21 @@
 
 /** What the state store allows. */
 export interface StateSettings {
-  /** Requests a second, of this controller. */
+  /** Requests a second, of all controllers together; renewals of leases and watches count. */
   readonly rps: number;
-  /** Writes a second, of this controller. */
+  /** Puts and deletes a second, of all controllers together; those of refused transactions count. */
   readonly writeRps: number;
   /** The largest value, in KiB. */
   readonly valueKb: number;
-  /** The most changes of one transaction. */
+  /** The most puts and deletes of one transaction. */
   readonly txnOps: number;
 }
 
 /** What the cloud allows. */
 export interface CloudSettings {
-  /** Requests a second. */
+  /** Requests a second; all go through the leader but for forced returns. */
   readonly rps: number;
-  /** Seconds by which its list of machines may be behind. */
+  /** Seconds by which its list of machines is behind; at times up to twice as many. */
   readonly listLagS: number;
 }
 
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -9,18 +9,18 @@
 import { amount, type Fields, isMap, list, text } from "./cbor.js";
 import type { Resources } from "./jobs.js";
 
-/** A kind of machine that can be rented. Prices are for a machine and hour of the cloud's billing. */
+/** A kind of machine that can be rented. Prices are per hour, from the rental until it is gone. */
 export interface MachineType {
   readonly name: string;
   readonly capacity: Resources;
   /** Room for images, in GB. */
   readonly cacheGb: number;
-  /** How fast an image is fetched. */
+  /** How fast images are fetched; those fetched at the same time may share it. */
   readonly fetchGbPerS: number;
   readonly price: number;
-  /** The price as a spot machine; as `price` where the cloud names none. */
+  /** The present price as a spot machine; as `price` where the cloud names none. */
   readonly spotPrice: number;
-  /** Seconds from the rental until it runs tasks. */
+  /** Seconds from the rental until its worker is up, as a rule; some take much longer. */
   readonly bootS: number;
   readonly zones: readonly string[];
 }
@@ -48,7 +48,7 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly phase: CloudMachinePhase;
-  /** Seconds since it was rented. */
+  /** Seconds from the rental request to the moment that the list describes. */
   readonly ageS: number;
 }
 
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -39,13 +39,13 @@
   readonly zoneAffinity: boolean;
   readonly spreadAcrossZones: boolean;
   readonly spotAllowed: boolean;
-  /** How long the user expects a task to run. */
+  /** How long the user expects a task to run, without fetching its image; often wrong. */
   readonly expectedRunS: number;
-  /** Seconds of run between two checkpoints; 0: none are made. */
+  /** Seconds of progress between two checkpoints; 0: a task never saves, and stopping it loses all. */
   readonly checkpointIntervalS: number;
-  /** Seconds that saving one takes. */
+  /** Seconds that a task needs to save when it is stopped. */
   readonly checkpointSaveS: number;
-  /** Seconds from acceptance until it should be finished; null: no deadline. */
+  /** Seconds from submission until it should be finished; null: no deadline. */
   readonly deadlineS: number | null;
 }
 
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -32,7 +32,7 @@
   readonly phase: TaskPhase;
   /** Always there once the phase is `ended`. */
   readonly cause?: EndCause;
-  /** Whether its checkpoint was kept when it was stopped. */
+  /** Whether its progress was saved when it was stopped. */
   readonly saved: boolean;
 }
 
@@ -54,7 +54,7 @@
   readonly tasks: readonly TaskStatus[];
 }
 
-/** A command for one attempt. `graceS`: seconds that a task gets to save before it is ended. */
+/** A command for one attempt. `graceS`: seconds that a task gets to save; one that needs more ends at once. */
 export type WorkerCommand =
   | { readonly op: "start"; readonly task: TaskId; readonly attempt: AttemptNumber }
   | {
