--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -19,7 +19,7 @@
 import { monotonicNow, sleep, wallClockNow } from "../../transport/clock.js";
 import { type ControllerContext, peerAddress } from "../context.js";
 import type { Membership } from "../membership/membership.js";
-import { observeAttempt } from "../ownership/worker-session.js";
+import { observeAttempt } from "../ownership/attempt-observation.js";
 import type { ShardOwner } from "../rounds/shard-owner.js";
 
 /** How long a confirmation may wait for the watch and for the owner; then the user asks again. */
--- a/src/coordination/ownership/worker-session.ts
+++ b/src/coordination/ownership/worker-session.ts
@@ -1,280 +1,173 @@
+/**
+ * The owner's view of one worker: a state machine with one transition function,
+ * `stepWorkerSession`, without I/O and without a clock of its own.
+ *
+ *     unknown --status_received--> fencing --status_received (our token)--> ready
+ *     fencing, ready --token_assigned--> fencing     any --became_unresponsive--> unresponsive
+ *
+ * What must hold: only in `ready` may anything be concluded from an attempt's absence, or be
+ * started; and a start that may be in flight is never forgotten (see start-delivery.ts).
+ */
+import type { FencingToken, MonotonicMs, TaskId } from "@umberfold/ids";
+import type { TaskStatus, WorkerStatus } from "../../protocol/workers.js";
 import {
-  type AttemptNumber,
-  attemptKey,
-  type FencingToken,
-  type MonotonicMs,
-  type TaskId,
-} from "@umberfold/ids";
-import type { TaskStatus, WorkerCommand, WorkerStatus } from "../../protocol/workers.js";
+  canForget,
+  keepDeliveries,
+  NO_DELIVERIES,
+  type StartDeliveries,
+  type StartDeliveryEvent,
+  stepStartDeliveries,
+} from "./start-delivery.js";
 
 /**
- * What a shard's owner knows of one machine it holds.
- *
- * `unheard`: no report yet since we took it. `claiming`: heard, but its highest token is below
- * ours, so an earlier owner's commands may still be carried out and nothing may be started or
- * believed absent. `ready`: it has shown our token: no older command can be executed, and its
- * newest report is the whole truth. `silent`: was heard, but is silent for too long.
+ * `unknown`: no status yet since we own the machine. `fencing`: it has sent one, but the highest
+ * token it has seen is below ours, so commands of an earlier owner may still be executed, and
+ * nothing may be started or believed absent. `ready`: it has shown our token: no older command can
+ * be executed, and its newest status is the whole truth. `unresponsive`: the failure detector gave
+ * it up.
  */
 export type WorkerSessionState = "unknown" | "fencing" | "ready" | "unresponsive";
 
-/** How an attempt's start command went out, for telling whether it can still be on its way. */
-export interface StartDelivery {
-  /** The count of heartbeats when a beat's answer carried it; settled by any later beat. */
-  readonly heartbeatMark?: number;
-  readonly direct?: "pending" | "answered" | "lost";
-  /** The token it was sent under. */
-  readonly token: FencingToken;
-}
-
+/** One worker as its owner sees it; never changed in place. */
 export interface WorkerSession {
   readonly state: WorkerSessionState;
+  /** The fencing token under which it is commanded. */
   readonly token: FencingToken;
+  /** Its newest status, by epoch and sequence, or undefined before the first. */
   readonly status: WorkerStatus | undefined;
+  /** The tasks in that status. */
   readonly tasks: ReadonlyMap<TaskId, TaskStatus>;
+  /** When its newest status arrived, or when silence began to count anew. */
   readonly lastHeardAt: MonotonicMs;
+  /** Heartbeats received in this session, without those that came late. */
   readonly heartbeats: number;
-  readonly startDeliveries: ReadonlyMap<string, StartDelivery>;
+  /** Start commands that may still be in flight, or be executed if they are repeated. */
+  readonly startDeliveries: StartDeliveries;
 }
 
+/** All that may change a session. `starts` are keys of attempts whose start was in a message. */
 export type WorkerSessionEvent =
-  /** Our token for the machine is now this one: a takeover, a move or a bump. */
+  /** Our token for the machine is now this one: after a failover, a transfer or a token raise. */
   | { readonly kind: "token_assigned"; readonly token: FencingToken; readonly now: MonotonicMs }
+  /** A status arrived, be it in a heartbeat or in the answer to a direct call. */
   | {
       readonly kind: "status_received";
-      readonly report: WorkerStatus;
+      readonly status: WorkerStatus;
       readonly via: "heartbeat" | "direct";
       readonly now: MonotonicMs;
     }
+  /** A heartbeat is being answered. */
   | { readonly kind: "heartbeat_answered"; readonly starts: readonly string[] }
+  /** A direct call is being sent. */
   | { readonly kind: "command_sent"; readonly starts: readonly string[] }
+  /** It was executed. */
   | { readonly kind: "command_answered"; readonly starts: readonly string[] }
+  /** It never left, or the worker executed nothing of it. */
   | { readonly kind: "command_not_sent"; readonly starts: readonly string[] }
+  /** Nobody knows: it may be executed minutes later. */
   | { readonly kind: "command_lost"; readonly starts: readonly string[] }
+  /** The failure detector gave the machine up. */
   | { readonly kind: "became_unresponsive" }
-  /** The owner was away itself: what it did not hear meanwhile says nothing. */
+  /** The controller itself was paused or cut off: silence until now says nothing. */
   | { readonly kind: "timers_reset"; readonly now: MonotonicMs };
 
+type StatusReceived = Extract<WorkerSessionEvent, { kind: "status_received" }>;
+
 const NO_TASKS: ReadonlyMap<TaskId, TaskStatus> = new Map();
-const NO_SENT: ReadonlyMap<string, StartDelivery> = new Map();
 
-export const newWorkerSession = (owned: FencingToken, now: MonotonicMs): WorkerSession => ({
+/** The session of a machine that is commanded under this token from now on. */
+export const newWorkerSession = (token: FencingToken, now: MonotonicMs): WorkerSession => ({
   state: "unknown",
-  token: owned,
+  token,
   status: undefined,
   tasks: NO_TASKS,
   lastHeardAt: now,
   heartbeats: 0,
-  startDeliveries: NO_SENT,
+  startDeliveries: NO_DELIVERIES,
 });
 
-/** Is `a` a newer message of the worker than `b`? */
-export const isNewer = (
-  a: { readonly epoch: number; readonly sequence: number },
-  b: { readonly epoch: number; readonly sequence: number } | undefined,
-): boolean =>
-  b === undefined || a.epoch > b.epoch || (a.epoch === b.epoch && a.sequence > b.sequence);
+/** The order of a worker's statuses. */
+interface StatusOrder {
+  readonly epoch: number;
+  readonly sequence: number;
+}
 
-const mark = (
-  s: WorkerSession,
-  starts: readonly string[],
-  with_: (old: StartDelivery | undefined) => StartDelivery | undefined,
+/** Whether the worker made `status` after `other`; they may arrive in any order. */
+const isNewer = (status: StatusOrder, other: StatusOrder | undefined): boolean =>
+  other === undefined ||
+  status.epoch > other.epoch ||
+  (status.epoch === other.epoch && status.sequence > other.sequence);
+
+/** Start commands that may matter yet, once this status has arrived. */
+const deliveriesAfterStatus = (session: WorkerSession, status: WorkerStatus): StartDeliveries => {
+  // With a new epoch the worker killed and forgot all, and drops commands meant for earlier ones.
+  if (session.status !== undefined && status.epoch > session.status.epoch) return NO_DELIVERIES;
+  if (status.token < session.token) return session.startDeliveries;
+  // Commands under a token below the one that it has seen can't be executed any more.
+  return keepDeliveries(session.startDeliveries, (_, { token }) => token >= session.token);
+};
+
+const onTokenAssigned = (
+  session: WorkerSession,
+  token: FencingToken,
+  now: MonotonicMs,
 ): WorkerSession => {
-  if (starts.length === 0) return s;
-  const startDeliveries = new Map(s.startDeliveries);
-  for (const k of starts) {
-    const next = with_(startDeliveries.get(k));
-    if (next === undefined) startDeliveries.delete(k);
-    else startDeliveries.set(k, next);
-  }
-  return { ...s, startDeliveries };
+  if (token === session.token) return session;
+  const state = session.status === undefined ? "unknown" : "fencing";
+  return { ...session, token, state, lastHeardAt: now };
 };
 
-const hear = (
-  s: WorkerSession,
-  e: Extract<WorkerSessionEvent, { kind: "status_received" }>,
+const onStatusReceived = (
+  session: WorkerSession,
+  { status, via, now }: StatusReceived,
 ): WorkerSession => {
-  const { report: status } = e;
-  // Reports arrive late and out of order; only the newest (session, seq) counts.
-  if (!isNewer(status, s.status)) return s;
-  const shown = status.token >= s.token;
-  let sent = s.startDeliveries;
-  if (s.status !== undefined && status.epoch > s.status.epoch) {
-    // The worker killed and forgot all, and drops whatever was meant for its earlier session.
-    sent = NO_SENT;
-  } else if (shown && sent.size > 0) {
-    // Commands under a token below the one it has seen can't be executed any more.
-    const kept = [...sent].filter(([, x]) => x.token >= s.token);
-    if (kept.length < sent.size) sent = new Map(kept);
-  }
+  if (!isNewer(status, session.status)) return session;
   const next: WorkerSession = {
-    ...s,
-    state: shown ? "ready" : "fencing",
+    ...session,
+    state: status.token >= session.token ? "ready" : "fencing",
     status,
-    tasks: new Map(status.tasks.map((t) => [t.task, t])),
-    lastHeardAt: e.now,
-    heartbeats: e.via === "heartbeat" ? s.heartbeats + 1 : s.heartbeats,
-    startDeliveries: sent,
+    tasks: new Map(status.tasks.map((task) => [task.task, task])),
+    lastHeardAt: now,
+    heartbeats: via === "heartbeat" ? session.heartbeats + 1 : session.heartbeats,
+    startDeliveries: deliveriesAfterStatus(session, status),
   };
   // What is settled need not be remembered, or it grows with every task ever started there; but
-  // what was answered may come again, and is remembered until the token has risen.
-  if (sent.size === 0) return next;
-  const open = [...sent].filter(([key]) => !canForget(next, key));
-  return open.length === sent.size ? next : { ...next, startDeliveries: new Map(open) };
+  // what was answered may be repeated, and is remembered until the token has risen.
+  const startDeliveries = keepDeliveries(next.startDeliveries, (key) => !canForget(next, key));
+  return startDeliveries === next.startDeliveries ? next : { ...next, startDeliveries };
 };
 
-/** The one place where a session changes. */
-export const stepWorkerSession = (s: WorkerSession, e: WorkerSessionEvent): WorkerSession => {
-  switch (e.kind) {
+const onStartsDelivered = (
+  session: WorkerSession,
+  starts: readonly string[],
+  event: StartDeliveryEvent,
+): WorkerSession => {
+  const startDeliveries = stepStartDeliveries(session.startDeliveries, starts, event);
+  return startDeliveries === session.startDeliveries ? session : { ...session, startDeliveries };
+};
+
+/** The one place where a session changes. The same object if nothing did. */
+export const stepWorkerSession = (
+  session: WorkerSession,
+  event: WorkerSessionEvent,
+): WorkerSession => {
+  const { token, heartbeats } = session;
+  switch (event.kind) {
     case "token_assigned":
-      if (e.token === s.token) return s;
-      return {
-        ...s,
-        token: e.token,
-        state: s.status === undefined ? "unknown" : "fencing",
-        lastHeardAt: e.now,
-      };
+      return onTokenAssigned(session, event.token, event.now);
     case "status_received":
-      return hear(s, e);
+      return onStatusReceived(session, event);
     case "heartbeat_answered":
-      return mark(s, e.starts, (old) => ({ ...old, heartbeatMark: s.heartbeats, token: s.token }));
+      return onStartsDelivered(session, event.starts, { kind: event.kind, heartbeats, token });
     case "command_sent":
-      return mark(s, e.starts, (old) => ({ ...old, direct: "pending", token: s.token }));
+      return onStartsDelivered(session, event.starts, { kind: event.kind, token });
     case "command_answered":
-      return mark(s, e.starts, (old) =>
-        old === undefined ? undefined : { ...old, direct: "answered" },
-      );
     case "command_not_sent":
-      return mark(s, e.starts, (old) => {
-        if (old === undefined || old.heartbeatMark === undefined) return undefined;
-        return { heartbeatMark: old.heartbeatMark, token: old.token };
-      });
     case "command_lost":
-      // It may be executed minutes later: only a higher token, seen, settles it.
-      return mark(s, e.starts, (old) =>
-        old === undefined ? undefined : { ...old, direct: "lost" },
-      );
+      return onStartsDelivered(session, event.starts, { kind: event.kind });
     case "became_unresponsive":
-      return s.state === "unresponsive" ? s : { ...s, state: "unresponsive" };
+      return session.state === "unresponsive" ? session : { ...session, state: "unresponsive" };
     case "timers_reset":
-      return { ...s, lastHeardAt: e.now };
-  }
-};
-
-/** No start command for this attempt can still be on its way to the machine. */
-export const isSettled = (s: WorkerSession, key: string): boolean => {
-  const x = s.startDeliveries.get(key);
-  if (x === undefined) return true;
-  if (x.direct === "pending" || x.direct === "lost") return false;
-  return x.heartbeatMark === undefined || s.heartbeats > x.heartbeatMark;
-};
-
-/**
- * It may be forgotten: neither can its start still be on its way, nor would a repeat of it be
- * executed. The worker knows an attempt by its report alone; once forgotten, a repeat of a direct
- * start under the token in force would run it afresh, beside the one that was opened elsewhere
- * since. (A simulated day with repeats ended with `ran_twice`.)
- */
-export const canForget = (s: WorkerSession, key: string): boolean =>
-  isSettled(s, key) && s.startDeliveries.get(key)?.direct !== "answered";
-
-/** Exited attempts that wait for a higher token to be forgotten: how many make it worth raising. */
-const MOST_KEPT = 16;
-
-export const shouldRaiseToken = (s: WorkerSession): boolean => {
-  if (s.startDeliveries.size < MOST_KEPT) return false;
-  let kept = 0;
-  for (const t of s.tasks.values())
-    if (t.phase === "ended" && !canForget(s, attemptKey(t.task, t.attempt))) kept++;
-  return kept >= MOST_KEPT;
-};
-
-/** An earlier attempt of the task stands there and can't be forgotten yet. */
-export const isBlockedByEarlierAttempt = (
-  s: WorkerSession,
-  task: TaskId,
-  attempt: AttemptNumber,
-): boolean => {
-  const t = s.tasks.get(task);
-  if (t === undefined || t.attempt === attempt) return false;
-  return !canForget(s, attemptKey(task, t.attempt));
-};
-
-/** No start of ours is on its way to the machine, and none may be. */
-export const hasNoStartInFlight = (s: WorkerSession): boolean => {
-  for (const key of s.startDeliveries.keys()) if (!isSettled(s, key)) return false;
-  return true;
-};
-
-/** A start command was lost under the token in force: the token must rise before absence counts. */
-export const mustRaiseToken = (s: WorkerSession): boolean => {
-  for (const x of s.startDeliveries.values())
-    if (x.direct === "lost" && x.token === s.token) return true;
-  return false;
-};
-
-/** What an open attempt's owner may conclude from a machine's newest report. */
-export type AttemptObservation =
-  | { readonly kind: "unknown" }
-  /** Not there, and no command for it can still be on its way. */
-  | { readonly kind: "absent" }
-  /** Not there, but a start command may still arrive. */
-  | { readonly kind: "unsettled" }
-  | { readonly kind: "present"; readonly report: TaskStatus };
-
-export const observeAttempt = (
-  s: WorkerSession,
-  task: TaskId,
-  attempt: AttemptNumber,
-  key = attemptKey(task, attempt),
-): AttemptObservation => {
-  if (s.state !== "ready") return { kind: "unknown" };
-  const t = s.tasks.get(task);
-  if (t !== undefined && t.attempt === attempt) return { kind: "present", report: t };
-  return { kind: isSettled(s, key) ? "absent" : "unsettled" };
-};
-
-/** An attempt that the records hold open on this machine, and what is wanted of it. */
-export interface DesiredAttempt {
-  readonly task: TaskId;
-  readonly attempt: AttemptNumber;
-  /** Null: it may run. Otherwise it should stop, given this time to save. */
-  readonly stopGraceS: number | null;
-  /** Its closing is being written, or the machine is on its way out: never start it (again). */
-  readonly startForbidden: boolean;
-}
-
-/**
- * The commands that bring a machine to what the records say, forgets and stops before starts.
- * Only valid in state `ready`. Recomputed for every answer, so a lost one repeats itself.
- */
-export const reconcileCommands = (
-  s: WorkerSession,
-  wanted: ReadonlyMap<TaskId, DesiredAttempt>,
-): readonly WorkerCommand[] => {
-  if (s.state !== "ready") return [];
-  const first: WorkerCommand[] = [];
-  const starts: WorkerCommand[] = [];
-  for (const t of s.tasks.values()) {
-    const w = wanted.get(t.task);
-    const { task, attempt } = t;
-    if (w !== undefined && w.attempt === attempt) {
-      if (t.phase !== "ended" && w.stopGraceS !== null && t.phase !== "saving")
-        first.push({ op: "stop", task, attempt, graceS: w.stopGraceS });
-      else if (t.phase === "saving" && w.stopGraceS === 0)
-        first.push({ op: "stop", task, attempt, graceS: 0 });
-    } else if (t.phase !== "ended") {
-      first.push({ op: "stop", task, attempt, graceS: 0 });
-    } else if (canForget(s, attemptKey(task, attempt))) {
-      first.push({ op: "forget", task, attempt });
-    }
-  }
-  for (const w of wanted.values()) {
-    if (w.stopGraceS !== null || w.startForbidden) continue;
-    if (s.tasks.get(w.task)?.attempt === w.attempt) continue;
-    if (isBlockedByEarlierAttempt(s, w.task, w.attempt)) continue;
-    // Still unanswered: a second copy would only be one more to lose track of.
-    if (s.startDeliveries.get(attemptKey(w.task, w.attempt))?.direct === "pending") continue;
-    starts.push({ op: "start", task: w.task, attempt: w.attempt });
+      return { ...session, lastHeardAt: event.now };
   }
-  return [...first, ...starts];
 };
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -12,8 +12,8 @@
 import { type JobProgress, type LiveJob, NO_PROGRESS } from "../../storage/records.js";
 import type { IndexedAttempt } from "../../storage/shard-jobs.js";
 import type { TransactionBatch } from "../../storage/transaction-batch.js";
+import { observeAttempt } from "../ownership/attempt-observation.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { observeAttempt } from "../ownership/worker-session.js";
 
 /**
  * What part of a transaction the ends of jobs may fill: each takes two changes of its own. (In a flood
--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -3,13 +3,10 @@
 import { MACHINE_BYTES } from "../../storage/pages.js";
 import { keys, type MachineRecord } from "../../storage/records.js";
 import { maxPageBytes } from "../../storage/transaction-batch.js";
+import { isBlockedByEarlierAttempt } from "../ownership/attempt-observation.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import {
-  isBlockedByEarlierAttempt,
-  mustRaiseToken,
-  shouldRaiseToken,
-  type WorkerSession,
-} from "../ownership/worker-session.js";
+import { mustRaiseToken, shouldRaiseToken } from "../ownership/token-raise.js";
+import type { WorkerSession } from "../ownership/worker-session.js";
 import type { ShardRound } from "./attempt-termination.js";
 
 /** What is to become of a machine's record. */
--- a/src/coordination/workers/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -22,13 +22,10 @@
 import { socketParts } from "../../transport/sockets.js";
 import { rereadKeys } from "../context.js";
 import type { MachineSoftState } from "../ownership/machine-soft-state.js";
+import { type DesiredAttempt, reconcileCommands } from "../ownership/reconciliation.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import {
-  type DesiredAttempt,
-  hasNoStartInFlight,
-  reconcileCommands,
-  type WorkerSession,
-} from "../ownership/worker-session.js";
+import { hasNoStartInFlight } from "../ownership/start-delivery.js";
+import type { WorkerSession } from "../ownership/worker-session.js";
 import { assessConnectivity, type Connectivity } from "./connectivity.js";
 import { detectMachineFailure, UNANSWERED_CALLS_UNTIL_SILENT } from "./failure-detection.js";
 
@@ -191,7 +188,12 @@
   #hear(report: WorkerStatus, via: "heartbeat" | "direct", now: MonotonicMs): void {
     const { owned } = this;
     const before = owned.sessions.get(report.machine);
-    const after = owned.stepSession(report.machine, { kind: "status_received", report, via, now });
+    const after = owned.stepSession(report.machine, {
+      kind: "status_received",
+      status: report,
+      via,
+      now,
+    });
     if (after === undefined || after === before) return;
     this.#heardAt = now;
     const note = owned.machineState(report.machine);
--- /dev/null
+++ b/test/coordination/ownership/session-events.ts
@@ -0,0 +1,59 @@
+/** Worker statuses and session events for the tests of sessions and what follows from them. */
+import {
+  attemptKey,
+  attemptNumber,
+  fencingToken,
+  machineId,
+  monotonicMs,
+  type TaskId,
+} from "@umberfold/ids";
+import {
+  newWorkerSession,
+  stepWorkerSession,
+  type WorkerSession,
+  type WorkerSessionEvent,
+} from "../../../src/coordination/ownership/worker-session.js";
+import type { EndCause, TaskPhase, WorkerStatus } from "../../../src/protocol/workers.js";
+
+/** The task that all cases are about. */
+export const TASK = "wk-000001/0" as TaskId;
+/** The key of its first attempt. */
+export const KEY = attemptKey(TASK, attemptNumber(1));
+
+/** One attempt in a worker's status: task, attempt, phase and, if it has ended, why. */
+export type AttemptRow = readonly [TaskId, number, TaskPhase, EndCause?];
+
+/** A worker's status, with the highest fencing token that it has seen. */
+export const statusOf = (
+  epoch: number,
+  sequence: number,
+  seenToken: number,
+  attempts: readonly AttemptRow[] = [],
+): WorkerStatus => ({
+  machine: machineId("m-000001"),
+  endpoint: "10.0.0.9:1",
+  type: "t",
+  zone: "z",
+  spot: false,
+  epoch,
+  sequence,
+  token: fencingToken(seenToken),
+  preemptionNoticeS: null,
+  tasks: attempts.map(([task, attempt, phase, cause]) => ({
+    task,
+    attempt: attemptNumber(attempt),
+    phase,
+    ...(cause === undefined ? {} : { cause }),
+    saved: false,
+  })),
+});
+
+/** The event that a status arrived. */
+export const received = (
+  status: WorkerStatus,
+  via: "heartbeat" | "direct" = "heartbeat",
+): WorkerSessionEvent => ({ kind: "status_received", status, via, now: monotonicMs(0) });
+
+/** The session of a machine commanded under this token, after these events. */
+export const sessionAfter = (token: number, events: readonly WorkerSessionEvent[]): WorkerSession =>
+  events.reduce(stepWorkerSession, newWorkerSession(fencingToken(token), monotonicMs(0)));
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -131,7 +131,7 @@
       const report = { machine, endpoint: "m:1", type: TYPE.name, zone: "a", spot: true, ...empty };
       this.state.stepSession(machine, {
         kind: "status_received",
-        report,
+        status: report,
         via: "heartbeat",
         now: monotonicMs(0),
       });
