--- a/src/coordination/ownership/reconciliation.ts
+++ b/src/coordination/ownership/reconciliation.ts
@@ -72,3 +72,7 @@
       commands.push({ op: "start", task: desired.task, attempt: desired.attempt });
   return commands;
 };
+
+/** The keys of the attempts that these commands start. */
+export const startKeys = (commands: readonly WorkerCommand[]): readonly string[] =>
+  commands.filter(({ op }) => op === "start").map(({ task, attempt }) => attemptKey(task, attempt));
--- a/src/coordination/workers/connectivity.ts
+++ b/src/coordination/workers/connectivity.ts
@@ -1,47 +1,58 @@
 /**
- * What a owner makes of hearing nothing from any of its machines.
- *
- * `connected`: some are heard. `suspect`: none was heard for longer than chance allows, and whoever
- * falls silent now isn't given up. `disconnected`: that has lasted; the way to all of them is gone, not
- * they. `abandoned`: it has lasted for so long that nothing can be left running there anyway.
+ * Whether this controller reaches its workers at all. When it receives nothing from any of them,
+ * its own network is the likelier cause: it must not give up machines for that.
+ * (Cut from its workers, a controller returned 87 machines one by one before it noticed.)
+ */
+
+/**
+ * `connected`: some machines are heard. `suspect`: none was heard for longer than chance allows,
+ * and whoever falls silent now isn't given up. `disconnected`: that has lasted; the network to all
+ * of them is gone, not they. `abandoned`: it has lasted for so long that nothing can be left
+ * running there anyway, and machines are given up again.
  */
 export type Connectivity = "connected" | "suspect" | "disconnected" | "abandoned";
 
+/** What connectivity is judged by. */
 export interface ConnectivityView {
-  /** Machines that should be reporting. */
+  /** Machines that should be sending heartbeats. */
   readonly known: number;
-  /** For how long none of them was heard. */
+  /** For how long nothing was received from any of them. */
   readonly quietMs: number;
-  /** Most of them don't answer our calls, though some may still be heard. */
+  /** Most of them don't answer our calls, though some may still send heartbeats. */
   readonly mostUnreached: boolean;
+  /** The period of heartbeats. */
   readonly reportMs: number;
+  /** The time after which a single machine counts as silent. */
   readonly silenceMs: number;
+  /** How long a worker's lease lasts. */
   readonly leaseMs: number;
 }
 
-/** With fewer machines than this silence proves nothing about the way to them. */
-const LEAST = 4;
+/** With fewer machines than this, silence proves nothing about the network to them. */
+const MIN_MACHINES = 4;
 /**
- * Reports that should have come meanwhile, all machines alive. Where three quarters of them die at
- * once a quarter of this number still comes, and none at all in one such wave of fifty.
+ * Heartbeats that should have come meanwhile, all machines alive, until silence is suspect. Where
+ * three quarters of them die at once a quarter of this number still comes, and none at all in one
+ * such wave of fifty.
  */
-const EXPECTED = 16;
-const LEAST_MS = 700;
+const EXPECTED_HEARTBEATS = 16;
+const MIN_SUSPECT_MS = 700;
 /** Parts of the time after which a single machine counts as silent. */
-const DOUBT_PART = 0.5;
-const BLIND_PART = 0.6;
-/** Leases after which nothing runs on any of them. */
-const GIVE_UP_LEASES = 2;
+const MAX_SUSPECT_PART = 0.5;
+const DISCONNECTED_PART = 0.6;
+/** Leases of workers after which nothing runs on any of them. */
+const ABANDONED_LEASES = 2;
 
-/** The one place where the way to the machines is judged; it follows from the view alone. */
-export const assessConnectivity = (v: ConnectivityView): Connectivity => {
-  if (v.known < LEAST) return "connected";
-  if (v.mostUnreached) return "disconnected";
-  const doubtMs = Math.min(
-    v.silenceMs * DOUBT_PART,
-    Math.max(LEAST_MS, (EXPECTED * v.reportMs) / v.known),
+/** The one place where connectivity is judged; it follows from the view alone. */
+export const assessConnectivity = (view: ConnectivityView): Connectivity => {
+  const { known, quietMs, silenceMs } = view;
+  if (known < MIN_MACHINES) return "connected";
+  if (view.mostUnreached) return "disconnected";
+  const suspectMs = Math.min(
+    silenceMs * MAX_SUSPECT_PART,
+    Math.max(MIN_SUSPECT_MS, (EXPECTED_HEARTBEATS * view.reportMs) / known),
   );
-  if (v.quietMs < doubtMs) return "connected";
-  if (v.quietMs < v.silenceMs * BLIND_PART) return "suspect";
-  return v.quietMs < v.leaseMs * GIVE_UP_LEASES ? "disconnected" : "abandoned";
+  if (quietMs < suspectMs) return "connected";
+  if (quietMs < silenceMs * DISCONNECTED_PART) return "suspect";
+  return quietMs < view.leaseMs * ABANDONED_LEASES ? "disconnected" : "abandoned";
 };
--- a/test/coordination/coordination.test.ts
+++ b/test/coordination/coordination.test.ts
@@ -19,11 +19,6 @@
   stepAvailability,
 } from "../../src/coordination/membership/store-availability.js";
 import { assignTeams, planShardActions } from "../../src/coordination/sharding/shard-assignment.js";
-import {
-  assessConnectivity,
-  type Connectivity,
-  type ConnectivityView,
-} from "../../src/coordination/workers/connectivity.js";
 import type { ControllerId } from "../../src/storage/records.js";
 import { Replica } from "../../src/storage/replica.js";
 import { TransactionBatch } from "../../src/storage/transaction-batch.js";
@@ -245,25 +240,6 @@
   ["waking and cut off", was("resuming", 6000, 6000), evidence({ unansweredAt: 9000 }), "isolated"],
 ];
 
-const ways: readonly [string, Partial<ConnectivityView>, Connectivity][] = [
-  ["some are heard", { quietMs: 300 }, "connected"],
-  ["none of two hundred for a second: the way is in doubt, not they", { quietMs: 1000 }, "suspect"],
-  // Cut from its workers, a controller returned 87 machines one by one before it noticed.
-  ["none for longer", { quietMs: 4000 }, "disconnected"],
-  ["none of a few for a second is chance", { known: 8, quietMs: 1000 }, "connected"],
-  ["none of a few for half of what makes one silent", { known: 8, quietMs: 3300 }, "suspect"],
-  ["too few to tell", { known: 3, quietMs: 20_000 }, "connected"],
-  ["heard, but hardly any call is answered", { mostUnreached: true, quietMs: 100 }, "disconnected"],
-  ["for so long that no lease can have lasted", { quietMs: 60_000 }, "abandoned"],
-];
-
-test("hearing nothing: the machines, or the way to them", () => {
-  const base = { known: 200, quietMs: 0, mostUnreached: false };
-  const times = { reportMs: 5000, silenceMs: 6500, leaseMs: 29_000 };
-  for (const [name, v, want] of ways)
-    assert.equal(assessConnectivity({ ...base, ...times, ...v }), want, name);
-});
-
 test("a pause is a gap between two looks, however often others look", () => {
   const pauses = new PauseDetector(at(0), 2000);
   assert.equal(pauses.detect(at(1900)), 0);
--- /dev/null
+++ b/test/coordination/ownership/machine-soft-state.test.ts
@@ -0,0 +1,108 @@
+/** The parts of a machine's soft state that have no state machine of their own. */
+import assert from "node:assert/strict";
+import test from "node:test";
+import { jobId, monotonicMs } from "@umberfold/ids";
+import { ImageCache } from "../../../src/coordination/ownership/image-cache.js";
+import { MachineFaults } from "../../../src/coordination/ownership/machine-faults.js";
+import { MachineHealth } from "../../../src/coordination/ownership/machine-health.js";
+
+test("image cache: the least recently used image is dropped when room is short", () => {
+  const images = new ImageCache();
+  images.recordUse("old", 4, 10);
+  images.recordUse("kept", 4, 10);
+  images.recordUse("old", 4, 10);
+  images.recordUse("new", 4, 10);
+  assert.deepEqual(
+    ["old", "kept", "new"].map((image) => images.has(image)),
+    [true, false, true],
+  );
+});
+
+test("image cache: an image larger than the cache stays alone", () => {
+  const images = new ImageCache();
+  images.recordUse("small", 1, 10);
+  images.recordUse("large", 20, 10);
+  assert.equal(images.has("small"), false);
+  assert.equal(images.has("large"), true);
+});
+
+test("machine faults: quarantine is due when two jobs failed, and not when one failed twice", () => {
+  const faults = new MachineFaults();
+  faults.recordFailure(jobId("wk-1"), false);
+  faults.recordFailure(jobId("wk-1"), false);
+  assert.equal(faults.isQuarantineDue, false);
+  faults.recordFailure(jobId("wk-2"), false);
+  assert.equal(faults.isQuarantineDue, true);
+  assert.equal(faults.failures, 3);
+});
+
+test("machine faults: a job that is itself at fault doesn't count", () => {
+  const faults = new MachineFaults();
+  faults.recordFailure(jobId("wk-1"), false);
+  faults.recordFailure(jobId("wk-2"), true);
+  assert.equal(faults.isQuarantineDue, false);
+});
+
+test("machine faults: a completion clears them", () => {
+  const faults = new MachineFaults();
+  faults.recordFailure(jobId("wk-1"), false);
+  faults.recordCompletion();
+  faults.recordFailure(jobId("wk-2"), false);
+  assert.equal(faults.isQuarantineDue, false);
+  assert.equal(faults.failures, 1);
+});
+
+const failingHealth = (): MachineHealth => {
+  const health = new MachineHealth();
+  health.recordFailedCall(monotonicMs(1000));
+  health.recordFailedCall(monotonicMs(2000));
+  return health;
+};
+
+test("machine health: a heartbeat ends the silence, but doesn't prove the machine reachable", () => {
+  const health = failingHealth();
+  health.recordStatus("heartbeat", monotonicMs(3000));
+  assert.equal(health.failedCalls, 0);
+  assert.equal(health.unreachableCalls, 2);
+  assert.equal(health.unreachableSince, 1000);
+  assert.equal(health.lastHeartbeatAt, 3000);
+});
+
+test("machine health: an answered call proves the machine reachable, and is no heartbeat", () => {
+  const health = failingHealth();
+  health.recordStatus("direct", monotonicMs(3000));
+  assert.equal(health.failedCalls, 0);
+  assert.equal(health.unreachableCalls, 0);
+  assert.equal(health.lastHeartbeatAt, null);
+});
+
+test("machine health: an old status in an answer ends unreachability alone", () => {
+  const health = failingHealth();
+  health.recordAnsweredCall();
+  assert.equal(health.failedCalls, 2);
+  assert.equal(health.unreachableCalls, 0);
+});
+
+test("machine health: unreachability counts from the first call after an answer", () => {
+  const health = failingHealth();
+  health.recordAnsweredCall();
+  health.recordFailedCall(monotonicMs(5000));
+  health.recordFailedCall(monotonicMs(6000));
+  assert.equal(health.unreachableSince, 5000);
+});
+
+test("machine health: an expected heartbeat counts from the first time it is expected", () => {
+  const health = new MachineHealth();
+  health.expectHeartbeats(monotonicMs(1000));
+  health.expectHeartbeats(monotonicMs(2000));
+  assert.equal(health.lastHeartbeatAt, 1000);
+});
+
+test("machine health: a reset forgets everything", () => {
+  const health = failingHealth();
+  health.recordStatus("heartbeat", monotonicMs(3000));
+  health.reset();
+  assert.equal(health.failedCalls, 0);
+  assert.equal(health.unreachableCalls, 0);
+  assert.equal(health.lastHeartbeatAt, null);
+});
--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -1,3 +1,4 @@
+/** Worker sessions in line with the records, and machines without heartbeats. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, monotonicMs, revision, shardId, wallClockMs } from "@umberfold/ids";
@@ -35,11 +36,11 @@
     settings: { workers: { leaseS: 20 } },
     loopLag: new EventLoopLag(),
   } as unknown as ControllerContext;
-  const held = new ShardState(ctx, membership, () => undefined);
+  const state = new ShardState(ctx, membership, () => undefined);
   replica.apply({ kind: "put", key: page("x"), value: machines, rev: revision(10) });
   replica.advance(revision(10));
-  held.syncSessions(monotonicMs(0));
-  return { replica, held };
+  state.syncSessions(monotonicMs(0));
+  return { replica, state };
 };
 
 /**
@@ -48,44 +49,64 @@
  * start still on its way was taken for absent, and the task started a second time.
  */
 test("a session outlives its machine's absence between two pages", () => {
-  const { replica, held } = setUp();
-  const before = held.sessions.get(ID);
+  const { replica, state } = setUp();
+  const before = state.sessions.get(ID);
   replica.apply({ kind: "delete", key: page("x"), rev: revision(12) });
-  held.syncSessions(monotonicMs(1));
-  assert.equal(held.sessions.get(ID), before);
+  state.syncSessions(monotonicMs(1));
+  assert.equal(state.sessions.get(ID), before);
   replica.apply({ kind: "put", key: page("y"), value: machines, rev: revision(12) });
   replica.advance(revision(12));
-  held.syncSessions(monotonicMs(2));
-  assert.equal(held.sessions.get(ID), before);
+  state.syncSessions(monotonicMs(2));
+  assert.equal(state.sessions.get(ID), before);
 });
 
-test("a session ends once the watch has told that its machine is gone", () => {
-  const { replica, held } = setUp();
+test("a session ends once the watch has shown that its machine is gone", () => {
+  const { replica, state } = setUp();
   replica.apply({ kind: "delete", key: page("x"), rev: revision(12) });
-  held.syncSessions(monotonicMs(1));
+  state.syncSessions(monotonicMs(1));
   replica.advance(revision(12));
-  held.syncSessions(monotonicMs(2));
-  assert.equal(held.sessions.size, 0);
+  state.syncSessions(monotonicMs(2));
+  assert.equal(state.sessions.size, 0);
 });
 
-const unheard: readonly (readonly [string, number | null, number, boolean])[] = [
-  ["never reported here: not known to be mute", null, 60_000, false],
-  ["reported lately", 50_000, 59_000, false],
-  ["not for more than half a lease", 40_000, 51_000, true],
+const heartbeats: readonly {
+  name: string;
+  heartbeatAt: number | null;
+  now: number;
+  overdue: boolean;
+}[] = [
+  {
+    name: "not overdue on a machine that never sent one here",
+    heartbeatAt: null,
+    now: 60_000,
+    overdue: false,
+  },
+  {
+    name: "not overdue when one came lately",
+    heartbeatAt: 50_000,
+    now: 59_000,
+    overdue: false,
+  },
+  {
+    name: "overdue when none came for more than half a lease",
+    heartbeatAt: 40_000,
+    now: 51_000,
+    overdue: true,
+  },
 ];
-test("machines whose reports don't come", () => {
-  for (const [name, at, now, mute] of unheard) {
-    const { held } = setUp();
-    if (at !== null) held.machineState(ID).health.recordStatus("heartbeat", monotonicMs(at));
-    assert.equal(held.heartbeatOverdue(ID, monotonicMs(now)), mute, name);
-  }
-});
+for (const { name, heartbeatAt, now, overdue } of heartbeats)
+  test(`heartbeats are ${name}`, () => {
+    const { state } = setUp();
+    if (heartbeatAt !== null)
+      state.machineState(ID).health.recordStatus("heartbeat", monotonicMs(heartbeatAt));
+    assert.equal(state.heartbeatOverdue(ID, monotonicMs(now)), overdue);
+  });
 
 /**
- * The watch tells of our own changes too. Deletes of our own were taken for others' writes, and the
+ * The watch shows our own changes too. Deletes of our own were taken for others' writes, and the
  * owner of a shard in which many jobs ended left half of the write limit unused.
  */
-test("a change of our own is known when the watch tells of it, a delete too", () => {
+test("a change of our own is known when the watch shows it, a delete too", () => {
   const { replica } = setUp();
   const key = "now/live/wk-1";
   const put = { kind: "put", key, value: {}, rev: revision(11) } as const;
--- /dev/null
+++ b/test/coordination/workers/channel-setup.ts
@@ -0,0 +1,123 @@
+/** A shard's owner with one machine, whose direct calls a test answers by hand. */
+import {
+  controllerLabel,
+  fencingToken,
+  incarnation,
+  machineId,
+  monotonicMs,
+  revision,
+  shardId,
+  wallClockMs,
+} from "@umberfold/ids";
+import type { ControllerContext } from "../../../src/coordination/context.js";
+import { EventLoopLag } from "../../../src/coordination/membership/event-loop-lag.js";
+import type { Membership } from "../../../src/coordination/membership/membership.js";
+import { ShardState } from "../../../src/coordination/ownership/shard-state.js";
+import { encodeMachinePage } from "../../../src/storage/pages.js";
+import { keys, type MachineRecord } from "../../../src/storage/records.js";
+import { Replica } from "../../../src/storage/replica.js";
+import type { CallResult, HttpClient } from "../../../src/transport/client.js";
+
+/** The machine, its shard, and the fencing token that it is commanded under. */
+export const MACHINE = machineId("m-000001");
+export const SHARD = shardId(0);
+export const TOKEN = fencingToken(10);
+
+const RECORD: MachineRecord = {
+  shard: SHARD,
+  type: "small",
+  zone: "a",
+  spot: false,
+  endpoint: "10.0.0.9:1",
+  phase: "up",
+  rentedAt: wallClockMs(0),
+  tokenFloor: revision(TOKEN),
+};
+
+/** A direct call that waits for the test to answer it. */
+export interface PendingCall {
+  readonly method: string;
+  readonly path: string;
+  readonly body: unknown;
+  readonly answer: (result: CallResult) => Promise<void>;
+}
+
+/** The body of a worker's status, as the machine sends it. */
+export const statusBody = (
+  sequence: number,
+  seenToken: number,
+  fields: Readonly<Record<string, unknown>> = {},
+): Readonly<Record<string, unknown>> => ({
+  loom: MACHINE,
+  endpoint: RECORD.endpoint,
+  frame: RECORD.type,
+  mill: RECORD.zone,
+  shift: 1,
+  tally: sequence,
+  baton: seenToken,
+  threads: [],
+  ...fields,
+});
+
+/** What a test may change of the owner. */
+export interface SetupOptions {
+  readonly ownsShard?: boolean;
+  readonly holdsValidLease?: boolean;
+  readonly synced?: boolean;
+  readonly isLeader?: boolean;
+}
+
+/** Lets all that is settled by now run. */
+const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+
+/** The owner, its logged events, and the calls that it has sent. */
+export const setUpOwner = (options: SetupOptions = {}) => {
+  const replica = new Replica();
+  const events: string[] = [];
+  const calls: PendingCall[] = [];
+  let rounds = 0;
+  const membership = {
+    ownedShards: () => (options.ownsShard === false ? [] : [SHARD]),
+    ownsShard: () => options.ownsShard !== false,
+    holdsValidLease: () => options.holdsValidLease !== false,
+    isLeader: () => options.isLeader === true,
+    ownerOf: () => ({ label: controllerLabel("other"), incarnation: incarnation("other-1") }),
+  } as unknown as Membership;
+  const log = (event: string): void => {
+    events.push(event);
+  };
+  const ctx = {
+    replica,
+    synced: options.synced !== false,
+    self: { label: controllerLabel("self"), incarnation: incarnation("self-1") },
+    settings: { seeds: [], resources: { maxSockets: 512 }, workers: { leaseS: 20, reportS: 5 } },
+    operators: { silenceS: 6.5 },
+    store: { get: () => Promise.resolve({ kind: "unavailable" }) },
+    loopLag: new EventLoopLag(),
+    log: { info: log, error: log, debug: log },
+    metrics: { record: () => undefined },
+  } as unknown as ControllerContext;
+  const client = {
+    call: (_address: string, method: string, path: string, body: unknown) =>
+      new Promise<CallResult>((resolve) => {
+        const answer = (result: CallResult): Promise<void> => {
+          resolve(result);
+          return settle();
+        };
+        calls.push({ method, path, body, answer });
+      }),
+  } as unknown as HttpClient;
+  const state = new ShardState(ctx, membership, () => {
+    rounds++;
+  });
+  const rev = revision(5);
+  replica.apply({
+    kind: "put",
+    key: keys.fleet(SHARD, "1"),
+    value: encodeMachinePage([[MACHINE, RECORD]]),
+    rev,
+  });
+  replica.advance(rev);
+  state.syncSessions(monotonicMs(0));
+  return { state, replica, client, calls, events, roundsAsked: () => rounds };
+};
