--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -10,8 +10,8 @@
 import { rangesAdd, rangesCount } from "../../storage/ranges.js";
 import { type JobProgress, type LiveJob, NO_PROGRESS } from "../../storage/records.js";
 import type { IndexedAttempt } from "../../storage/shard-jobs.js";
+import { observeAttempt } from "../ownership/attempt-observation.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { observeAttempt } from "../ownership/worker-session.js";
 import type { ShardRound } from "./shard-round.js";
 
 /**
