--- a/src/storage/group-commit.ts
+++ b/src/storage/group-commit.ts
@@ -37,7 +37,7 @@
     private readonly limits: GroupCommitLimits,
   ) {}
 
-  /** Resolves to what became of this write; never rejects. It should be within the limits. */
+  /** Resolves to what became of this write. One beyond the limits is sent by itself. */
   commit(transaction: Transaction): Promise<TransactionResult> {
     return new Promise((answer) => {
       const valueBytes = valueBytesOf(transaction.ops);
--- a/src/storage/shard-jobs.ts
+++ b/src/storage/shard-jobs.ts
@@ -36,8 +36,8 @@
   readonly entries: ReadonlyMap<JobId, JobProgress>;
 }
 
-/** `value` is a stored page that was not parsed yet; undefined once `entries` says the same. */
-interface UnparsedPage {
+/** What is known of a page: `value` is its stored form until it is parsed into `entries`. */
+interface PageState {
   rev: Revision;
   value: unknown;
   entries: ReadonlyMap<JobId, JobProgress>;
@@ -61,7 +61,7 @@
 export class ShardJobs {
   readonly #jobs = new Map<JobId, LiveJob>();
   readonly #index = new JobIndex();
-  readonly #pages = new Map<string, UnparsedPage>();
+  readonly #pages = new Map<string, PageState>();
   readonly #pageKeyOf = new Map<JobId, string>();
   readonly #openByMachine = new Map<MachineId, Map<TaskId, IndexedAttempt>>();
   readonly #openVersions = new Map<MachineId, number>();
@@ -155,7 +155,7 @@
   }
 
   /** Takes what a page no longer says out of the index, and adds what is new to `toIndex`. */
-  #parsePage(key: string, page: UnparsedPage, toIndex: (readonly [JobId, JobProgress])[]): void {
+  #parsePage(key: string, page: PageState, toIndex: (readonly [JobId, JobProgress])[]): void {
     // An unreadable page leaves what was last known of its jobs.
     const next = parseJobPage(page.value) ?? page.entries;
     for (const [id, before] of page.entries) {
