--- /dev/null
+++ b/packages/load-spread/test/span-policy.test.ts
@@ -0,0 +1,116 @@
+/** Pressure and `decideSpan`: when a span grows, drains or loses a shard. */
+import assert from "node:assert/strict";
+import test from "node:test";
+import {
+  decideSpan,
+  type LoadSpreadSettings,
+  NO_PRESSURE,
+  type OwnerLoad,
+  type Pressure,
+  stepPressure,
+  type TeamLoad,
+  teamPressure,
+} from "@umberfold/load-spread";
+import { homeSpan, type Span, stepSpan } from "@umberfold/spans";
+import {
+  burst,
+  HOME,
+  OTHER,
+  owners,
+  SETTINGS,
+  shardLoad,
+  spanOf,
+  THIRD,
+  teamLoad,
+} from "./fixtures.js";
+
+const decisions: readonly {
+  readonly name: string;
+  readonly load: TeamLoad;
+  readonly owners: readonly OwnerLoad[];
+  readonly pressure: Pressure;
+  readonly settings?: Partial<LoadSpreadSettings>;
+  readonly expected: string | undefined;
+}[] = [
+  {
+    name: "pressure that lasts grows the span to the idlest owner's shard",
+    load: teamLoad(undefined, [burst]),
+    owners: owners(200, 50, 20),
+    pressure: { state: "pressed", since: 0 },
+    expected: "join 2",
+  },
+  {
+    name: "pressure that has not lasted does nothing",
+    load: teamLoad(undefined, [burst]),
+    owners: owners(200, 50, 20),
+    pressure: { state: "pressed", since: 8000 },
+    expected: undefined,
+  },
+  {
+    name: "a span of as many shards as it may have grows no further",
+    load: teamLoad(spanOf(OTHER, THIRD), [burst]),
+    owners: owners(200, 50, 20, 1),
+    pressure: { state: "pressed", since: 0 },
+    expected: undefined,
+  },
+  {
+    name: "nothing grows while a failover is on",
+    load: teamLoad(spanOf(OTHER), [burst]),
+    owners: [
+      { owner: "n-0", shards: [HOME], units: 200 },
+      { owner: "n-2", shards: [THIRD], units: 1 },
+    ],
+    pressure: { state: "pressed", since: 0 },
+    expected: undefined,
+  },
+  {
+    name: "a team that stays relaxed has the shard that joined last drained",
+    load: teamLoad(spanOf(OTHER, THIRD), []),
+    owners: owners(20, 20, 20),
+    pressure: { state: "relaxed", since: -30_000 },
+    expected: "drain 2",
+  },
+  {
+    name: "switched off, a span drains at once",
+    load: teamLoad(spanOf(OTHER), [burst]),
+    owners: owners(200, 20),
+    pressure: { state: "pressed", since: 0 },
+    settings: { enabled: false },
+    expected: "drain 1",
+  },
+  {
+    name: "a job in a shard that the span lacks has that shard adopted",
+    load: teamLoad(undefined, [shardLoad(THIRD, { jobs: 1, waiting: 1 })]),
+    owners: owners(1, 1, 1),
+    pressure: NO_PRESSURE,
+    expected: "adopt 2",
+  },
+];
+for (const { name, load, owners, pressure, settings, expected } of decisions)
+  test(`span policy: ${name}`, () => {
+    const allSettings = { ...SETTINGS, ...settings };
+    const decision = decideSpan(load, pressure, owners, allSettings, 10_000);
+    const event = decision?.event;
+    assert.equal(event === undefined ? undefined : `${event.kind} ${event.shard}`, expected);
+  });
+
+test("at a load that sits on a threshold a span changes a bounded number of times", () => {
+  let span: Span | undefined;
+  let pressure = NO_PRESSURE;
+  let changes = 0;
+  for (let second = 0; second < 1200; second++) {
+    // Swings by a task around the number of tasks from which a team is spread.
+    const waiting = SETTINGS.minTasks - 20 + (second % 2 === 0 ? 1 : -1);
+    const load = teamLoad(span, [shardLoad(HOME, { jobs: 5, open: 20, waiting })]);
+    const now = second * 1000;
+    pressure = stepPressure(pressure, teamPressure(load, owners(100, 10, 10)), SETTINGS, now);
+    const decision = decideSpan(load, pressure, owners(100, 10, 10), SETTINGS, now);
+    if (decision === undefined) continue;
+    if (decision.answersPressure) pressure = { ...pressure, since: now };
+    const stepped = stepSpan(span ?? homeSpan(HOME), decision.event);
+    assert.ok(stepped.ok);
+    span = stepped.span;
+    changes++;
+  }
+  assert.ok(changes <= SETTINGS.maxSpan, `${changes} changes`);
+});
--- /dev/null
+++ b/packages/load-spread/test/transfers.test.ts
@@ -0,0 +1,24 @@
+/** `nextTransfer`: what an owner transfers. */
+import assert from "node:assert/strict";
+import test from "node:test";
+import { nextTransfer } from "@umberfold/load-spread";
+import { share, stepSpan, WHOLE } from "@umberfold/spans";
+import { HOME, millionths, OTHER, plan, spanOf, THIRD } from "./fixtures.js";
+
+test("an owner transfers what is beyond its target and unused, to the shard that lacks most", () => {
+  const stepped = stepSpan(spanOf(OTHER, THIRD), {
+    kind: "plan",
+    plan: new Map([plan(HOME, 300_000, 0), plan(OTHER, 600_000, 0), plan(THIRD, 100_000, 0)]),
+  });
+  assert.ok(stepped.ok);
+  const event = nextTransfer({ span: stepped.span, from: HOME, used: millionths(500_000) });
+  assert.deepEqual(event, {
+    kind: "transfer",
+    from: HOME,
+    to: OTHER,
+    amount: millionths(500_000),
+    used: millionths(500_000),
+  });
+  assert.equal(nextTransfer({ span: stepped.span, from: OTHER, used: share(0) }), undefined);
+  assert.equal(nextTransfer({ span: stepped.span, from: HOME, used: WHOLE }), undefined);
+});
--- a/packages/spans/test/spans.test.ts
+++ b/packages/spans/test/spans.test.ts
@@ -1,3 +1,4 @@
+/** The invariants of spans under random events, and the rejection of invalid records. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { type ShardId, shardId } from "@umberfold/ids";
@@ -46,7 +47,7 @@
   assert.ok(sumOfShares(span.entries.map((e) => e.target)) <= WHOLE);
   assert.equal(new Set(span.entries.map((e) => e.shard)).size, span.entries.length);
   assert.equal(span.entries.find((e) => e.shard === span.home)?.state, "active");
-  for (const e of span.entries) assert.ok(Number.isInteger(e.share) && e.share >= 0);
+  for (const entry of span.entries) assert.ok(Number.isInteger(entry.share) && entry.share >= 0);
 };
 
 test("no order of events breaks an invariant, and what is written is read back alike", () => {
@@ -71,10 +72,10 @@
       for (const event of list) {
         const stepped = stepSpan(span, event);
         if (!stepped.ok) continue;
-        for (const e of span.entries) {
-          const after = shareOf(stepped.span, e.shard);
-          if (after >= e.share) continue;
-          assert.ok(event.kind === "transfer" && event.from === e.shard);
+        for (const entry of span.entries) {
+          const after = shareOf(stepped.span, entry.shard);
+          if (after >= entry.share) continue;
+          assert.ok(event.kind === "transfer" && event.from === entry.shard);
           assert.ok(after >= event.used);
         }
         span = stepped.span;
@@ -84,7 +85,7 @@
   );
 });
 
-/** A record with revisions, as the state service keeps it: a write names the one it was read at. */
+/** A record with revisions, as the state store keeps it: a write names the one it was read at. */
 class Register {
   span = homeSpan(HOME);
   rev = 1;
@@ -112,9 +113,9 @@
   fc.record({ kind: fc.constant("late" as const), which: fc.nat(50) }),
 );
 
-/** Owners that see others' writes of the record late, and writes that are carried out late, or again. */
+/** Owners see others' writes of the record late, and writes are applied late, or twice. */
 test("open attempts of all shards together never pass the limit", () => {
-  const Limit = 20;
+  const limit = 20;
   fc.assert(
     fc.property(fc.array(steps, { maxLength: 200 }), (list) => {
       const register = new Register();
@@ -128,12 +129,12 @@
           open.set(step.shard, Math.max(0, (open.get(step.shard) ?? 0) - 1));
         else if (step.kind === "start") {
           const view = viewOf(step.shard);
-          const most = (Limit * shareOf(view.span, step.shard)) / WHOLE;
+          const maxOpen = (limit * shareOf(view.span, step.shard)) / WHOLE;
           const next = (open.get(step.shard) ?? 0) + 1;
-          if (next <= most + 1e-6) open.set(step.shard, next);
+          if (next <= maxOpen + 1e-6) open.set(step.shard, next);
         } else if (step.kind === "hand") {
           const view = viewOf(step.shard);
-          const used = share(Math.ceil(((open.get(step.shard) ?? 0) / Limit) * WHOLE));
+          const used = share(Math.ceil(((open.get(step.shard) ?? 0) / limit) * WHOLE));
           const to = view.span.entries.find((e) => e.shard !== step.shard)?.shard;
           const amount = share(shareOf(view.span, step.shard) - used);
           if (to === undefined) continue;
@@ -154,34 +155,34 @@
           if (late !== undefined) register.write(late.rev, late.span);
         }
         const all = [...open.values()].reduce((sum, n) => sum + n, 0);
-        assert.ok(all <= Limit, `${all} open`);
+        assert.ok(all <= limit, `${all} open`);
       }
     }),
     { seed: SEED, numRuns: 1500 },
   );
 });
 
-const good = spanValue(homeSpan(HOME)) as { f: number; h: number; e: unknown[] };
-const bad: readonly (readonly [string, unknown])[] = [
+const valid = spanValue(homeSpan(HOME)) as { f: number; h: number; e: unknown[] };
+const invalid: readonly (readonly [string, unknown])[] = [
   ["nothing", undefined],
   ["a text", "span"],
-  ["another version", { ...good, f: 2 }],
-  ["a home that is no shard", { ...good, h: SHARDS }],
-  ["no home among the entries", { ...good, e: [[1, 0, WHOLE, WHOLE, 0]] }],
-  ["a home that drains", { ...good, e: [[0, 1, WHOLE, WHOLE, 0]] }],
-  ["a shard twice", { ...good, e: [...good.e, ...good.e] }],
-  ["a shard beyond the shards", { ...good, e: [...good.e, [SHARDS, 0, 0, 0, 0]] }],
-  ["more than the whole", { ...good, e: [...good.e, [1, 0, 1, 0, 0]] }],
-  ["targets beyond the whole", { ...good, e: [...good.e, [1, 0, 0, 1, 0]] }],
-  ["a negative share", { ...good, e: [...good.e, [1, 0, -1, 0, 0]] }],
-  ["a broken share", { ...good, e: [...good.e, [1, 0, 0.5, 0, 0]] }],
-  ["a share that is no number", { ...good, e: [...good.e, [1, 0, "1", 0, 0]] }],
-  ["a weight beyond the whole", { ...good, e: [...good.e, [1, 0, 0, 0, WHOLE + 1]] }],
-  ["an unknown state", { ...good, e: [...good.e, [1, 2, 0, 0, 0]] }],
-  ["a short entry", { ...good, e: [...good.e, [1]] }],
+  ["another version", { ...valid, f: 2 }],
+  ["a home that is no shard", { ...valid, h: SHARDS }],
+  ["no home among the entries", { ...valid, e: [[1, 0, WHOLE, WHOLE, 0]] }],
+  ["a home that drains", { ...valid, e: [[0, 1, WHOLE, WHOLE, 0]] }],
+  ["a shard twice", { ...valid, e: [...valid.e, ...valid.e] }],
+  ["a shard beyond the shards", { ...valid, e: [...valid.e, [SHARDS, 0, 0, 0, 0]] }],
+  ["more than the whole", { ...valid, e: [...valid.e, [1, 0, 1, 0, 0]] }],
+  ["targets beyond the whole", { ...valid, e: [...valid.e, [1, 0, 0, 1, 0]] }],
+  ["a negative share", { ...valid, e: [...valid.e, [1, 0, -1, 0, 0]] }],
+  ["a broken share", { ...valid, e: [...valid.e, [1, 0, 0.5, 0, 0]] }],
+  ["a share that is no number", { ...valid, e: [...valid.e, [1, 0, "1", 0, 0]] }],
+  ["a weight beyond the whole", { ...valid, e: [...valid.e, [1, 0, 0, 0, WHOLE + 1]] }],
+  ["an unknown state", { ...valid, e: [...valid.e, [1, 2, 0, 0, 0]] }],
+  ["a short entry", { ...valid, e: [...valid.e, [1]] }],
 ];
-for (const [name, value] of bad)
-  test(`a record is not believed: ${name}`, () => {
+for (const [name, value] of invalid)
+  test(`a record is rejected: ${name}`, () => {
     assert.equal(parseSpan(value, SHARDS), undefined);
   });
 
@@ -190,14 +191,14 @@
   ["adopting what is there", { kind: "adopt", shard: HOME }, "in the span already"],
   ["draining home", { kind: "drain", shard: HOME }, "home shard"],
   ["leaving home", { kind: "leave", shard: HOME }, "home shard"],
-  ["draining a stranger", { kind: "drain", shard: shardId(3) }, "not in the span"],
+  ["draining a shard outside the span", { kind: "drain", shard: shardId(3) }, "not in the span"],
   [
-    "a plan for a stranger",
+    "a plan for a shard outside the span",
     { kind: "plan", plan: new Map([[shardId(3), { target: share(1), weight: share(0) }]]) },
     "not in the span",
   ],
   [
-    "a transfer to a stranger",
+    "a transfer to a shard outside the span",
     { kind: "transfer", from: HOME, to: shardId(3), amount: share(1), used: share(0) },
     "not in the span",
   ],
@@ -220,7 +221,7 @@
     assert.deepEqual(stepSpan(joined.span, event), { ok: false, refusal });
   });
 
-test("a shard leaves only while it drains and holds nothing", () => {
+test("a shard leaves only while it drains and has no share", () => {
   const one = shardId(1);
   const joined = stepSpan(homeSpan(HOME), { kind: "join", shard: one });
   assert.ok(joined.ok);
