--- a/packages/load-spread/src/machine-balance.ts
+++ b/packages/load-spread/src/machine-balance.ts
@@ -29,12 +29,12 @@
 
 /** Max-min fairness: what each team gets of the capacity, never more than it wants. */
 const fairParts = (
-  wanted: ReadonlyMap<TeamName, number>,
+  wantedByTeam: ReadonlyMap<TeamName, number>,
   capacity: number,
 ): ReadonlyMap<TeamName, number> => {
   const parts = new Map<TeamName, number>();
   let remaining = capacity;
-  const ascending = [...wanted].sort((a, b) => a[1] - b[1]);
+  const ascending = [...wantedByTeam].sort((a, b) => a[1] - b[1]);
   for (const [i, [team, cpus]] of ascending.entries()) {
     const part = Math.min(cpus, remaining / (ascending.length - i));
     parts.set(team, part);
@@ -51,17 +51,17 @@
   loads: readonly TeamLoad[],
   capacity: number,
 ): ReadonlyMap<ShardId, number> => {
-  const wanted = new Map<TeamName, number>();
+  const wantedByTeam = new Map<TeamName, number>();
   for (const { team, shards } of loads) {
     let cpus = 0;
     for (const row of shards.values()) cpus += row.wantedCpus;
-    if (cpus > 0) wanted.set(team, cpus);
+    if (cpus > 0) wantedByTeam.set(team, cpus);
   }
-  const parts = fairParts(wanted, capacity);
+  const parts = fairParts(wantedByTeam, capacity);
   const needs = new Map<ShardId, number>();
   for (const { team, shards } of loads) {
     const grantedFraction =
-      (parts.get(team) ?? 0) / Math.max(MIN_WANTED_CPUS, wanted.get(team) ?? 0);
+      (parts.get(team) ?? 0) / Math.max(MIN_WANTED_CPUS, wantedByTeam.get(team) ?? 0);
     for (const row of shards.values())
       needs.set(row.shard, (needs.get(row.shard) ?? 0) + row.wantedCpus * grantedFraction);
   }
--- a/test/scheduling/preemption.test.ts
+++ b/test/scheduling/preemption.test.ts
@@ -38,7 +38,7 @@
     ["takes the least total loss", 4, 15, "m-1 b"],
     ["takes two victims where one is not enough", 8, 15, "m-1 a b"],
     ["spares a victim that turns out not to be needed", 6, 15, "m-2 d"],
-    // Else a task of 8 that was stopped for one of 2 is followed by more stops, for room it left.
+    // Else a task of 8 that was stopped for one of 2 is followed by more stops, for the capacity it left.
     ["stops nothing where stopping tasks leave enough already", 2, 15, "m-2"],
     ["finds nothing within a maximum loss that all options exceed", 4, 1, null],
     ["finds nothing for a task that fits nowhere", 32, 99, null],
