--- a/test/measure/planner.ts
+++ b/test/measure/planner.ts
@@ -1,3 +1,7 @@
+/**
+ * `npm run measure:planner`: solver and proportional plan on the same random inputs, what each costs
+ * and how long it takes.
+ */
 import { shardId, teamName } from "@umberfold/ids";
 import {
   greedyPlan,
@@ -15,7 +19,6 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { defaultPackages } from "../../src/config/packages.js";
 
-/** Solver and proportional plan on the same random inputs: what each costs, and how long it takes. */
 const RUNS = 200;
 const SOLVER_MS = 1000;
 const SIZES = [
@@ -30,7 +33,7 @@
 const random = (): number => uniformFloat64(rng);
 const settings: LoadSpreadSettings = { ...defaultPackages().loadSpread, enabled: true };
 
-const randomTeam = (n: number, shards: number): TeamLoad => {
+const randomTeam = (number: number, shards: number): TeamLoad => {
   let span = homeSpan(shardId(0));
   const loads = new Map<ShardLoad["shard"], ShardLoad>();
   for (let i = 0; i < shards; i++) {
@@ -46,7 +49,7 @@
     const rest = { used, demand, largest, wantedCpus, oldest: random() };
     loads.set(shard, { shard, jobs: 1, open, waiting, ...rest });
   }
-  return { team: teamName(`t${n}`), home: shardId(0), span, shards: loads };
+  return { team: teamName(`t${number}`), home: shardId(0), span, shards: loads };
 };
 
 const randomInput = (teams: number, shards: number): PlanInput => {
@@ -55,14 +58,14 @@
     shards: [shardId(i)],
     units: Math.floor(random() * 500),
   }));
-  const loads = Array.from({ length: teams }, (_, n) => randomTeam(n, shards));
+  const loads = Array.from({ length: teams }, (_, number) => randomTeam(number, shards));
   return planInput(loads, owners, settings);
 };
 
 const timed = <T>(run: () => T): { readonly value: T; readonly microseconds: number } => {
-  const began = performance.now();
+  const startedAt = performance.now();
   const value = run();
-  return { value, microseconds: Math.round((performance.now() - began) * 1000) };
+  return { value, microseconds: Math.round((performance.now() - startedAt) * 1000) };
 };
 
 for (const { teams, shards } of SIZES) {
@@ -92,8 +95,8 @@
       unsolved,
       meanCost: { solver: solverCost / solvedRuns, greedy: greedyCost / solvedRuns },
       microseconds: {
-        solver: [50, 99].map((p) => times.solver.getValueAtPercentile(p)),
-        greedy: [50, 99].map((p) => times.greedy.getValueAtPercentile(p)),
+        solver: [50, 99].map((percentile) => times.solver.getValueAtPercentile(percentile)),
+        greedy: [50, 99].map((percentile) => times.greedy.getValueAtPercentile(percentile)),
       },
     }),
   );
--- a/test/runner/known-red.test.ts
+++ b/test/runner/known-red.test.ts
@@ -1,3 +1,6 @@
+/**
+ * Which lists of known red tests are accepted, and which failures of a run they pass over.
+ */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { judgeRun, parseKnownRed } from "./known-red.js";
@@ -13,10 +16,10 @@
   ["a line without a cause", "a | | issue 14", null],
   ["a line without an issue", "a | the cause", null],
 ];
-test("the list of known red tests", () => {
-  for (const [name, text, n] of lists) {
-    const p = parseKnownRed(text);
-    assert.equal(p.ok ? p.known.length : null, n, name);
+test("a list of at most three known red tests, each with cause and issue, is accepted", () => {
+  for (const [name, text, count] of lists) {
+    const parsed = parseKnownRed(text);
+    assert.equal(parsed.ok ? parsed.known.length : null, count, name);
   }
 });
 
@@ -29,12 +32,12 @@
   ["listed, but not run", RED, [], ["b"], false, "not run: a"],
   ["nothing was run", "", [], [], false, ""],
 ];
-test("what a run comes to", () => {
+test("a run passes if it fails at listed tests alone, and all of these were run", () => {
   for (const [name, text, failed, passed, ok, line] of runs) {
-    const p = parseKnownRed(text);
-    assert.ok(p.ok);
-    const v = judgeRun(p.known, failed, passed);
-    assert.equal(v.ok, ok, name);
-    assert.ok(v.lines.join("\n").includes(line), name);
+    const parsed = parseKnownRed(text);
+    assert.ok(parsed.ok);
+    const verdict = judgeRun(parsed.known, failed, passed);
+    assert.equal(verdict.ok, ok, name);
+    assert.ok(verdict.lines.join("\n").includes(line), name);
   }
 });
