--- a/test/sim/fakes/cloud.ts
+++ b/test/sim/fakes/cloud.ts
@@ -1,5 +1,12 @@
+/**
+ * A stand-in for the cloud that rents machines, after its published protocol.
+ *
+ * Owns which machines are rented. A rental under a name that was used before gets the first one's
+ * answer, so that a repeated call rents nothing more.
+ */
 import type { Body, Out } from "./message.js";
 
+/** A machine as the cloud knows it. */
 export interface Rented {
   readonly id: string;
   readonly type: string;
@@ -7,66 +14,78 @@
   readonly spot: boolean;
 }
 
-/** The cloud that rents machines, after its published protocol. */
+/** The cloud of one simulation or loopback cluster. */
 export class FakeCloud {
+  /** In an outage every request is refused. */
   down = false;
+  /** Switched off, the cloud says that machines are gone, and leaves them running. */
+  returns = true;
   /** The address that the list shows for a machine. */
   endpointOf: (id: string) => string = (id) => `${id}:1`;
-  #n = 0;
+  /** Machines that are rented, whether they came up or not. */
   readonly up = new Map<string, Rented>();
-  readonly #answers = new Map<string, string[]>();
+  #machineCount = 0;
+  readonly #rentals = new Map<string, readonly string[]>();
 
+  /** `begin` is told of each machine that is rented, `end` of each that is gone. */
   constructor(
     private readonly types: readonly Body[],
     private readonly capacity: number,
-    private readonly begin: (m: Rented) => void,
+    private readonly begin: (machine: Rented) => void,
     private readonly end: (id: string) => void,
   ) {}
 
+  /** Serves one request. */
   handle(path: string, body: Body | undefined): Out {
     if (this.down) return { status: 503, body: { error: "trouble" } };
     if (path === "/flavors") return { status: 200, body: { frames: this.types } };
-    if (path === "/machines") {
-      const name = String(body?.hire);
-      const known = this.#answers.get(name);
-      if (known !== undefined) return { status: 200, body: { looms: known } };
-      const room = this.capacity - this.up.size;
-      if (room <= 0) return { status: 503, body: { error: "no capacity" } };
-      const ids = Array.from({ length: Math.min(room, Number(body?.count)) }, () => {
-        const id = `m-${String(++this.#n).padStart(6, "0")}`;
-        const m = {
-          id,
-          type: String(body?.frame),
-          zone: String(body?.mill),
-          spot: body?.remnant === true,
-        };
-        this.up.set(id, m);
-        this.begin(m);
-        return id;
-      });
-      this.#answers.set(name, ids);
-      return { status: 200, body: { looms: ids } };
-    }
-    if (path === "/machines/return") {
-      if (this.returns) for (const id of (body?.looms ?? []) as string[]) this.take(id);
-      return { status: 200, body: {} };
-    }
-    const looms = [...this.up.values()].map((m) => ({
-      uid: m.id,
-      endpoint: this.endpointOf(m.id),
-      frame: m.type,
-      mill: m.zone,
-      remnant: m.spot,
-      stage: "running",
-      heldS: 60,
-    }));
-    return { status: 200, body: { looms, hasNext: false } };
+    if (path === "/machines") return this.#rent(body ?? {});
+    if (path === "/machines/return") return this.#return(body?.looms as readonly string[]);
+    return this.#list();
   }
 
-  /** A sabotaged cloud says that machines are gone, and leaves them running. */
-  returns = true;
-
+  /** The cloud takes a machine away, asked or not. */
   take(id: string): void {
     if (this.up.delete(id)) this.end(id);
   }
+
+  #rent(body: Body): Out {
+    const name = String(body.hire);
+    const known = this.#rentals.get(name);
+    if (known !== undefined) return { status: 200, body: { looms: known } };
+    const available = this.capacity - this.up.size;
+    if (available <= 0) return { status: 503, body: { error: "no capacity" } };
+    const ids = Array.from({ length: Math.min(available, Number(body.count)) }, () => {
+      const id = `m-${String(++this.#machineCount).padStart(6, "0")}`;
+      const machine = {
+        id,
+        type: String(body.frame),
+        zone: String(body.mill),
+        spot: body.remnant === true,
+      };
+      this.up.set(id, machine);
+      this.begin(machine);
+      return id;
+    });
+    this.#rentals.set(name, ids);
+    return { status: 200, body: { looms: ids } };
+  }
+
+  #return(ids: readonly string[] | undefined): Out {
+    if (this.returns) for (const id of ids ?? []) this.take(id);
+    return { status: 200, body: {} };
+  }
+
+  #list(): Out {
+    const looms = [...this.up.values()].map(({ id, type, zone, spot }) => ({
+      uid: id,
+      endpoint: this.endpointOf(id),
+      frame: type,
+      mill: zone,
+      remnant: spot,
+      stage: "running",
+      heldS: 60,
+    }));
+    return { status: 200, body: { looms, hasNext: false } };
+  }
 }
