--- a/test/digest/main.ts
+++ b/test/digest/main.ts
@@ -1,3 +1,7 @@
+/**
+ * `npm run digest`: plays a fixed set of days and compares what crossed the wire on each with the
+ * committed digest. Each day has a process of its own, a few of them at a time.
+ */
 import { execFile } from "node:child_process";
 import { readFileSync, writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
@@ -5,10 +9,6 @@
 import { DIGEST_DAYS, type DigestDay } from "./days.js";
 import { playDay } from "./play.js";
 
-/**
- * `npm run digest`: plays a fixed set of days and compares what crossed the wire on each with the
- * committed digest. Each day has a process of its own, a few of them at a time.
- */
 const EXPECTED = "test/digest/expected.txt";
 const DEFAULT_JOBS = "4";
 
@@ -24,8 +24,9 @@
 });
 
 const dayNamed = (name: string): DigestDay => {
-  const day = DIGEST_DAYS.find((d) => d.name === name);
-  if (day === undefined) throw new Error(`no day ${name} among ${DIGEST_DAYS.map((d) => d.name)}`);
+  const day = DIGEST_DAYS.find((candidate) => candidate.name === name);
+  if (day === undefined)
+    throw new Error(`no day ${name} among ${DIGEST_DAYS.map(({ name: known }) => known)}`);
   return day;
 };
 
@@ -42,11 +43,11 @@
 const playAll = async (days: readonly DigestDay[], jobs: number): Promise<readonly string[]> => {
   const lines: string[] = [];
   let next = 0;
-  const work = async (): Promise<void> => {
+  const playNext = async (): Promise<void> => {
     for (let i = next++; i < days.length; i = next++)
       lines[i] = await playInProcess(days[i] as DigestDay);
   };
-  await Promise.all(Array.from({ length: jobs }, work));
+  await Promise.all(Array.from({ length: jobs }, playNext));
   return lines;
 };
 
--- a/test/digest/play.ts
+++ b/test/digest/play.ts
@@ -1,5 +1,8 @@
+/**
+ * Plays one day of the digest and gives its line.
+ */
 import type { WireObserver } from "../sim/wire.js";
-import { type DigestDay, worldOf } from "./days.js";
+import { type DigestDay, simulationOf } from "./days.js";
 import { WireDigest } from "./wire-digest.js";
 import { WireTrace } from "./wire-trace.js";
 
@@ -24,11 +27,11 @@
 /** Plays a day, writes its calls if a directory for them is given, and returns its line. */
 export const playDay = async (day: DigestDay, traceTo: string | undefined): Promise<string> => {
   await preload();
-  const world = worldOf(day);
+  const simulation = simulationOf(day);
   const digest = new WireDigest();
   const trace = traceTo === undefined ? undefined : new WireTrace(traceTo, day.name);
-  world.observer = trace === undefined ? digest : both(digest, trace);
-  await world.day(day.jobs);
+  simulation.observer = trace === undefined ? digest : both(digest, trace);
+  await simulation.day(day.jobs);
   trace?.end();
   return `${day.name} ${digest.calls} ${digest.end()}`;
 };
--- a/test/digest/wire-digest.ts
+++ b/test/digest/wire-digest.ts
@@ -1,3 +1,7 @@
+/**
+ * A hash of all that crosses the simulated wire: caller, target, method, path, body bytes and the
+ * simulated time of each call and reply. Two days with the same digest made the same calls.
+ */
 import { createHash } from "node:crypto";
 import type { WireCall, WireObserver, WireReply } from "../sim/wire.js";
 
@@ -6,15 +10,18 @@
 
 /** Hashes all that crosses the wire, in order. */
 export class WireDigest implements WireObserver {
+  /** Calls that were sent so far. */
   calls = 0;
   readonly #hash = createHash("sha256");
 
+  /** Adds a call. */
   sent(at: number, call: WireCall): void {
     this.calls++;
     const { number, caller, target, method, path } = call;
     this.#add([at, number, caller, target, method, path], call.body);
   }
 
+  /** Adds what became of a call. */
   replied(at: number, call: WireCall, reply: WireReply): void {
     if (reply.kind === "lost") this.#add([at, call.number, "lost"], undefined);
     else this.#add([at, call.number, reply.status], reply.body);
--- a/test/digest/wire-trace.ts
+++ b/test/digest/wire-trace.ts
@@ -1,3 +1,7 @@
+/**
+ * The calls of a day as text, for finding the first that differs between two versions of the code.
+ * Owns the open file until `end`.
+ */
 import { closeSync, mkdirSync, openSync, writeSync } from "node:fs";
 import path from "node:path";
 import { decode } from "../../src/protocol/cbor.js";
@@ -14,7 +18,7 @@
   if (Array.isArray(value)) return value.map(plain);
   if (value instanceof Map) return [...value].map(plain);
   if (typeof value !== "object" || value === null) return value;
-  return Object.fromEntries(Object.entries(value).map(([key, v]) => [key, plain(v)]));
+  return Object.fromEntries(Object.entries(value).map(([key, member]) => [key, plain(member)]));
 };
 
 const asText = (bytes: Uint8Array | undefined, read: (bytes: Uint8Array) => unknown): string =>
@@ -30,11 +34,13 @@
     this.#file = openSync(path.join(directory, `${dayName}.txt`), "w");
   }
 
+  /** Writes a call. */
   sent(at: number, call: WireCall): void {
     const body = asText(call.body, call.path === PEER_PATH ? decodePeerMessage : decode);
     this.#write(at, call, `sent ${body}`);
   }
 
+  /** Writes what became of a call. */
   replied(at: number, call: WireCall, reply: WireReply): void {
     const { kind } = reply;
     this.#write(
--- a/test/scenarios/combined-faults.test.ts
+++ b/test/scenarios/combined-faults.test.ts
@@ -1,3 +1,4 @@
+/** Days on which two faults or more meet. Each asserts that the meeting came about. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
@@ -5,82 +6,113 @@
   type CancellationView,
   decideCancellationAction,
 } from "../../src/coordination/cancellation/cancellations.js";
-import type { DisabledSafeguard, FaultScenario, StoreOutageAfterRefusal } from "../sim/faults.js";
+import type {
+  DisabledSafeguard,
+  FaultScenario,
+  SimulationScale,
+  StoreOutageAfterRefusal,
+} from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
 
-/** Days on which two troubles meet. Each asserts that the meeting came about. */
 const calm: FaultScenario = { lost: 0, crashes: false, outages: false, deaths: false };
-const LONG = { nodes: 3, machines: 40, quota: 160, tasks: 6 };
+const LARGE: SimulationScale = { controllers: 3, machines: 40, quotaCpus: 160, maxTasks: 6 };
 const JOBS = 14;
-const MOST_FAILED = 200;
+const MAX_FAILED_STARTS = 200;
 
-const gaps: readonly (readonly [string, number, StoreOutageAfterRefusal])[] = [
-  ["as it is", 31, {}],
-  ["by a question", 33, { by: "question" }],
-  ["by a repeated submission", 33, { by: "repeat" }],
-  ["with the peers cut", 36, { peersCut: true }],
-  ["the confirming ones end", 34, { confirmersEnd: true }],
-  ["the old leader is back within a second", 36, { oldEnds: true }],
-  ["on machines that hang", 37, { machines: "hang" }],
-  ["on deaf machines", 38, { machines: "deaf" }],
-  ["on mute machines", 39, { machines: "mute" }],
-  ["machines hang, the cloud is out for a while", 40, { machines: "hang", cloudOut: true }],
-  [
-    "machines hang, the old leader is back within a second",
+const outagesAfterRefusal: readonly (readonly [string, number, StoreOutageAfterRefusal])[] = [
+  ["without other faults", 31, {}],
+  ["confirmed by a question", 33, { confirmedBy: "question" }],
+  ["confirmed by a repeated submission", 33, { confirmedBy: "repeat" }],
+  ["the old leader is cut from its peers", 36, { peersCut: true }],
+  ["the confirming controllers crash", 34, { confirmersCrash: true }],
+  ["the old leader crashes and is back within a second", 36, { oldLeaderCrashes: true }],
+  ["on machines that hang", 37, { machineFault: "hang" }],
+  ["on deaf machines", 38, { machineFault: "deaf" }],
+  ["on muted machines", 39, { machineFault: "mute" }],
+  ["machines hang, the cloud is out for a while", 40, { machineFault: "hang", cloudOutage: true }],
+  [
+    "machines hang, the old leader crashes and is back within a second",
     41,
-    { machines: "hang", oldEnds: true },
+    { machineFault: "hang", oldLeaderCrashes: true },
+  ],
+  [
+    "machines hang, the confirming controllers crash",
+    42,
+    { machineFault: "hang", confirmersCrash: true },
   ],
-  ["machines hang, the confirming ones end", 42, { machines: "hang", confirmersEnd: true }],
 ];
 
-for (const [name, seed, storeOutageAfterRefusal] of gaps)
-  test(`confirmed cancellations hold through the gap: ${name}`, async () => {
-    const w = new Simulation(seed, { ...calm, storeOutageAfterRefusal }, LONG);
-    await w.day(JOBS);
-    assert.deepEqual(w.violations, []);
-    // Cut from the others, the holder can't acknowledge, and no user is told before it is settled.
+for (const [name, seed, storeOutageAfterRefusal] of outagesAfterRefusal)
+  test(`confirmed cancellations hold through a store outage after refusal: ${name}`, async () => {
+    const simulation = new Simulation(seed, { ...calm, storeOutageAfterRefusal }, LARGE);
+    await simulation.day(JOBS);
+    assert.deepEqual(simulation.violations, []);
+    // Cut from the others, the owner can't acknowledge a cancellation notice, and no user gets a
+    // confirmation before the cancellation is recorded.
     if (storeOutageAfterRefusal.peersCut === true)
-      assert.equal(w.occurrences.confirmedForRefusedOwner, 0);
+      assert.equal(simulation.occurrences.confirmedForRefusedOwner, 0);
     else
       assert.ok(
-        w.occurrences.confirmedForRefusedOwner > 0,
-        "some were confirmed for the refused holder's share",
+        simulation.occurrences.confirmedForRefusedOwner > 0,
+        "some were confirmed for the refused owner's shard",
       );
-    if (storeOutageAfterRefusal.machines !== undefined)
-      assert.ok(w.occurrences.faultyMachines > 0, "machines in trouble");
-    // Nobody who left his job alone loses work to the outage, all controllers being alive.
+    if (storeOutageAfterRefusal.machineFault !== undefined)
+      assert.ok(simulation.occurrences.faultyMachines > 0, "machines were faulty");
+    // While all controllers are alive, no job that nobody cancelled loses work to the outage.
     if (
-      storeOutageAfterRefusal.machines === undefined &&
-      storeOutageAfterRefusal.oldEnds !== true &&
-      storeOutageAfterRefusal.confirmersEnd !== true
+      storeOutageAfterRefusal.machineFault === undefined &&
+      storeOutageAfterRefusal.oldLeaderCrashes !== true &&
+      storeOutageAfterRefusal.confirmersCrash !== true
     )
-      assert.equal(w.occurrences.lostRuns, 0);
+      assert.equal(simulation.occurrences.lostRuns, 0);
   });
 
-type Met = keyof Simulation["occurrences"];
-const meetings: readonly (readonly [string, number, FaultScenario, Met])[] = [
+type Occurrence = keyof Simulation["occurrences"];
+const meetings: readonly (readonly [string, number, FaultScenario, Occurrence])[] = [
   ["late writes beside crashes", 61, { ...calm, lateWrites: true, crashes: true }, "lateWrites"],
   [
     "late writes, late copies and repeats beside elections",
     62,
-    { ...calm, lateWrites: true, lateCopies: true, repeats: true, elections: true },
+    {
+      ...calm,
+      lateWrites: true,
+      lateHeartbeatCopies: true,
+      repeatedRequests: true,
+      crashesAfterElections: true,
+    },
     "lateWrites",
   ],
-  ["mute machines", 63, { ...calm, muted: true }, "muted"],
+  ["muted machines", 63, { ...calm, mutedMachines: true }, "muted"],
   [
-    "mute and deaf machines beside crashes and late copies",
+    "muted and deaf machines beside crashes and late copies",
     64,
-    { ...calm, muted: true, oneWay: true, crashes: true, lateCopies: true },
+    {
+      ...calm,
+      mutedMachines: true,
+      oneWayMachines: true,
+      crashes: true,
+      lateHeartbeatCopies: true,
+    },
     "muted",
   ],
-  ["many cancels at once, machines hang", 65, { ...calm, cancelNow: true }, "cancelledAtOnce"],
   [
-    "many cancels at once, machines hang, outages and crashes",
+    "many cancellations at once, machines hang",
+    65,
+    { ...calm, cancelAtOnce: true },
+    "cancelledAtOnce",
+  ],
+  [
+    "many cancellations at once, machines hang, outages and crashes",
     66,
-    { ...calm, cancelNow: true, outages: true, crashes: true },
+    { ...calm, cancelAtOnce: true, outages: true, crashes: true },
     "cancelledAtOnce",
   ],
-  ["cancels, questions, repeats at the end", 67, { ...calm, cancelAtEnd: true }, "cancelledAtEnd"],
+  [
+    "cancellations, questions and repeated submissions at a job's end",
+    67,
+    { ...calm, cancelAtEnd: true },
+    "cancelledAtEnd",
+  ],
   [
     "the same with late writes and lost messages",
     68,
@@ -88,104 +120,133 @@
     "cancelledAtEnd",
   ],
   ["odd requests beside crashes", 69, { ...calm, oddRequests: true, crashes: true }, "oddRequests"],
-  ["ten leaders in two minutes, an outage", 70, { ...calm, leaders: true }, "leaderCrashes"],
   [
-    "ten leaders, one-way machines, late writes, cancels at once",
+    "the leader crashes ten times in two minutes, an outage",
+    70,
+    { ...calm, leaderCrashes: true },
+    "leaderCrashes",
+  ],
+  [
+    "ten leader crashes, one-way machines, late writes, cancellations at once",
     71,
-    { ...calm, leaders: true, oneWay: true, lateWrites: true, cancelNow: true },
+    { ...calm, leaderCrashes: true, oneWayMachines: true, lateWrites: true, cancelAtOnce: true },
     "leaderCrashes",
   ],
   [
     "all controllers away for longer than a lease",
     72,
-    { ...calm, allAway: true },
+    { ...calm, allControllersAway: true },
     "allControllersAway",
   ],
   [
-    "all away, late copies, machines hang",
+    "all controllers away, late copies, machines hang",
     73,
-    { ...calm, allAway: true, lateCopies: true, hangs: true },
+    { ...calm, allControllersAway: true, lateHeartbeatCopies: true, hangs: true },
     "allControllersAway",
   ],
-  ["a zone with a controller cut off", 74, { ...calm, zoneCut: true, cancelNow: true }, "zoneCuts"],
   [
-    "one refused, machines out of reach, cancels at once",
+    "a zone with a controller cut off",
+    74,
+    { ...calm, zoneCut: true, cancelAtOnce: true },
+    "zoneCuts",
+  ],
+  [
+    "a refused controller, machines out of reach, cancellations at once",
     75,
-    { ...calm, refused: true, muted: true, cancelNow: true, oneWay: true },
+    {
+      ...calm,
+      controllerRefused: true,
+      mutedMachines: true,
+      cancelAtOnce: true,
+      oneWayMachines: true,
+    },
     "cancelledAtOnce",
   ],
   [
     "jobs bound to zones lose machines",
     76,
-    { ...calm, zoneBound: true, wave: true, deaths: true, crashes: true },
+    { ...calm, zoneBound: true, spotWave: true, deaths: true, crashes: true },
     "zoneBoundStarts",
   ],
   [
-    "slow links, cancels at once, crashes",
+    "slow links, cancellations at once, crashes",
     77,
-    { ...calm, slowLinks: true, cancelNow: true, crashes: true, zoneBound: true },
+    { ...calm, slowLinks: true, cancelAtOnce: true, crashes: true, zoneBound: true },
     "zoneBoundStarts",
   ],
 ];
-for (const [name, seed, trouble, met] of meetings)
-  test(`the rules hold where troubles meet: ${name}`, async () => {
-    const w = new Simulation(seed, trouble);
-    await w.day(25);
-    assert.deepEqual(w.violations, []);
-    assert.ok(w.occurrences[met] > 0, "the meeting came about");
-    for (const [id, j] of w.jobs) assert.ok(j.finalState !== null, `${id} comes to its end`);
+for (const [name, seed, scenario, occurrence] of meetings)
+  test(`the rules hold and all jobs end where faults meet: ${name}`, async () => {
+    const simulation = new Simulation(seed, scenario);
+    await simulation.day(25);
+    assert.deepEqual(simulation.violations, []);
+    assert.ok(simulation.occurrences[occurrence] > 0, "the meeting came about");
+    for (const [id, job] of simulation.jobs)
+      assert.ok(job.finalState !== null, `${id} comes to its end`);
   });
 
-test("tasks longer than a lease end elsewhere than on a machine that can't report", async () => {
-  // With ShardState.heartbeatOverdue always false 35 starts go to mute machines on this day, each to end with a lease.
-  const w = new Simulation(82, { ...calm, mutedLong: true }, { ...LONG, machines: 12 });
-  await w.day(10);
-  assert.deepEqual(w.violations, []);
-  assert.ok(w.occurrences.muted > 0, "machines are mute");
-  const late = [...w.jobs].filter(([, j]) => j.cancelRequestedAt === null && j.finalState === null);
+test("tasks longer than a lease end on other machines than those whose heartbeats don't arrive", async () => {
+  // With ShardState.heartbeatOverdue always false 35 starts go to muted machines on this day, each to end with a lease.
+  const simulation = new Simulation(
+    82,
+    { ...calm, mutedForGood: true },
+    { ...LARGE, machines: 12 },
+  );
+  await simulation.day(10);
+  assert.deepEqual(simulation.violations, []);
+  assert.ok(simulation.occurrences.muted > 0, "machines are mute");
+  const late = [...simulation.jobs].filter(
+    ([, job]) => job.cancelRequestedAt === null && job.finalState === null,
+  );
   assert.deepEqual(late, []);
   assert.ok(
-    w.occurrences.startsOnMutedMachines <= w.occurrences.muted,
-    `${w.occurrences.startsOnMutedMachines} starts on mute machines`,
+    simulation.occurrences.startsOnMutedMachines <= simulation.occurrences.muted,
+    `${simulation.occurrences.startsOnMutedMachines} starts on muted machines`,
   );
 });
 
 test("a task that failed on the only machine there is starts there again", async () => {
-  // Without Placing's fallback, or without raising the token for the exit that is kept there, it
-  // waits for ever.
-  const w = new Simulation(91, { ...calm, failures: "first" }, { ...LONG, machines: 1, tasks: 2 });
-  await w.day(1);
-  assert.deepEqual(w.violations, []);
-  for (const [id, j] of w.jobs) assert.ok(j.finalState !== null, `${id} comes to its end`);
+  // Without the placement's fallback to machines where it failed, or without raising the fencing
+  // token for the ended attempt that the worker still reports, it waits for ever.
+  const simulation = new Simulation(
+    91,
+    { ...calm, failures: "first" },
+    { ...LARGE, machines: 1, maxTasks: 2 },
+  );
+  await simulation.day(1);
+  assert.deepEqual(simulation.violations, []);
+  for (const [id, job] of simulation.jobs)
+    assert.ok(job.finalState !== null, `${id} comes to its end`);
 });
 
-test("jobs that fail everywhere take no more than a task at a time where they failed", async () => {
-  const w = new Simulation(
+test("jobs whose tasks always fail start a bounded number of times and hold up no other", async () => {
+  const simulation = new Simulation(
     92,
     { ...calm, failures: "always" },
-    { ...LONG, machines: 8, tasks: 12 },
+    { ...LARGE, machines: 8, maxTasks: 12 },
   );
-  await w.day(18);
-  assert.deepEqual(w.violations, []);
-  for (const [id, j] of w.jobs) assert.ok(w.hasMistake(id) || j.finalState !== null, `${id} ends`);
-  assert.ok(w.occurrences.failedStarts > 0, "some fail");
+  await simulation.day(18);
+  assert.deepEqual(simulation.violations, []);
+  for (const [id, job] of simulation.jobs)
+    assert.ok(simulation.hasMistake(id) || job.finalState !== null, `${id} ends`);
+  assert.ok(simulation.occurrences.failedStarts > 0, "some fail");
   assert.ok(
-    w.occurrences.failedStarts < MOST_FAILED,
-    `${w.occurrences.failedStarts} starts that fail`,
+    simulation.occurrences.failedStarts < MAX_FAILED_STARTS,
+    `${simulation.occurrences.failedStarts} starts that fail`,
   );
 });
 
-const guards: readonly (readonly [DisabledSafeguard, StoreOutageAfterRefusal])[] = [
+const safeguards: readonly (readonly [DisabledSafeguard, StoreOutageAfterRefusal])[] = [
   ["cancellation_notices", {}],
-  ["forced_returns", { machines: "hang" }],
+  ["forced_returns", { machineFault: "hang" }],
 ];
-for (const [guard, gap] of guards)
-  test(`the gap breaks a rule without its guard: ${guard}`, async () => {
-    const w = new Simulation(31, { ...calm, storeOutageAfterRefusal: gap }, LONG, guard);
-    await w.day(JOBS);
+for (const [safeguard, storeOutageAfterRefusal] of safeguards)
+  test(`without its safeguard a store outage after refusal is noticed as ran_cancelled: ${safeguard}`, async () => {
+    const simulation = new Simulation(31, { ...calm, storeOutageAfterRefusal }, LARGE, safeguard);
+    await simulation.day(JOBS);
     assert.ok(
-      w.violations.some((b) => b.startsWith("ran_cancelled")),
-      `${w.violations}`,
+      simulation.violations.some((violation) => violation.startsWith("ran_cancelled")),
+      `${simulation.violations}`,
     );
   });
 
--- a/test/sim/burst.ts
+++ b/test/sim/burst.ts
@@ -1,5 +1,10 @@
+/**
+ * Bursts: masses of jobs of one team, beside the jobs that a day brings anyway.
+ */
+
 import { smallJob } from "./job-spec.js";
 import type { Simulation } from "./simulation.js";
+import { jobIdOf } from "./task-names.js";
 
 /** One team sends many times its load at once. */
 export interface Burst {
@@ -11,11 +16,11 @@
   readonly tasks: number;
   /** Jobs whose number is divisible by three fail on days of mistakes; others never do. */
   readonly failing?: boolean;
-  /** When the users call their jobs off, after the burst began. */
+  /** When the users cancel their jobs, after the burst began. */
   readonly cancelAfterMs?: number;
 }
 
-const WITHIN_MS = 4000;
+const DEFAULT_WITHIN_MS = 4000;
 
 /** Schedules a burst; its jobs' numbers begin at `firstId`. Returns their ids. */
 export const scheduleBurst = (
@@ -27,9 +32,9 @@
   for (let i = 0; ids.length < burst.jobs; i++) {
     const number = firstId + i;
     if ((number % 3 === 0) !== (burst.failing ?? false)) continue;
-    const id = `wk-${String(number).padStart(6, "0")}`;
+    const id = jobIdOf(number);
     ids.push(id);
-    const atMs = burst.atMs + ((burst.withinMs ?? WITHIN_MS) * ids.length) / burst.jobs;
+    const atMs = burst.atMs + ((burst.withinMs ?? DEFAULT_WITHIN_MS) * ids.length) / burst.jobs;
     simulation.clock.after(
       atMs,
       () =>
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -1,27 +1,37 @@
+/**
+ * Simulated time and chance. One clock drives a simulation: it owns the queue of events and the
+ * generator that all random draws come from, so a day follows from its seed and from the order in
+ * which its parts schedule and draw.
+ */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { setClock } from "../../src/transport/clock.js";
 
-interface Due {
+interface ScheduledEvent {
   readonly at: number;
-  readonly n: number;
   readonly run: () => void;
 }
 
 /** What the stand-ins ask of time and chance, simulated or real. */
 export interface TimeSource {
+  /** Milliseconds from an arbitrary start. */
   readonly now: number;
+  /** A draw from [0, 1). */
   random(): number;
-  between(a: number, b: number): number;
+  /** A draw from [min, max). */
+  between(min: number, max: number): number;
+  /** Runs something so much later. */
   after(ms: number, run: () => void): void;
+  /** Resolves so much later. */
   sleep(ms: number): Promise<void>;
 }
 
 /** Simulated time: events in order, each followed by all that it lets happen at once. */
 export class SimulatedClock implements TimeSource {
+  /** Simulated milliseconds since the day began. */
   now = 0;
-  #n = 0;
-  #due: Due[] = [];
+  /** In the order in which they are to run. */
+  readonly #queue: ScheduledEvent[] = [];
   readonly #rng;
 
   constructor(seed: number) {
@@ -33,36 +43,42 @@
     });
   }
 
+  /** A draw from [0, 1). */
   random(): number {
     return uniformFloat64(this.#rng);
   }
 
-  between(a: number, b: number): number {
-    return a + (b - a) * this.random();
+  /** A draw from [min, max). */
+  between(min: number, max: number): number {
+    return min + (max - min) * this.random();
   }
 
+  /** Schedules an event; those of the same time run in the order of scheduling. */
   after(ms: number, run: () => void): void {
-    const due = { at: this.now + ms, n: this.#n++, run };
-    let lo = 0;
-    let hi = this.#due.length;
-    while (lo < hi) {
-      const mid = (lo + hi) >> 1;
-      const d = this.#due[mid] as Due;
-      if (d.at < due.at || (d.at === due.at && d.n < due.n)) lo = mid + 1;
-      else hi = mid;
+    const event = { at: this.now + ms, run };
+    let low = 0;
+    let high = this.#queue.length;
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      const other = this.#queue[middle] as ScheduledEvent;
+      // Behind what was scheduled earlier for the same time: that runs before.
+      if (other.at <= event.at) low = middle + 1;
+      else high = middle;
     }
-    this.#due.splice(lo, 0, due);
+    this.#queue.splice(low, 0, event);
   }
 
+  /** Resolves so much later. */
   sleep(ms: number): Promise<void> {
     return new Promise((resolve) => this.after(ms, resolve));
   }
 
+  /** Runs all events up to a time, each followed by all that it lets happen at once. */
   async runUntil(end: number): Promise<void> {
     for (;;) {
-      const next = this.#due[0];
+      const next = this.#queue[0];
       if (next === undefined || next.at > end) break;
-      this.#due.shift();
+      this.#queue.shift();
       this.now = next.at;
       next.run();
       await new Promise((resolve) => setImmediate(resolve));
--- a/test/sim/context.ts
+++ b/test/sim/context.ts
@@ -19,12 +19,6 @@
 const MISTAKE_EVERY = 3;
 const ID_PREFIX_LENGTH = "wk-".length;
 
-/** The id of a job by its number, from one. */
-export const jobIdOf = (number: number): string => `wk-${String(number).padStart(6, "0")}`;
-
-/** The id of the job that a task belongs to. */
-export const jobIdOfTask = (task: string): string => task.split("/")[0] as string;
-
 /** Shared by the parts of one simulation. */
 export class SimulationContext {
   /** Broken rules and, on days without lost messages, error lines of controllers' logs. */
--- a/test/sim/controllers.ts
+++ b/test/sim/controllers.ts
@@ -70,7 +70,7 @@
       peers: this.#connection(index, isAlive, ports.peers(index, this.#findRunning)),
     };
     const controller = makeController(
-      settingsOf(index, labels, context.scale.quota, scenario.floodTeam === true),
+      settingsOf(index, labels, context.scale.quotaCpus, scenario.floodTeam === true),
       defaultOperators(),
       packages(),
       makeLogger("error", { node: labels[index] }, (line) => {
@@ -186,7 +186,7 @@
       const request = { address: target, method, path, body: value as Body | undefined };
       const sent = { caller, target, method, path, body: bytes };
       const isRepeated =
-        scenario.repeats === true && method !== "GET" && clock.random() < REPEATED_SHARE;
+        scenario.repeatedRequests === true && method !== "GET" && clock.random() < REPEATED_SHARE;
       const result = await this.surroundings.network.call(sent, () => port(request), timeoutMs);
       if (isRepeated)
         clock.after(clock.between(MIN_REPEAT_MS, MAX_REPEAT_MS), () => void port(request));
--- a/test/sim/day-jobs.ts
+++ b/test/sim/day-jobs.ts
@@ -1,9 +1,10 @@
 /** The jobs that users submit over a simulated day, all drawn before it begins. */
-import { jobIdOf, type SimulationContext } from "./context.js";
+import type { SimulationContext } from "./context.js";
 import type { Body } from "./fakes/message.js";
 import type { FaultScenario } from "./faults.js";
 import { smallJob } from "./job-spec.js";
 import { FLOOD_TEAM, TEAMS } from "./settings.js";
+import { jobIdOf } from "./task-names.js";
 import type { SimulatedUsers } from "./users.js";
 
 const FIRST_SUBMISSION_MS = 2000;
@@ -28,7 +29,7 @@
   crew: TEAMS[Math.floor(clock.random() * TEAMS.length)],
   pattern: "sweep",
   rank: clock.random() < 0.5 ? "high" : "normal",
-  threads: 1 + Math.floor(clock.random() * scale.tasks),
+  threads: 1 + Math.floor(clock.random() * scale.maxTasks),
   cpus: 4,
   gpus: 0,
   ramGb: 10,
@@ -51,7 +52,7 @@
 };
 
 const runsForLong = (scenario: FaultScenario): boolean =>
-  scenario.storeOutageAfterRefusal !== undefined || scenario.mutedLong === true;
+  scenario.storeOutageAfterRefusal !== undefined || scenario.mutedForGood === true;
 
 /** Schedules the day's own jobs, numbered from one. */
 export const scheduleDayJobs = (
--- a/test/sim/fault-injection/store-outage-after-refusal.ts
+++ b/test/sim/fault-injection/store-outage-after-refusal.ts
@@ -50,7 +50,7 @@
   for (const job of chosen)
     clock.after(clock.between(MIN_CANCEL_AFTER_MS, MAX_CANCEL_AFTER_MS), () => {
       const asked = confirmers[Math.floor(clock.random() * confirmers.length)] ?? 0;
-      const by = variant.by ?? "cancel";
+      const by = variant.confirmedBy ?? "cancel";
       void parts.users.cancelDuringRefusal(job, { asked, refused: oldLeader, by });
     });
   return chosen;
@@ -60,7 +60,7 @@
 const disturbMachines = (
   { context, tasks }: SimulationParts,
   jobs: readonly UserJob[],
-  fault: NonNullable<StoreOutageAfterRefusal["machines"]>,
+  fault: NonNullable<StoreOutageAfterRefusal["machineFault"]>,
 ): void => {
   const ids = new Set(jobs.map((job) => job.id));
   for (const worker of tasks.machinesRunning(ids, MAX_FAULTY_MACHINES)) {
@@ -80,13 +80,13 @@
   const { context, controllers, standIns } = parts;
   const { variant, oldLeader, confirmers } = refusal;
   standIns.stateStore.outage(OUTAGE_MS);
-  if (variant.confirmersEnd === true)
+  if (variant.confirmersCrash === true)
     for (const index of confirmers) controllers.crash(index, CONFIRMERS_BACK_MS);
-  if (variant.oldEnds === true)
+  if (variant.oldLeaderCrashes === true)
     context.clock.after(OLD_LEADER_CRASHES_AFTER_MS, () =>
       controllers.crash(oldLeader, OLD_LEADER_BACK_MS),
     );
-  if (variant.cloudOut === true) standIns.cloudOutage(CLOUD_OUTAGE_MS);
+  if (variant.cloudOutage === true) standIns.cloudOutage(CLOUD_OUTAGE_MS);
 };
 
 /** Schedules the refusal, the cancellations and the outage. */
@@ -103,7 +103,7 @@
     const refusal: Refusal = { variant, oldLeader, confirmers };
     refuse(parts, refusal);
     const cancelled = cancelMost(parts, refusal);
-    if (variant.machines !== undefined) disturbMachines(parts, cancelled, variant.machines);
+    if (variant.machineFault !== undefined) disturbMachines(parts, cancelled, variant.machineFault);
     context.clock.after(OUTAGE_AFTER_MS, () => beginOutage(parts, refusal));
   });
 };
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -12,36 +12,36 @@
   readonly outages: boolean;
   readonly deaths: boolean;
   /** Machines whose reports arrive while nothing reaches them, for less and for more than a lease. */
-  readonly oneWay?: boolean;
+  readonly oneWayMachines?: boolean;
   /** Reports come again, seconds to several leases later, whoever holds or leads by then. */
-  readonly lateCopies?: boolean;
+  readonly lateHeartbeatCopies?: boolean;
   /** One controller loses the state service and the others, but not its workers. */
-  readonly cut?: boolean;
+  readonly controllerCut?: boolean;
   /** One controller is refused by the state service, while the others are served. */
-  readonly refused?: boolean;
+  readonly controllerRefused?: boolean;
   /** One controller can't reach its workers, nor they it. */
-  readonly noWorkers?: boolean;
+  readonly workersUnreachable?: boolean;
   /** Controllers refuse one another's connections. */
   readonly peersRefuse?: boolean;
   /** Processes end just as they take leadership or a share, and are back at once. */
-  readonly elections?: boolean;
+  readonly crashesAfterElections?: boolean;
   /** More than half of the machines vanish within seconds. */
-  readonly wave?: boolean;
+  readonly spotWave?: boolean;
   /** Controllers stand still for longer than all leases while clocks run on, one or two at a time. */
-  readonly freezes?: boolean;
+  readonly processPauses?: boolean;
   /** All controllers are cut from the state service, the cloud, users and most workers, and released. */
-  readonly cutTogether?: boolean;
+  readonly allControllersCut?: boolean;
   /** All controllers end at once, twice, once during an outage and once just after. */
   readonly restarts?: boolean;
   /** A third of the machines hang for longer than their lease, and go on. */
   readonly hangs?: boolean;
   /** Requests of a controller that were carried out already come again, seconds to minutes later. */
-  readonly repeats?: boolean;
+  readonly repeatedRequests?: boolean;
   readonly storeOutageAfterRefusal?: StoreOutageAfterRefusal;
   /** Transactions get no answer and are carried out 2 to 12 s later, after newer ones. */
   readonly lateWrites?: boolean;
   /** Machines reach no controller, while calls reach them, for less and for more than a lease. */
-  readonly muted?: boolean;
+  readonly mutedMachines?: boolean;
   /** Each task fails once, or those of some jobs fail whenever they are started. */
   readonly failures?: "first" | "always";
   /** Jobs are bound to one zone or spread over zones, as `mill` and `apart` say. */
@@ -49,17 +49,17 @@
   /** Images take up to half a minute to come. */
   readonly slowLinks?: boolean;
   /** The same for good, with tasks that run for longer than a lease. */
-  readonly mutedLong?: boolean;
+  readonly mutedForGood?: boolean;
   /** Many users call off running jobs at once, and some of their machines hang. */
-  readonly cancelNow?: boolean;
+  readonly cancelAtOnce?: boolean;
   /** Jobs are called off, asked about and submitted again at the moment of their last task's end. */
   readonly cancelAtEnd?: boolean;
   /** Users repeat submissions, cancel what is done, and submit what can't run or lacks a field. */
   readonly oddRequests?: boolean;
   /** The leader ends ten times in two minutes and is back within a second, in an outage too. */
-  readonly leaders?: boolean;
+  readonly leaderCrashes?: boolean;
   /** All controllers are away for longer than a lease. */
-  readonly allAway?: boolean;
+  readonly allControllersAway?: boolean;
   /** A zone's workers and one controller are cut off from the rest for longer than a lease. */
   readonly zoneCut?: boolean;
   /** For a minute users ask this many times as often, and the state service counts requests. */
@@ -82,22 +82,22 @@
   /** The refused one is cut from the other controllers as well. */
   readonly peersCut?: boolean;
   /** The others end just after they told users, and are back seconds later, in the outage. */
-  readonly confirmersEnd?: boolean;
+  readonly confirmersCrash?: boolean;
   /** The refused one ends inside the outage, and is back within a second. */
-  readonly oldEnds?: boolean;
+  readonly oldLeaderCrashes?: boolean;
   /** What happens to some machines with tasks of cancelled jobs, for longer than `cancel_s`. */
-  readonly machines?: "hang" | "deaf" | "mute";
+  readonly machineFault?: "hang" | "deaf" | "mute";
   /** The cloud is out for the first part of the outage. */
-  readonly cloudOut?: boolean;
+  readonly cloudOutage?: boolean;
   /** What gives the user the confirmation; the cancel itself is then not answered. */
-  readonly by?: "cancel" | "question" | "repeat";
+  readonly confirmedBy?: "cancel" | "question" | "repeat";
 }
 
 export interface SimulationScale {
-  readonly nodes: number;
+  readonly controllers: number;
   readonly machines: number;
-  readonly quota: number;
-  readonly tasks: number;
+  readonly quotaCpus: number;
+  readonly maxTasks: number;
 }
 
 /** A safeguard that a test switches off, to show that the checks notice. */
--- a/test/sim/job-spec.ts
+++ b/test/sim/job-spec.ts
@@ -1,3 +1,6 @@
+/**
+ * A submission for tests that care about one or two of its fields.
+ */
 import type { Body } from "./fakes/message.js";
 
 /** A submission of small tasks without special wishes, in the wire's words; `more` replaces fields. */
--- a/test/sim/running-tasks.ts
+++ b/test/sim/running-tasks.ts
@@ -2,8 +2,9 @@
  * Which task runs on which machines, by what the workers themselves do: the truth against which
  * the service's answers are checked. Nothing that a controller believes enters here.
  */
-import { jobIdOfTask } from "./context.js";
+
 import type { FakeWorker } from "./fakes/worker.js";
+import { jobIdOfTask } from "./task-names.js";
 import type { UserJob } from "./user-job.js";
 
 /** Owns the record of starts, of what runs where, and of the processors that teams use. */
--- a/test/sim/safety/safety-checker.ts
+++ b/test/sim/safety/safety-checker.ts
@@ -5,9 +5,10 @@
  * a user, looks at the whole cluster from time to time, and once more at the end; the rules
  * themselves are the lists of invariants beside it.
  */
-import { CALM_MS, jobIdOfTask } from "../context.js";
+import { CALM_MS } from "../context.js";
 import type { Body, Out } from "../fakes/message.js";
 import type { FakeWorker } from "../fakes/worker.js";
+import { jobIdOfTask } from "../task-names.js";
 import type { UserJob } from "../user-job.js";
 import { ANSWER_INVARIANTS } from "./answer-invariants.js";
 import { unservedOf } from "./service-invariants.js";
@@ -43,7 +44,7 @@
     }
     job.startedAt ??= context.clock.now;
     const teamCpus = tasks.addCpus(String(job.spec.crew), Number(job.spec.cpus));
-    const quotaCpus = context.scale.quota;
+    const quotaCpus = context.scale.quotaCpus;
     for (const { rule, check } of START_INVARIANTS) {
       const seen = check({ task, job, worker, tasks, teamCpus, quotaCpus });
       if (seen !== undefined) context.violate(rule, seen);
--- a/test/sim/safety/standing-invariants.ts
+++ b/test/sim/safety/standing-invariants.ts
@@ -2,10 +2,11 @@
  * What must hold at each moment, looked at again and again over the day: no task of a cancelled job
  * runs on, and no job waits beside a machine that has room for it.
  */
-import { jobIdOfTask, type SimulationContext } from "../context.js";
+import type { SimulationContext } from "../context.js";
 import type { FakeWorker } from "../fakes/worker.js";
 import type { RunningTasks } from "../running-tasks.js";
 import { CANCEL_MS, MACHINE_TYPES } from "../settings.js";
+import { jobIdOfTask } from "../task-names.js";
 import type { UserJob } from "../user-job.js";
 
 /** What the invariants look at. */
@@ -62,7 +63,7 @@
   // Which zones are open to it depends on where its other tasks are: not judged here.
   if (oneZone === true || apart === true) return false;
   const teamCpus = view.tasks.cpusOfTeam(String(crew)) + Number(cpus);
-  if (teamCpus > view.context.scale.quota) return false;
+  if (teamCpus > view.context.scale.quotaCpus) return false;
   for (const worker of view.workers.values()) {
     if (!mayUse(job, worker)) continue;
     const { freeCpus, hasOwnTasks } = roomOn(worker, job, view.jobs);
--- a/test/sim/settings.ts
+++ b/test/sim/settings.ts
@@ -1,33 +1,45 @@
+/**
+ * The settings and machine types of a simulated deployment: a small one, with short times, whose
+ * limits a day can reach.
+ */
 import { parseSettings, type Settings } from "../../src/config/settings.js";
 
-/** The settings and the machine types of a simulated deployment. */
+/** How long a controller's and a worker's lease is valid without renewal. */
 export const LEASE_MS = 21_000;
+/** By then after a confirmed cancellation no task of the job may be on a machine. */
 export const CANCEL_MS = 46_000;
+/** Requests a second that the state store serves. */
 export const STATE_RPS = 250;
 
+/** Teams with a guarantee. */
 export const TEAMS = ["t0", "t1", "t2", "t3"];
-/** A team without a guarantee. */
+/** A team without a guarantee; its name on the wire. */
 export const FLOOD_TEAM = "guest";
 
-const team = (name: string, cpus: number, most: number): string =>
-  `[[params.teams]]\nname = "${name}"\ncpus = ${cpus}.0\ncpus_max = ${most}.0`;
+const GUARANTEED_CPUS = 8;
 
+const teamTable = (name: string, cpus: number, maxCpus: number): string =>
+  `[[params.teams]]\nname = "${name}"\ncpus = ${cpus}.0\ncpus_max = ${maxCpus}.0`;
+
+/** The settings of one controller, by its index. */
 export const settingsOf = (
-  n: number,
+  index: number,
   labels: readonly string[],
-  quota: number,
+  quotaCpus: number,
   hasFloodTeam: boolean,
 ): Settings => {
-  const teams = TEAMS.map((name) => team(name, 8, quota));
-  if (hasFloodTeam) teams.push(team(FLOOD_TEAM, 0, quota));
-  const seeds = labels.flatMap((label, i) =>
-    i === n ? [] : [`[[seeds]]\nlabel = "${label}"\narea = "z"\naddress = "10.0.0.${i}:2"`],
+  const teams = TEAMS.map((name) => teamTable(name, GUARANTEED_CPUS, quotaCpus));
+  if (hasFloodTeam) teams.push(teamTable(FLOOD_TEAM, 0, quotaCpus));
+  const seeds = labels.flatMap((label, other) =>
+    other === index
+      ? []
+      : [`[[seeds]]\nlabel = "${label}"\narea = "z"\naddress = "10.0.0.${other}:2"`],
   );
   const parsed = parseSettings(`
-label = "${labels[n]}"
+label = "${labels[index]}"
 area = "z"
-front = "10.0.0.${n}:1"
-internal_addr = "10.0.0.${n}:2"
+front = "10.0.0.${index}:1"
+internal_addr = "10.0.0.${index}:2"
 ${seeds.join("\n")}
 [services]
 cloud = "10.2.0.2:1"
@@ -62,6 +74,7 @@
   return parsed.value;
 };
 
+/** The machine types that the cloud offers, in the wire's words. */
 export const MACHINE_TYPES = [
   ["small", 8, 0.36],
   ["large", 16, 0.8],
--- a/test/sim/simulation.ts
+++ b/test/sim/simulation.ts
@@ -34,7 +34,7 @@
 import type { WireObserver } from "./wire.js";
 import { workerHooksOf } from "./worker-hooks.js";
 
-const SMALL: SimulationScale = { nodes: 3, machines: 14, quota: 24, tasks: 8 };
+const SMALL: SimulationScale = { controllers: 3, machines: 14, quotaCpus: 24, maxTasks: 8 };
 const DAY_MS = 260_000;
 /** A day with a long outage goes on for so long, that its jobs may come to their end. */
 const OUTAGE_DAY_MS = 330_000;
@@ -70,7 +70,7 @@
     const loadSpread = { ...defaultPackages().loadSpread, ...scenario.loadSpread };
     this.packages = { loadSpread: { ...loadSpread, enabled: scenario.loadSpread !== undefined } };
     this.clock = new SimulatedClock(seed);
-    const labels = Array.from({ length: scale.nodes }, (_, index) => `n-${index}`);
+    const labels = Array.from({ length: scale.controllers }, (_, index) => `n-${index}`);
     const context = new SimulationContext(this.clock, scenario, scale, disabledSafeguard, labels);
     this.#context = context;
     this.#network = new SimulatedNetwork(context);
@@ -220,7 +220,8 @@
       const team = key.slice(SPAN_PREFIX.length);
       this.spans.push({ team, at: now, value: this.stored(key) ?? null });
     }
-    if (this.#context.scenario.elections !== true || now > ELECTION_CRASHES_END_MS) return;
+    if (this.#context.scenario.crashesAfterElections !== true || now > ELECTION_CRASHES_END_MS)
+      return;
     if (key === "now/leader" || key.startsWith("now/share/")) crashAfterElection(this.#parts);
   }
 }
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -26,7 +26,7 @@
 export interface RefusalCancellation {
   readonly asked: number;
   readonly refused: number;
-  readonly by: NonNullable<StoreOutageAfterRefusal["by"]>;
+  readonly by: NonNullable<StoreOutageAfterRefusal["confirmedBy"]>;
 }
 
 /** What users and their requests are connected to. */
--- a/test/sim/wire.ts
+++ b/test/sim/wire.ts
@@ -1,4 +1,7 @@
-/** What crosses the simulated network, for whoever wants to look on. */
+/**
+ * What crosses the simulated network, for whoever wants to look on: the digest of a day and its
+ * trace in text.
+ */
 
 /** Who calls whom for what. */
 export interface WireCall {
@@ -18,7 +21,7 @@
   | { readonly kind: "answer"; readonly status: number; readonly body: Uint8Array | undefined }
   | { readonly kind: "lost" };
 
-/** Is told of each call and each reply at its simulated time; it must not act on the world. */
+/** Is told of each call and each reply at its simulated time; it must not act on the simulation. */
 export interface WireObserver {
   readonly sent: (at: number, call: WireCall) => void;
   readonly replied: (at: number, call: WireCall, reply: WireReply) => void;
--- a/test/sim/worker-hooks.ts
+++ b/test/sim/worker-hooks.ts
@@ -2,11 +2,12 @@
  * What the stand-in workers ask and tell of the simulation: how long tasks run and whether they
  * fail, each start and end of a task, and their heartbeats on the way to controllers.
  */
-import { jobIdOfTask, type SimulationContext } from "./context.js";
+import type { SimulationContext } from "./context.js";
 import type { Body, Out } from "./fakes/message.js";
 import type { FakeWorker, WorkerHooks } from "./fakes/worker.js";
 import type { SimulationParts } from "./parts.js";
 import { LEASE_MS } from "./settings.js";
+import { jobIdOfTask } from "./task-names.js";
 
 const MIN_RUN_MS = 3000;
 const MAX_RUN_MS = 20_000;
@@ -20,7 +21,7 @@
 const runMsOf = ({ clock, scenario }: SimulationContext): number => {
   if (scenario.storeOutageAfterRefusal !== undefined)
     return clock.between(OUTAGE_RUN_MS, OUTAGE_RUN_SPREAD * OUTAGE_RUN_MS);
-  if (scenario.mutedLong === true) return clock.between(1.4 * LEASE_MS, 2 * LEASE_MS);
+  if (scenario.mutedForGood === true) return clock.between(1.4 * LEASE_MS, 2 * LEASE_MS);
   return clock.between(MIN_RUN_MS, MAX_RUN_MS);
 };
 
@@ -56,7 +57,7 @@
 ): Promise<Out | undefined> => {
   const { clock, scenario, calls } = context;
   calls.heartbeats++;
-  if (scenario.lateCopies === true && clock.random() < LATE_COPY_SHARE)
+  if (scenario.lateHeartbeatCopies === true && clock.random() < LATE_COPY_SHARE)
     clock.after(clock.between(MIN_COPY_DELAY_MS, MAX_COPY_DELAY_MS), () => {
       void controllers.request(context.randomLabel(), "POST", "/agent/beat", status);
     });
