--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -1,99 +1,85 @@
-import type { MachineId, MonotonicMs, Revision } from "@umberfold/ids";
-import type { MachinePage } from "../../storage/fleet-index.js";
-import { MACHINE_BYTES } from "../../storage/pages.js";
+/**
+ * The phase of a round that reconciles machine records: writes what `machine-record-changes.ts` finds
+ * to be changed, page by page, and compacts pages.
+ *
+ * Owns which machines' changes are not written yet, and since when pages with changes that are not
+ * urgent wait for others. A change comes up in each round until it is in the records. Nothing may be
+ * started in a round on a machine whose record it changes.
+ */
+import type { MachineId, MonotonicMs } from "@umberfold/ids";
 import { keys, type MachineRecord } from "../../storage/records.js";
-import { maxPageBytes } from "../../storage/transaction-batch.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import {
-  isBlockedByEarlierAttempt,
-  mustRaiseToken,
-  shouldRaiseToken,
-  type WorkerSession,
-} from "../ownership/worker-session.js";
+import { compactMachinePages, type KeyedMachinePage } from "./machine-page-compaction.js";
+import { type MachineRecordChange, machineRecordChange } from "./machine-record-changes.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** What is to become of a machine's record. */
-type Change =
-  | { readonly kind: "drop" }
-  | { readonly kind: "move"; readonly to: MachineRecord }
-  /** Worth a write only if its page is written anyway, or after this long; 0: at once. */
-  | { readonly kind: "put"; readonly to: MachineRecord; readonly lazyMs: number };
+/** Changes of the machines of one page. */
+type PageChanges = ReadonlyMap<MachineId, MachineRecordChange>;
 
-/** How long an endpoint may wait for company before its page is written for it alone. */
-const LAZY_MS = 1500;
-/** The same for a token that should rise so that exited attempts can be forgotten. */
-const LAZY_BUMP_MS = 6000;
-/** Pages are joined while together they take at most this part of what one may. */
-const JOIN_PART = 0.7;
-/** Pages joined in one round, and how full the write budget must be to write one for that alone. */
-const MOST_JOINED = 3;
-const JOIN_LEVEL = 0.6;
-
-/** Records of machines: those proved gone, endpoints, bumps, moves between shards, retirement. */
+/** Reconciles the machine records of one owner. */
 export class MachineRecordPhase {
-  /** Pages with a change that waits for company, and since when. */
-  readonly #lazySince = new Map<string, MonotonicMs>();
+  /** Pages with changes that may wait, and since when they do. */
+  readonly #delayedSince = new Map<string, MonotonicMs>();
   /** Machines whose records are to change and have not been written yet. */
-  readonly #pending = new Set<MachineId>();
-  #names = 0;
+  readonly #unwritten = new Set<MachineId>();
+  /** Makes the names of new pages unique. */
+  #pageNameCounter = 0;
 
-  constructor(private readonly owned: ShardState) {}
+  constructor(private readonly state: ShardState) {}
 
   /**
-   * Looks at machines of which something changed, and at those whose change is not written yet.
-   * Returns the machines whose records this round changes: nothing is started on them.
+   * Examines these machines, and those whose changes are not written yet.
+   *
+   * @returns the machines whose records this round changes: nothing may be started on them
    */
-  reconcile(round: ShardRound, looked: Iterable<MachineId>): ReadonlySet<MachineId> {
-    const { replica } = this.owned.ctx;
-    const edited = new Set<MachineId>();
-    const written = new Set<string>();
-    const pages: [string, MachinePage][] = [];
-    for (const [key, page] of replica.machinePages)
+  reconcile(round: ShardRound, machines: Iterable<MachineId>): ReadonlySet<MachineId> {
+    const { ctx } = this.state;
+    const changedMachines = new Set<MachineId>();
+    const writtenPages = new Set<string>();
+    const pages: KeyedMachinePage[] = [];
+    for (const [key, page] of ctx.replica.machinePages)
       if (page.shard === round.shard) pages.push([key, page]);
-    for (const key of this.#lazySince.keys())
-      if (!replica.machinePages.has(key)) this.#lazySince.delete(key);
-    const changesOf = this.#changesByPage(round, looked);
+    for (const key of this.#delayedSince.keys())
+      if (!ctx.replica.machinePages.has(key)) this.#delayedSince.delete(key);
+    const changesByPage = this.#changesByPage(round, machines);
     for (const [key] of pages) {
-      const changes = changesOf.get(key);
-      if (changes === undefined) {
-        this.#lazySince.delete(key);
-        continue;
+      const changes = changesByPage.get(key);
+      if (changes === undefined) this.#delayedSince.delete(key);
+      else if (!this.#mayWait(key, changes, round)) {
+        if (!this.#writePage(key, changes, round, changedMachines)) continue;
+        this.#delayedSince.delete(key);
+        writtenPages.add(key);
       }
-      let lazyMs = Number.POSITIVE_INFINITY;
-      for (const change of changes.values())
-        lazyMs = Math.min(lazyMs, change.kind === "put" ? change.lazyMs : 0);
-      if (lazyMs > 0) {
-        const since = this.#lazySince.get(key) ?? round.now;
-        this.#lazySince.set(key, since);
-        if (round.now - since < lazyMs) continue;
-      }
-      if (!this.#write(key, changes, round, edited)) continue;
-      this.#lazySince.delete(key);
-      written.add(key);
     }
-    this.#join(pages, written, round);
-    return edited;
+    compactMachinePages(ctx, round, pages, writtenPages);
+    return changedMachines;
   }
 
-  /** What is to become of the records of these machines and of those that are pending, by page. */
+  /** To be called before the commit: the next round's transfers go to pages with new names. */
+  nextPageNames(): void {
+    this.#pageNameCounter++;
+  }
+
+  /** Needed changes of these machines and of those that are unwritten, by page. */
   #changesByPage(
     round: ShardRound,
-    looked: Iterable<MachineId>,
-  ): ReadonlyMap<string, ReadonlyMap<MachineId, Change>> {
-    const { replica } = this.owned.ctx;
-    const byPage = new Map<string, Map<MachineId, Change>>();
-    for (const id of new Set([...looked, ...this.#pending])) {
-      const machine = replica.machines.get(id);
-      // Pending ones of another shard have their turn in that shard's part of the round.
-      if (machine !== undefined && machine.shard !== round.shard) continue;
+    machines: Iterable<MachineId>,
+  ): ReadonlyMap<string, PageChanges> {
+    const { replica } = this.state.ctx;
+    const byPage = new Map<string, Map<MachineId, MachineRecordChange>>();
+    for (const id of new Set([...machines, ...this.#unwritten])) {
+      const record = replica.machines.get(id);
+      // Unwritten ones of another shard are examined in that shard's part of the round.
+      if (record !== undefined && record.shard !== round.shard) continue;
       const key = replica.machinePageOf(id);
-      const change = machine === undefined ? undefined : this.#change(id, machine, round);
+      const change =
+        record === undefined ? undefined : machineRecordChange(this.state, round, id, record);
       if (change === undefined || key === undefined) {
-        this.#pending.delete(id);
+        this.#unwritten.delete(id);
         continue;
       }
-      // Until a round in which it needs no change any more: the write may fail, or have to wait.
-      this.#pending.add(id);
+      // Until a round in which it needs no change any more: the commit may fail, or have to wait.
+      this.#unwritten.add(id);
       const changes = byPage.get(key);
       if (changes === undefined) byPage.set(key, new Map([[id, change]]));
       else changes.set(id, change);
@@ -101,142 +87,60 @@
     return byPage;
   }
 
-  #write(
+  /** Whether all changes of the page can wait for others; remembers since when they do. */
+  #mayWait(key: string, changes: PageChanges, { now }: ShardRound): boolean {
+    let maxDelayMs = Number.POSITIVE_INFINITY;
+    for (const change of changes.values())
+      maxDelayMs = Math.min(maxDelayMs, change.kind === "update" ? change.maxDelayMs : 0);
+    if (maxDelayMs <= 0) return false;
+    const since = this.#delayedSince.get(key) ?? now;
+    this.#delayedSince.set(key, since);
+    return now - since < maxDelayMs;
+  }
+
+  /** Adds the changes to the batch. Returns false if it has no room for the page. */
+  #writePage(
     key: string,
-    changes: ReadonlyMap<MachineId, Change>,
+    changes: PageChanges,
     round: ShardRound,
-    edited: Set<MachineId>,
+    changedMachines: Set<MachineId>,
   ): boolean {
-    const { owned } = this;
-    const { replica } = owned.ctx;
-    const machines = round.batch.editMachinePage(key);
-    if (machines === undefined) return false;
-    for (const [id, change] of changes) {
-      if (change.kind === "drop") machines.delete(id);
-      else if (change.kind === "move") {
-        const shard = replica.shardOwners.get(round.shard)?.rev;
-        const page = round.batch.newMachinePage(
-          keys.fleet(change.to.shard, `${shard}-${this.#names}`),
-        );
-        if (page === undefined) continue;
-        machines.delete(id);
-        page.set(id, change.to);
-        edited.add(id);
-      } else {
-        owned.machineState(id).tokenRaise.clear();
-        if (change.lazyMs === 0 || change.to.tokenFloor !== machines.get(id)?.tokenFloor)
-          edited.add(id);
-        machines.set(id, change.to);
-        if (change.to.phase === "up") round.machinesToCall.add(id);
-        else owned.machineState(id).departure.step({ kind: "transfer_ended" });
+    const records = round.batch.editMachinePage(key);
+    if (records === undefined) return false;
+    for (const [id, change] of changes)
+      switch (change.kind) {
+        case "remove":
+          records.delete(id);
+          break;
+        case "transfer":
+          if (!this.#writeTransfer(id, change.record, round)) break;
+          records.delete(id);
+          changedMachines.add(id);
+          break;
+        case "update":
+          if (change.maxDelayMs === 0 || change.record.tokenFloor !== records.get(id)?.tokenFloor)
+            changedMachines.add(id);
+          records.set(id, change.record);
+          this.#recordUpdate(id, change.record, round);
+          break;
       }
-    }
     return true;
   }
 
-  /** A new name for the pages of the next round's moves. */
-  nextPageNames(): void {
-    this.#names++;
-  }
-
-  #change(id: MachineId, m: MachineRecord, round: ShardRound): Change | undefined {
-    const { owned } = this;
-    const { replica } = owned.ctx;
-    const open = replica.shardJobs(round.shard).openAttemptsOn(id).size;
-    if (replica.isGone(id))
-      return open === (round.terminatedByMachine.get(id)?.size ?? 0) ? { kind: "drop" } : undefined;
-    const s = owned.sessions.get(id);
-    if (s === undefined || m.phase !== "up") return undefined;
-    const { decommission, transfer: pending } = owned.machineState(id).departure;
-    const empty = open === 0;
-    if (decommission !== null && (decommission.force || empty)) {
-      owned.ctx.log.info("machine retired", { machine: id, reason: decommission.reason });
-      return { kind: "put", to: { ...m, phase: "retiring" }, lazyMs: 0 };
-    }
-    const endpoint = s.status?.endpoint ?? m.endpoint;
-    const transfer = pending === null ? undefined : this.#transfer(id, { ...m, endpoint }, s);
-    const raise = this.#raise(id, { ...m, endpoint }, s, round);
-    if (transfer !== undefined || raise !== undefined) return transfer ?? raise;
-    if (endpoint !== m.endpoint) return { kind: "put", to: { ...m, endpoint }, lazyMs: LAZY_MS };
-    return undefined;
+  /** Adds the machine to a new page of its next shard. Returns false if the batch has no room. */
+  #writeTransfer(id: MachineId, record: MachineRecord, round: ShardRound): boolean {
+    const ownedSince = this.state.ctx.replica.shardOwners.get(round.shard)?.rev;
+    const pageName = `${ownedSince}-${this.#pageNameCounter}`;
+    const page = round.batch.newMachinePage(keys.fleet(record.shard, pageName));
+    page?.set(id, record);
+    return page !== undefined;
   }
 
-  /** The move to another shard that the leader asked for, once nothing is left on the machine. */
-  #transfer(id: MachineId, m: MachineRecord, s: WorkerSession): Change | undefined {
-    const { owned } = this;
-    const { departure } = owned.machineState(id);
-    if (departure.transfer === null) return undefined;
-    const { to, drain, whenEmpty } = departure.transfer;
-    const empty = owned.ctx.replica.shardJobs(m.shard).openAttemptsOn(id).size === 0;
-    // What has exited there the next owner forgets, under its higher token.
-    const idle = [...s.tasks.values()].every((x) => x.phase === "ended");
-    const proved = empty && idle && (s.state === "ready" || s.status === undefined);
-    if (proved || !(drain || whenEmpty)) departure.step({ kind: "transfer_ended" });
-    const tokenFloor = this.#above(owned.fencingTokenOf(m));
-    if (!proved || to === m.shard || tokenFloor === undefined) return undefined;
-    return { kind: "move", to: { ...m, shard: to, tokenFloor } };
-  }
-
-  /** A higher token, where a lost start or a kept exit needs one. */
-  #raise(id: MachineId, m: MachineRecord, s: WorkerSession, round: ShardRound): Change | undefined {
-    const { owned } = this;
-    const note = owned.machineState(id);
-    const open = owned.ctx.replica.shardJobs(round.shard).openAttemptsOn(id);
-    const blocked = (): boolean => {
-      for (const [task, o] of open) if (isBlockedByEarlierAttempt(s, task, o.attempt)) return true;
-      return false;
-    };
-    const kept = s.startDeliveries.size > 0 && s.state === "ready";
-    if (!kept) note.tokenRaise.clear();
-    const pressing = mustRaiseToken(s) || (kept && (note.tokenRaise.pending || blocked()));
-    if (!pressing && !(shouldRaiseToken(s) && s.state === "ready")) return undefined;
-    const tokenFloor = this.#above(owned.fencingTokenOf(m));
-    if (tokenFloor === undefined) return undefined;
-    return { kind: "put", to: { ...m, tokenFloor }, lazyMs: pressing ? 0 : LAZY_BUMP_MS };
-  }
-
-  /**
-   * A revision above a token that was in force: whoever commands under it, or takes the shard
-   * over later, can't be taken for the one before.
-   */
-  #above(old: number): Revision | undefined {
-    const { latestSeenRevision } = this.owned.ctx.replica;
-    return latestSeenRevision > old ? latestSeenRevision : undefined;
-  }
-
-  /**
-   * Small pages, as rents and moves leave them, are joined into one that is written anyway: each
-   * costs one delete now, and one put less in every later round that has to do with its machines.
-   */
-  #join(
-    pages: readonly (readonly [string, MachinePage])[],
-    written: ReadonlySet<string>,
-    round: ShardRound,
-  ): void {
-    const { ctx } = this.owned;
-    if (pages.length < 3) return;
-    if (written.size === 0 && ctx.store.writeLevel() < JOIN_LEVEL) return;
-    const most =
-      (maxPageBytes({ ...ctx.settings.state, shardCount: ctx.settings.shardCount }) * JOIN_PART) /
-      MACHINE_BYTES;
-    const bySize = [...pages].sort((a, b) => a[1].machines.size - b[1].machines.size);
-    const least = bySize[0]?.[1].machines.size ?? 0;
-    const into = bySize
-      .slice(1)
-      .filter(([, p]) => p.machines.size + least <= most)
-      .filter(([key]) => written.size === 0 || written.has(key))
-      .pop();
-    const target = into === undefined ? undefined : round.batch.editMachinePage(into[0]);
-    if (into === undefined || target === undefined) return;
-    let joined = 0;
-    for (const [key, p] of bySize) {
-      if (joined >= MOST_JOINED) break;
-      if (key === into[0] || target.size + p.machines.size > most) continue;
-      const from = round.batch.editMachinePage(key);
-      if (from === undefined) return;
-      for (const [id, m] of from) target.set(id, m);
-      from.clear();
-      if (!written.has(key)) joined++;
-    }
+  /** Clears in the soft state what the new record satisfies. */
+  #recordUpdate(id: MachineId, record: MachineRecord, round: ShardRound): void {
+    const { tokenRaise, departure } = this.state.machineState(id);
+    tokenRaise.clear();
+    if (record.phase === "up") round.machinesToCall.add(id);
+    else departure.step({ kind: "transfer_ended" });
   }
 }
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -78,7 +78,10 @@
     const writeWaitMs = store.writeWaitMs(MIN_ROUND_WRITES);
     if (writeWaitMs > 0) return { pauseMs: writeWaitMs };
     state.reservations.expire(now);
-    this.#evictAndSwarm(shards, now);
+    // A task that is stopped to make room could not be started again while nothing can be written.
+    const canWrite = !store.isFailing();
+    this.#evict(now, canWrite);
+    if (canWrite) this.#swarm(shards, now);
     const decision = this.#decide(shards, now);
     if (decision.batch.empty) {
       this.#dispatch(decision);
@@ -107,20 +110,20 @@
     return "again";
   }
 
-  /** Requests the stops that clear machines: spot notices, drains for other shards, swarm moves. */
-  #evictAndSwarm(shards: readonly ShardId[], now: MonotonicMs): void {
-    const { state } = this;
-    const { store, operators } = state.ctx;
-    handleSpotNotices(state, now);
-    // A task that is stopped to make room could not be started again while nothing can be written.
-    if (store.isFailing()) return;
-    drainRequestedMachines(state, now);
-    if (now - this.#lastSwarmAt < operators.swarmPeriodS * 1000) return;
+  /** Requests the stops that clear machines: for spot notices, and for transfers with a drain. */
+  #evict(now: MonotonicMs, canWrite: boolean): void {
+    handleSpotNotices(this.state, now);
+    if (canWrite) drainRequestedMachines(this.state, now);
+  }
+
+  /** Runs the swarm in each shard once a period. */
+  #swarm(shards: readonly ShardId[], now: MonotonicMs): void {
+    if (now - this.#lastSwarmAt < this.state.ctx.operators.swarmPeriodS * 1000) return;
     this.#lastSwarmAt = now;
-    for (const shard of shards) runSwarmPhase(state, shard, now);
+    for (const shard of shards) runSwarmPhase(this.state, shard, now);
   }
 
-  /** Terminates attempts, reconciles machine records and places tasks, shard by shard. */
+  /** Decides on what is dirty and what waits, shard by shard: terminate, reconcile, place. */
   #decide(shards: readonly ShardId[], now: MonotonicMs): RoundDecision {
     const { state } = this;
     const { replica } = state.ctx;
@@ -150,7 +153,10 @@
     return decision;
   }
 
-  /** What frees resources and finishes jobs goes first, then machine records, then starts. */
+  /**
+   * Terminates attempts, reconciles machine records and places tasks: what frees resources and
+   * finishes jobs gets room in the batch first, then machine records, then starts.
+   */
   #decideShard(round: ShardRound, machines: readonly MachineId[]): void {
     const { state } = this;
     terminateAttempts(state, round, machines);
@@ -194,7 +200,7 @@
     for (let n = 0; n < MAX_FINISH_TRANSACTIONS && !state.ctx.stopping; n++) {
       if (this.commit.isReplicaBehind || !membership.holdsValidLease()) return;
       const batch = this.#newBatch();
-      // Asked anew each time: a shard may have got another owner during the last write.
+      // Asked each time: a shard may have got another owner during the last write.
       for (const shard of membership.ownedShards())
         finishCompletedJobs(state, newShardRound(shard, batch, monotonicNow()));
       if (batch.empty) return;
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -21,7 +21,7 @@
 
 export type { RoundOutcome } from "./round-cycle.js";
 
-/** How long the leader's request for a transfer stands. */
+/** How long the leader's request for a transfer is valid. */
 const TRANSFER_REQUEST_MS = 10_000;
 
 /** Runs the shards that this controller owns. */
--- a/src/coordination/rounds/shard-round.ts
+++ b/src/coordination/rounds/shard-round.ts
@@ -1,6 +1,6 @@
 /**
  * The data that the phases of one round pass on to each other for one shard: decisions taken so far
- * and not yet written. A round is created anew each time and thrown away after its commit.
+ * and not yet written. It is created for each round and thrown away after the commit.
  */
 import type { JobId, MachineId, MonotonicMs, ShardId, TaskId } from "@umberfold/ids";
 import type { LiveJob } from "../../storage/records.js";
