--- a/src/coordination/fleet/failing-jobs.ts
+++ b/src/coordination/fleet/failing-jobs.ts
@@ -1,3 +1,10 @@
+/**
+ * Jobs that fail wherever they are started, as their owners tell the leader.
+ *
+ * Owns until when each notice is valid. What must hold: a failing job wants room for one task beyond
+ * those it has open, to see whether it still fails: with a mistake in it, it would occupy all idle
+ * machines for its shard, and scale the fleet out.
+ */
 import { type JobId, type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
 import { EMPTY_PEER_MESSAGE, encodePeerMessage } from "../../protocol/peer.js";
@@ -5,29 +12,27 @@
 import type { HttpClient } from "../../transport/client.js";
 import { monotonicNow } from "../../transport/clock.js";
 import { type ControllerContext, peerAddress } from "../context.js";
-import type { ShardOwner } from "../rounds/shard-owner.js";
+import type { LocalShardOwner } from "./local-shard-owner.js";
 
-/** How long an owner's notice that a job fails stands. */
-const STANDS_MS = 8000;
-const PEER_MS = 1000;
+/** How long an owner's notice that a job fails is valid. */
+const NOTICE_VALID_MS = 8000;
+const PEER_CALL_MS = 1000;
 
-/**
- * Jobs that fail wherever they are started, as their owners tell the leader. Such a job wants
- * room for one task, to see whether it still fails: with a mistake in it it would hold all idle
- * machines for its shard, and pull the fleet up.
- */
+/** Limits what failing jobs count for in demand. */
 export class FailingJobs {
-  readonly #until = new Map<JobId, MonotonicMs>();
+  readonly #failingUntil = new Map<JobId, MonotonicMs>();
 
+  /** @param owner knows which jobs of the shards owned here fail */
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly owner: ShardOwner,
+    private readonly owner: LocalShardOwner,
     private readonly peers: HttpClient,
   ) {}
 
-  record(ids: Iterable<JobId>): void {
-    const until = monotonicMs(monotonicNow() + STANDS_MS);
-    for (const id of ids) this.#until.set(id, until);
+  /** Takes in an owner's notice; it is valid for a few seconds, and repeated by its owner. */
+  record(jobs: Iterable<JobId>): void {
+    const until = monotonicMs(monotonicNow() + NOTICE_VALID_MS);
+    for (const job of jobs) this.#failingUntil.set(job, until);
   }
 
   /** Tells the leader which jobs of the shards owned here fail; it may be this controller. */
@@ -43,15 +48,15 @@
     const address = peerAddress(settings, leader);
     if (address === undefined) return;
     const payload = encodePeerMessage({ ...EMPTY_PEER_MESSAGE, from: self.label, failing });
-    await this.peers.callRaw(address, "POST", "/peer", payload, PEER_MS);
+    await this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_MS);
   }
 
   /** How many tasks of a job demand counts with. */
   desiredTaskCount(id: JobId, spec: JobSpec): number {
-    const until = this.#until.get(id);
+    const until = this.#failingUntil.get(id);
     if (until === undefined) return spec.taskCount;
     if (until <= monotonicNow()) {
-      this.#until.delete(id);
+      this.#failingUntil.delete(id);
       return spec.taskCount;
     }
     const job = this.ctx.replica.job(id);
@@ -62,7 +67,7 @@
   /** The live jobs as demand sees them. */
   *jobsWithDesiredTasks(): Iterable<readonly [JobId, LiveJob]> {
     for (const [id, job] of this.ctx.replica.allJobs()) {
-      const taskCount = this.#until.has(id)
+      const taskCount = this.#failingUntil.has(id)
         ? this.desiredTaskCount(id, job.spec)
         : job.spec.taskCount;
       yield taskCount === job.spec.taskCount
--- a/src/coordination/fleet/leader.ts
+++ b/src/coordination/fleet/leader.ts
@@ -1,21 +1,29 @@
+/**
+ * The leader's work: all calls of the cloud, and which shard a free machine serves. The facade over
+ * the parts in this folder.
+ *
+ * Owns no state beside its parts. It exists on each controller; what must hold is that it writes and
+ * calls the cloud on the active leader alone, which its parts check each time.
+ */
 import type { JobId } from "@umberfold/ids";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
 import type { WorkerStatus } from "../../protocol/workers.js";
 import type { HttpClient } from "../../transport/client.js";
 import type { ControllerContext } from "../context.js";
 import type { Membership } from "../membership/membership.js";
-import type { ShardOwner } from "../rounds/shard-owner.js";
 import { CloudClient } from "./cloud-client.js";
 import { FailingJobs } from "./failing-jobs.js";
+import { FleetDemand } from "./fleet-demand.js";
 import { FleetPlanner } from "./fleet-planner.js";
 import { FleetRecords } from "./fleet-records.js";
+import type { LocalShardOwner } from "./local-shard-owner.js";
 import { MachineTypes } from "./machine-types.js";
 import { OwnerRequests } from "./owner-requests.js";
 import { Rentals } from "./rentals.js";
 import { Returns } from "./returns.js";
 import { UnknownMachines } from "./unknown-machines.js";
 
-/** The leader's work: all calls of the cloud, and which shard a free machine serves. */
+/** What the leader does for the whole cluster. */
 export class Leader {
   readonly #records: FleetRecords;
   readonly #types: MachineTypes;
@@ -26,10 +34,16 @@
   readonly #failing: FailingJobs;
   readonly #planner: FleetPlanner;
 
+  /**
+   * @param owner the owner of shards on this controller
+   * @param cloudCalls connections to the cloud, used within its limit
+   * @param peers connections to the other controllers
+   * @param workers direct connections to machines
+   */
   constructor(
     ctx: ControllerContext,
     membership: Membership,
-    owner: ShardOwner,
+    owner: LocalShardOwner,
     cloudCalls: HttpClient,
     peers: HttpClient,
     workers: HttpClient,
@@ -48,8 +62,7 @@
       this.#types,
       this.#rentals,
       this.#owners,
-      this.#failing,
-      owner,
+      new FleetDemand(ctx, this.#types, this.#failing, owner),
     );
   }
 
@@ -62,12 +75,12 @@
     this.#owners.requestDecommission(await this.#unknown.list(), "failed");
   }
 
-  /** A report of a machine that no record knows. */
-  adoptMachine(report: WorkerStatus): void {
-    this.#unknown.recordStatus(report);
+  /** Takes in a heartbeat of a machine that no record knows. */
+  adoptMachine(status: WorkerStatus): void {
+    this.#unknown.recordStatus(status);
   }
 
-  /** Takes in unknown machines that have shown themselves. */
+  /** Enters unknown machines that have shown themselves into the records. */
   async adoptAll(): Promise<void> {
     await this.#unknown.adopt();
   }
@@ -77,23 +90,27 @@
     this.#failing.record(ids);
   }
 
+  /** Tells the leader, on whichever controller, of jobs that fail in the shards owned here. */
   async reportFailingJobs(): Promise<void> {
     await this.#failing.reportToLeader();
   }
 
+  /** Sizes the fleet to demand, and moves machines between shards. */
   async plan(): Promise<void> {
     await this.#planner.plan();
   }
 
   /** Asks owners for machines, to be handed over once they are empty. */
-  transferMachines(moves: readonly MachineTransferRequest[]): void {
-    this.#planner.requestMoves(moves);
+  transferMachines(transfers: readonly MachineTransferRequest[]): void {
+    this.#planner.requestTransfers(transfers);
   }
 
+  /** Between two plans: gives idle machines to shards whose tasks wait. */
   async rebalance(): Promise<void> {
     await this.#planner.rebalance();
   }
 
+  /** Counts since the start, for the log event `stats`. */
   stats(): Readonly<Record<string, unknown>> {
     return {
       ...this.#rentals.counters,
--- a/src/coordination/fleet/machine-types.ts
+++ b/src/coordination/fleet/machine-types.ts
@@ -1,3 +1,9 @@
+/**
+ * The machine types on offer: read from the cloud by the leader, and known to all by a record.
+ *
+ * Owns when the cloud was last asked; the types themselves are the record's. What must hold: an
+ * answer without types never replaces the record.
+ */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import { type MachineType, parseMachineTypes } from "../../protocol/cloud.js";
 import { encodeMachineTypes } from "../../storage/cluster-records.js";
@@ -7,9 +13,9 @@
 import type { CloudClient } from "./cloud-client.js";
 import type { FleetRecords } from "./fleet-records.js";
 
-const READ_EVERY_MS = 60_000;
+const REFRESH_INTERVAL_MS = 60_000;
 
-/** The machine types on offer: read from the cloud by the leader, and known to all by a record. */
+/** Keeps the record of machine types in line with the cloud's offers. */
 export class MachineTypes {
   #readAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
 
@@ -19,18 +25,21 @@
     private readonly cloud: CloudClient,
   ) {}
 
+  /** All types on offer; none before the record is known. */
   all(): readonly MachineType[] {
     return this.ctx.replica.machineTypes?.value ?? [];
   }
 
+  /** The type of this name, if it is on offer. */
   find(name: string): MachineType | undefined {
     return this.all().find((t) => t.name === name);
   }
 
+  /** Asks the cloud if it is time to, and writes the record if the answer differs from it. */
   async refresh(): Promise<void> {
     const { replica } = this.ctx;
     const now = monotonicNow();
-    if (replica.machineTypes !== undefined && now - this.#readAt < READ_EVERY_MS) return;
+    if (replica.machineTypes !== undefined && now - this.#readAt < REFRESH_INTERVAL_MS) return;
     const answer = await this.cloud.call("GET", "/flavors");
     const types = answer?.status === 200 ? parseMachineTypes(answer.body) : undefined;
     if (types === undefined || types.length === 0) return;
--- /dev/null
+++ b/src/coordination/fleet/machine-view.ts
@@ -0,0 +1,146 @@
+/**
+ * The machines as planning sees them.
+ *
+ * Owns since when machines are idle and attempts open, as this leader has seen it. What must hold: a
+ * machine that is about to go to another shard counts as empty and as that shard's.
+ */
+import type { JobId, MachineId, MonotonicMs } from "@umberfold/ids";
+import type { MachineType } from "../../protocol/cloud.js";
+import { priorityOrder } from "../../protocol/jobs.js";
+import type { FleetMachine } from "../../scheduling/fleet-plan.js";
+import { add, NO_RESOURCES } from "../../scheduling/resources.js";
+import type { MachineRecord } from "../../storage/records.js";
+import { wallClockNow } from "../../transport/clock.js";
+import type { ControllerContext } from "../context.js";
+import type { MachineTypes } from "./machine-types.js";
+import type { PendingTransfers } from "./pending-transfers.js";
+
+/** Ranks before every job's: what runs within a guarantee is not the leader's to take away. */
+const GUARANTEED_PRIORITY = -1;
+
+type FleetTask = FleetMachine["tasks"][number];
+
+/** All machines that are up or still boot. */
+export interface PlannedMachines {
+  /** Those that planning may count with. */
+  readonly machines: readonly FleetMachine[];
+  /** Those that should have come up long ago, to be decommissioned. */
+  readonly neverBooted: readonly MachineId[];
+}
+
+/** Reads the records of machines for planning. */
+export class MachineView {
+  readonly #idleSince = new Map<MachineId, MonotonicMs>();
+  /** When each open attempt was first seen in the records, by its key. */
+  #openSince: ReadonlyMap<string, MonotonicMs> = new Map();
+
+  constructor(
+    private readonly ctx: ControllerContext,
+    private readonly types: MachineTypes,
+    private readonly transfers: PendingTransfers,
+  ) {}
+
+  /** All machines, with what stands on them; `withinGuarantee` names jobs whose tasks stay. */
+  all(now: MonotonicMs, withinGuarantee: ReadonlySet<JobId>): PlannedMachines {
+    const { replica } = this.ctx;
+    const openSince = new Map<string, MonotonicMs>();
+    const machines: FleetMachine[] = [];
+    const neverBooted: MachineId[] = [];
+    for (const [id, record] of replica.machines) {
+      const type = this.types.find(record.type);
+      if (record.phase !== "up" || type === undefined || replica.isGone(id)) continue;
+      const idleS = this.#idleS(id, record, now);
+      const destination = this.transfers.destinationOf(id, record.shard, now);
+      const heldS = Math.max(0, (wallClockNow() - record.rentedAt) / 1000);
+      if (record.endpoint === "" && heldS > this.#maxBootS(type)) {
+        neverBooted.push(id);
+        continue;
+      }
+      const tasks =
+        destination === undefined ? this.#tasksOn(id, record, withinGuarantee, openSince, now) : [];
+      machines.push({
+        id,
+        shard: destination ?? record.shard,
+        type,
+        zone: record.zone,
+        spot: record.spot,
+        up: record.endpoint !== "",
+        use: tasks.reduce((sum, task) => add(sum, task.resources), NO_RESOURCES),
+        openAttempts: destination === undefined ? this.#openAttempts(id, record).size : 0,
+        tasks,
+        idleS,
+        heldS,
+      });
+    }
+    for (const id of [...this.#idleSince.keys()])
+      if (!replica.machines.has(id)) this.#idleSince.delete(id);
+    this.#openSince = openSince;
+    return { machines, neverBooted };
+  }
+
+  /** Machines that are up with nothing on them, whatever their time of idleness. */
+  idle(now: MonotonicMs): readonly FleetMachine[] {
+    const { replica } = this.ctx;
+    const machines: FleetMachine[] = [];
+    for (const [id, record] of replica.machines) {
+      if (record.phase !== "up" || record.endpoint === "" || replica.isGone(id)) continue;
+      if (this.#openAttempts(id, record).size > 0) continue;
+      const type = this.types.find(record.type);
+      if (type === undefined) continue;
+      machines.push({
+        id,
+        shard: this.transfers.destinationOf(id, record.shard, now) ?? record.shard,
+        type,
+        zone: record.zone,
+        spot: record.spot,
+        up: true,
+        use: NO_RESOURCES,
+        openAttempts: 0,
+        tasks: [],
+        idleS: 0,
+        heldS: 0,
+      });
+    }
+    return machines;
+  }
+
+  /** Seconds after its rental at which a machine of this type counts as never booted. */
+  #maxBootS(type: MachineType): number {
+    const { operators, settings } = this.ctx;
+    return type.bootS * operators.bootPatience + settings.workers.reportS;
+  }
+
+  #openAttempts(id: MachineId, { shard }: MachineRecord) {
+    return this.ctx.replica.shardJobs(shard).openAttemptsOn(id);
+  }
+
+  #idleS(id: MachineId, record: MachineRecord, now: MonotonicMs): number {
+    if (this.#openAttempts(id, record).size > 0) this.#idleSince.delete(id);
+    else if (!this.#idleSince.has(id)) this.#idleSince.set(id, now);
+    return (now - (this.#idleSince.get(id) ?? now)) / 1000;
+  }
+
+  #tasksOn(
+    id: MachineId,
+    record: MachineRecord,
+    withinGuarantee: ReadonlySet<JobId>,
+    openSince: Map<string, MonotonicMs>,
+    now: MonotonicMs,
+  ): readonly FleetTask[] {
+    const { jobs } = this.ctx.replica.shardJobs(record.shard);
+    const tasks: FleetTask[] = [];
+    for (const { job: jobId, key } of this.#openAttempts(id, record).values()) {
+      const job = jobs.get(jobId);
+      if (job === undefined) continue;
+      const since = this.#openSince.get(key) ?? now;
+      openSince.set(key, since);
+      const { checkpointIntervalS, checkpointSaveS, resources } = job.spec;
+      const lossS = checkpointIntervalS > 0 ? checkpointSaveS : (now - since) / 1000;
+      const priority = withinGuarantee.has(jobId)
+        ? GUARANTEED_PRIORITY
+        : priorityOrder(job.spec.priority);
+      tasks.push({ priority, resources, lossS });
+    }
+    return tasks;
+  }
+}
--- a/src/coordination/fleet/overloaded-shards.ts
+++ b/src/coordination/fleet/overloaded-shards.ts
@@ -1,33 +1,45 @@
+/**
+ * Shards whose owners don't keep up with the machines they have: they are given no more. Pure, read
+ * from the replica.
+ *
+ * (The owner of a flooded shard was rented four hundred machines whose heartbeats it could not
+ * answer: each killed its tasks when its lease expired, and the jobs that waited for that had more
+ * machines rented.)
+ */
 import type { ShardId } from "@umberfold/ids";
 import type { Replica } from "../../storage/replica.js";
 import { wallClockNow } from "../../transport/clock.js";
 
 /**
- * A machine that is not heard by this many times its type's boot time has probably come up, and its
- * owner doesn't get to it. From this part of a shard's machines on, and no fewer than a few, the
- * owner counts as overloaded. (The owner of a flooded shard was rented four hundred machines whose
- * reports it could not answer: each killed its tasks when its lease ran out, and the jobs that
- * waited for that had more machines rented.)
+ * A machine without a first heartbeat after this many times its type's boot time has probably come
+ * up, and its owner doesn't get to it.
  */
-const UNHEARD_BOOTS = 1.5;
-const OVERLOADED_PART = 0.1;
-const OVERLOADED_LEAST = 4;
+const OVERDUE_BOOT_TIMES = 1.5;
+/** From so many of these on, beside this fraction of the shard's other machines, it is overloaded. */
+const OVERLOADED_MIN_MACHINES = 4;
+const OVERLOADED_FRACTION = 0.1;
 
-/** Shards with many machines that should have been heard by now and were not. */
+/**
+ * Shards with many machines whose first heartbeat is overdue.
+ *
+ * @param reportS seconds between two heartbeats of a worker
+ */
 export const overloadedShards = (replica: Replica, reportS: number): ReadonlySet<ShardId> => {
   const bootS = new Map(replica.machineTypes?.value.map((type) => [type.name, type.bootS]));
   const now = wallClockNow();
-  const unheard = new Map<ShardId, number>();
-  const heard = new Map<ShardId, number>();
-  for (const [id, m] of replica.machines) {
-    if (m.phase !== "up" || replica.isGone(id)) continue;
-    const dueS = (bootS.get(m.type) ?? 0) * UNHEARD_BOOTS + reportS;
-    const isHeard = m.endpoint !== "";
-    if (!isHeard && (now - m.rentedAt) / 1000 <= dueS) continue;
-    const counts = isHeard ? heard : unheard;
-    counts.set(m.shard, (counts.get(m.shard) ?? 0) + 1);
+  const overdue = new Map<ShardId, number>();
+  const registered = new Map<ShardId, number>();
+  for (const [id, machine] of replica.machines) {
+    if (machine.phase !== "up" || replica.isGone(id)) continue;
+    const dueS = (bootS.get(machine.type) ?? 0) * OVERDUE_BOOT_TIMES + reportS;
+    const isRegistered = machine.endpoint !== "";
+    if (!isRegistered && (now - machine.rentedAt) / 1000 <= dueS) continue;
+    const counts = isRegistered ? registered : overdue;
+    counts.set(machine.shard, (counts.get(machine.shard) ?? 0) + 1);
   }
-  const least = (shard: ShardId): number =>
-    OVERLOADED_LEAST + OVERLOADED_PART * (heard.get(shard) ?? 0);
-  return new Set([...unheard].filter(([shard, n]) => n >= least(shard)).map(([shard]) => shard));
+  const minOverdue = (shard: ShardId): number =>
+    OVERLOADED_MIN_MACHINES + OVERLOADED_FRACTION * (registered.get(shard) ?? 0);
+  return new Set(
+    [...overdue].filter(([shard, n]) => n >= minOverdue(shard)).map(([shard]) => shard),
+  );
 };
--- a/src/coordination/fleet/owner-requests.ts
+++ b/src/coordination/fleet/owner-requests.ts
@@ -1,3 +1,10 @@
+/**
+ * What the leader asks of the shards' owners.
+ *
+ * Owns no state. What must hold: an owner alone knows that a machine of its is free, so it is the
+ * owner that transfers or decommissions it. Requests are hints: a lost one is made again by a later
+ * plan.
+ */
 import type { ControllerLabel, MachineId } from "@umberfold/ids";
 import {
   EMPTY_PEER_MESSAGE,
@@ -7,76 +14,76 @@
 import type { HttpClient } from "../../transport/client.js";
 import { type ControllerContext, peerAddress } from "../context.js";
 import type { Membership } from "../membership/membership.js";
-import type { ShardOwner } from "../rounds/shard-owner.js";
+import type { LocalShardOwner } from "./local-shard-owner.js";
 
-const PEER_MS = 1000;
+const PEER_CALL_MS = 1000;
 
+/** What one owner is asked for, under the names of a peer message. */
 interface Requests {
   readonly moves: MachineTransferRequest[];
   readonly retire: MachineId[];
 }
 
-/**
- * What the leader wants of the shards' owners: an owner alone knows that a machine of its is free,
- * so it is the owner that moves or retires it.
- */
+/** Sends the leader's requests to the owners; to its own controller's owner by a direct call. */
 export class OwnerRequests {
+  /** Transfers of idle machines, and of machines to be drained, requested since the start. */
   readonly counters = { moved: 0, drained: 0 };
 
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
-    private readonly owner: ShardOwner,
+    private readonly owner: LocalShardOwner,
     private readonly peers: HttpClient,
   ) {}
 
+  /** Asks for transfers, and for surplus machines to be decommissioned once they are empty. */
   requestTransfers(
-    moves: readonly MachineTransferRequest[],
+    transfers: readonly MachineTransferRequest[],
     surplus: readonly MachineId[] = [],
   ): void {
-    for (const m of moves) this.counters[m.drain ? "drained" : "moved"]++;
-    this.#send(moves, surplus, "");
+    for (const { drain } of transfers) this.counters[drain ? "drained" : "moved"]++;
+    this.#send(transfers, surplus, "");
   }
 
-  /** Machines that are lost go at once, whatever stands on them. */
+  /** Machines that are lost are decommissioned at once, whatever stands on them. */
   requestDecommission(lost: readonly MachineId[], reason: string): void {
     if (lost.length > 0) this.#send([], lost, reason);
   }
 
   #send(
-    moves: readonly MachineTransferRequest[],
-    retire: readonly MachineId[],
+    transfers: readonly MachineTransferRequest[],
+    decommissions: readonly MachineId[],
     reason: string,
   ): void {
-    for (const [owner, requests] of this.#byOwner(moves, retire))
-      if (owner === this.ctx.self.label) this.#own(requests, reason);
-      else this.#tell(owner, requests, reason);
+    for (const [owner, requests] of this.#byOwner(transfers, decommissions))
+      if (owner === this.ctx.self.label) this.#askLocalOwner(requests, reason);
+      else this.#askPeer(owner, requests, reason);
   }
 
   #byOwner(
-    moves: readonly MachineTransferRequest[],
-    retire: readonly MachineId[],
+    transfers: readonly MachineTransferRequest[],
+    decommissions: readonly MachineId[],
   ): ReadonlyMap<ControllerLabel, Requests> {
-    const out = new Map<ControllerLabel, Requests>();
+    const requestsByOwner = new Map<ControllerLabel, Requests>();
     const requestsFor = (id: MachineId): Requests | undefined => {
       const shard = this.ctx.replica.machines.get(id)?.shard;
       const owner = shard === undefined ? undefined : this.membership.ownerOf(shard)?.label;
       if (owner === undefined) return undefined;
-      const requests = out.get(owner) ?? { moves: [], retire: [] };
-      out.set(owner, requests);
+      const requests = requestsByOwner.get(owner) ?? { moves: [], retire: [] };
+      requestsByOwner.set(owner, requests);
       return requests;
     };
-    for (const m of moves) requestsFor(m.machine)?.moves.push(m);
-    for (const id of retire) requestsFor(id)?.retire.push(id);
-    return out;
+    for (const transfer of transfers) requestsFor(transfer.machine)?.moves.push(transfer);
+    for (const id of decommissions) requestsFor(id)?.retire.push(id);
+    return requestsByOwner;
   }
 
-  #own({ moves, retire }: Requests, reason: string): void {
-    for (const m of moves) this.owner.requestTransfer(m);
+  #askLocalOwner({ moves, retire }: Requests, reason: string): void {
+    for (const transfer of moves) this.owner.requestTransfer(transfer);
     for (const id of retire) this.owner.requestDecommission(id, reason);
   }
 
-  #tell(owner: ControllerLabel, requests: Requests, reason: string): void {
+  #askPeer(owner: ControllerLabel, requests: Requests, reason: string): void {
     const { settings, self } = this.ctx;
     const address = peerAddress(settings, owner);
     if (address === undefined) return;
@@ -86,6 +93,7 @@
       ...requests,
       reason,
     });
-    void this.peers.callRaw(address, "POST", "/peer", payload, PEER_MS);
+    // Not awaited: its result changes nothing, for a later plan makes the request again.
+    void this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_MS);
   }
 }
--- a/src/coordination/fleet/returns.ts
+++ b/src/coordination/fleet/returns.ts
@@ -1,3 +1,10 @@
+/**
+ * Scale-in: returns decommissioned machines whose owners have let go of them.
+ *
+ * Owns no state; the proofs of returned machines are records. What must hold: the proof is kept
+ * until the owners have terminated all that stood on the machines, and until no list of the cloud
+ * can show them any more.
+ */
 import { KEY_ABSENT, type MachineId } from "@umberfold/ids";
 import { MAX_RETURNS_PER_CALL, returnBody } from "../../protocol/cloud.js";
 import { encodeGoneRecord, keys } from "../../storage/records.js";
@@ -6,8 +13,12 @@
 import { CLOUD_CALL_MS, type CloudClient } from "./cloud-client.js";
 import type { FleetRecords } from "./fleet-records.js";
 
-/** Returns machines whose owners have let go of them, and keeps the proof until all have used it. */
+/** A list may show a machine for twice its lag after its return, and the call that reads it. */
+const LIST_LAGS_KEPT = 2;
+
+/** Returns machines to the cloud. */
 export class Returns {
+  /** Machines whose return the cloud has confirmed, since the start. */
   readonly counters = { returned: 0 };
 
   constructor(
@@ -16,14 +27,14 @@
     private readonly cloud: CloudClient,
   ) {}
 
-  /** A 200 is proof that the machines and all on them are gone. */
+  /** Returns what is to be returned; a 200 is proof that the machines and all on them are gone. */
   async carryOut(): Promise<void> {
-    const ids = this.#retiring();
+    const ids = this.#decommissioned();
     if (ids.length > 0) await this.#return(ids);
     await this.#dropProofs();
   }
 
-  #retiring(): readonly MachineId[] {
+  #decommissioned(): readonly MachineId[] {
     const { replica } = this.ctx;
     const ids: MachineId[] = [];
     for (const [id, machine] of replica.machines) {
@@ -37,7 +48,7 @@
     const answer = await this.cloud.call("POST", "/machines/return", returnBody(ids));
     if (answer?.status !== 200) return;
     this.counters.returned += ids.length;
-    this.records.noteReturned(ids);
+    this.records.recordReturned(ids);
     const key = keys.gone(this.records.nextName());
     await this.records.write({
       conditions: [{ key, rev: KEY_ABSENT }],
@@ -45,18 +56,18 @@
     });
   }
 
-  /** Once the owners have closed what stood there, and no list shows the machines any more. */
+  /** Deletes proofs that nobody needs any more. */
   async #dropProofs(): Promise<void> {
     const { replica, settings } = this.ctx;
-    const keptMs = 2000 * settings.cloud.listLagS + CLOUD_CALL_MS;
-    const over = [...replica.goneRecords]
-      .filter(([, g]) => wallClockNow() - g.value.at > keptMs)
-      .filter(([, g]) => g.value.ids.every((id) => !replica.machines.has(id)))
+    const keptMs = LIST_LAGS_KEPT * 1000 * settings.cloud.listLagS + CLOUD_CALL_MS;
+    const expired = [...replica.goneRecords]
+      .filter(([, proof]) => wallClockNow() - proof.value.at > keptMs)
+      .filter(([, proof]) => proof.value.ids.every((id) => !replica.machines.has(id)))
       .slice(0, settings.state.txnOps);
-    if (over.length === 0) return;
+    if (expired.length === 0) return;
     await this.records.write({
-      conditions: over.map(([name, g]) => ({ key: keys.gone(name), rev: g.rev })),
-      ops: over.map(([name]) => ({ kind: "delete", key: keys.gone(name) })),
+      conditions: expired.map(([name, proof]) => ({ key: keys.gone(name), rev: proof.rev })),
+      ops: expired.map(([name]) => ({ kind: "delete", key: keys.gone(name) })),
     });
   }
 }
--- a/src/coordination/fleet/unknown-machines.ts
+++ b/src/coordination/fleet/unknown-machines.ts
@@ -1,3 +1,11 @@
+/**
+ * Machines that no record knows: from before this service's time, or from a rental that was carried
+ * out late. They are entered into the records, to be used or returned.
+ *
+ * Owns which machines are being asked and which have shown themselves. What must hold: a machine is
+ * entered only after it has answered itself or the cloud has listed it, and only once the replica is
+ * synced up to where the records were when it was seen.
+ */
 import {
   type MachineId,
   type MonotonicMs,
@@ -15,22 +23,27 @@
 import type { FleetRecords, NewMachine } from "./fleet-records.js";
 import type { MachineTypes } from "./machine-types.js";
 
-const LIST_EVERY_MS = 15_000;
+const LIST_INTERVAL_MS = 15_000;
 /** Machines asked at a time, and how long they have to answer. */
-const MOST_ASKED = 64;
-const STATUS_MS = 2000;
+const MAX_CONCURRENT_CALLS = 64;
+const STATUS_TIMEOUT_MS = 2000;
 
 /** A machine that was seen while no record knew it, and up to where the records were known then. */
-type Seen = Omit<NewMachine, "shard"> & { readonly seenAt: Revision };
+type SeenMachine = Omit<NewMachine, "shard"> & { readonly seenAt: Revision };
 
-/**
- * Machines that no record knows: from before this service's time, or from a rental that was carried
- * out late. They are entered into the records, to be used or returned.
- */
+/** What a machine says of itself, or the cloud of it. */
+interface MachineDescription {
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+}
+
+/** Finds and adopts machines without a record. */
 export class UnknownMachines {
   readonly #asking = new Set<MachineId>();
-  readonly #seen = new Map<MachineId, Seen>();
+  readonly #seen = new Map<MachineId, SeenMachine>();
   #listedAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
+  /** Machines adopted since the start. */
   readonly counters = { adopted: 0 };
 
   constructor(
@@ -42,28 +55,25 @@
   ) {}
 
   /**
-   * Its report may be a late copy from one that was returned long ago, under whatever leader: it is
-   * taken in once it has itself answered a question.
+   * Takes in a heartbeat of an unknown machine. It may be a late copy from one that was returned
+   * long ago, under whatever leader: the machine is adopted once it has itself answered a question.
    */
-  recordStatus(r: WorkerStatus): void {
-    if (this.#asking.has(r.machine) || this.records.known(r.machine)) return;
-    if (this.records.returned(r.machine) || this.#asking.size >= MOST_ASKED) return;
-    this.#asking.add(r.machine);
-    void this.#ask(r).finally(() => this.#asking.delete(r.machine));
+  recordStatus(status: WorkerStatus): void {
+    const { machine } = status;
+    if (this.#asking.has(machine) || this.records.isKnown(machine)) return;
+    if (this.records.wasReturned(machine) || this.#asking.size >= MAX_CONCURRENT_CALLS) return;
+    this.#asking.add(machine);
+    // Not awaited: a heartbeat's answer doesn't wait for it.
+    void this.#askMachine(status).finally(() => this.#asking.delete(machine));
   }
 
-  async #ask(r: WorkerStatus): Promise<void> {
-    const reply = await this.workers.call(r.endpoint, "GET", "/status", undefined, STATUS_MS);
-    const own = reply.kind === "answer" ? parseWorkerStatus(reply.body) : undefined;
-    if (own?.machine === r.machine) this.#note(r.machine, own, own.endpoint);
+  async #askMachine({ machine, endpoint }: WorkerStatus): Promise<void> {
+    const reply = await this.workers.call(endpoint, "GET", "/status", undefined, STATUS_TIMEOUT_MS);
+    const answered = reply.kind === "answer" ? parseWorkerStatus(reply.body) : undefined;
+    if (answered?.machine === machine) this.#recordSeen(machine, answered, answered.endpoint);
   }
 
-  #note(
-    id: MachineId,
-    m: { readonly type: string; readonly zone: string; readonly spot: boolean },
-    endpoint: string,
-  ): void {
-    const { type, zone, spot } = m;
+  #recordSeen(id: MachineId, { type, zone, spot }: MachineDescription, endpoint: string): void {
     const seenAt = this.ctx.replica.latestSeenRevision;
     this.#seen.set(id, {
       type,
@@ -76,7 +86,7 @@
     });
   }
 
-  /** Enters what has shown itself, many machines in one write. */
+  /** Enters machines that have shown themselves, many in one write. */
   async adopt(): Promise<void> {
     if (this.#seen.size === 0 || !this.records.writable) return;
     const { replica, log } = this.ctx;
@@ -86,7 +96,7 @@
       // Unknown when it was seen, perhaps only because its page was not known here yet.
       if (replica.syncedRevision < seenAt) continue;
       this.#seen.delete(id);
-      if (!this.records.known(id) && !this.records.returned(id))
+      if (!this.records.isKnown(id) && !this.records.wasReturned(id))
         rows.push([id, { ...machine, shard: nextShard(machine.type) }]);
     }
     if (rows.length === 0 || !(await this.records.enter(rows, [], []))) return;
@@ -96,22 +106,26 @@
 
   /** Gives out shards, each time the one with the fewest processors. */
   #shardsByLoad(): (type: string) => ShardId {
-    const load = Array.from({ length: this.ctx.settings.shardCount }, () => 0);
-    const add = (shard: ShardId, type: string): void => {
-      load[shard] = (load[shard] ?? 0) + (this.types.find(type)?.capacity.cpus ?? 1);
+    const cpusByShard = Array.from({ length: this.ctx.settings.shardCount }, () => 0);
+    const addMachine = (shard: ShardId, type: string): void => {
+      const cpus = this.types.find(type)?.capacity.cpus ?? 1;
+      cpusByShard[shard] = (cpusByShard[shard] ?? 0) + cpus;
     };
-    for (const m of this.ctx.replica.machines.values()) add(m.shard, m.type);
+    for (const { shard, type } of this.ctx.replica.machines.values()) addMachine(shard, type);
     return (type) => {
-      const shard = shardId(load.indexOf(Math.min(...load)));
-      add(shard, type);
+      const shard = shardId(cpusByShard.indexOf(Math.min(...cpusByShard)));
+      addMachine(shard, type);
       return shard;
     };
   }
 
-  /** Seldom: for machines that nobody reports. Returns those known that have failed. */
+  /**
+   * Reads the cloud's list, seldom: for machines that send no heartbeat. Returns those with a record
+   * that the cloud calls failed; of a list that breaks off, those on the pages before.
+   */
   async list(): Promise<readonly MachineId[]> {
     const now = monotonicNow();
-    if (now - this.#listedAt < LIST_EVERY_MS) return [];
+    if (now - this.#listedAt < LIST_INTERVAL_MS) return [];
     this.#listedAt = now;
     const failed: MachineId[] = [];
     let after: string | undefined;
@@ -119,19 +133,20 @@
       const answer = await this.cloud.call("GET", listPath(after));
       const page = answer?.status === 200 ? parseMachineList(answer.body) : undefined;
       if (page === undefined) return failed;
-      for (const m of page.machines) {
-        if (!this.records.known(m.id)) this.#listed(m);
-        else if (m.phase === "failed") failed.push(m.id);
+      for (const machine of page.machines) {
+        if (!this.records.isKnown(machine.id)) this.#recordListed(machine);
+        else if (machine.phase === "failed") failed.push(machine.id);
       }
       if (!page.more || page.machines.length === 0) return failed;
       after = page.machines[page.machines.length - 1]?.id;
     }
   }
 
-  /** One that is young may only not be in the records yet. */
-  #listed(m: ListedMachine): void {
-    const old = m.ageS > 2 * this.ctx.settings.cloud.listLagS + CLOUD_CALL_MS / 1000;
-    if (!old || m.phase === "failed" || this.records.returned(m.id)) return;
-    this.#note(m.id, m, m.phase === "running" ? m.endpoint : "");
+  /** A machine that is young may only not be in the records yet. */
+  #recordListed(machine: ListedMachine): void {
+    const minAgeS = 2 * this.ctx.settings.cloud.listLagS + CLOUD_CALL_MS / 1000;
+    if (machine.ageS <= minAgeS || machine.phase === "failed") return;
+    if (this.records.wasReturned(machine.id)) return;
+    this.#recordSeen(machine.id, machine, machine.phase === "running" ? machine.endpoint : "");
   }
 }
