--- a/src/coordination/cancellation/own-machine-enforcement.ts
+++ b/src/coordination/cancellation/own-machine-enforcement.ts
@@ -1,7 +1,7 @@
 /**
  * Enforcement of cancellations on the machines of shards owned here.
  *
- * Owns no state; it changes the machines' soft state (their decommission) and marks them dirty, so
+ * Owns no state; it changes the machines' soft state (their departure) and marks them dirty, so
  * that the next round writes it. What must hold: an open attempt of a cancelled job is asked about
  * again and again until it is proved gone.
  */
@@ -69,16 +69,15 @@
   }
 
   #callAgain(machine: MachineId, now: MonotonicMs): void {
-    const machineState = this.owner.state.machineState(machine);
-    if (now - machineState.lastCallAt >= REPEAT_CALL_MS)
-      this.owner.channel.callMachine(machine, true);
+    const { call } = this.owner.state.machineState(machine);
+    if (now - call.lastCallAt >= REPEAT_CALL_MS) this.owner.channel.callMachine(machine, true);
   }
 
   #decommission(machine: MachineId): void {
     const { state } = this.owner;
-    const machineState = state.machineState(machine);
-    if (machineState.decommission?.force === true) return;
-    machineState.decommission = { reason: "cancelled task stays", force: true };
+    const { departure } = state.machineState(machine);
+    if (departure.decommission?.force === true) return;
+    departure.step({ kind: "decommission_forced", reason: "cancelled task stays" });
     state.dirtyMachines.add(machine);
     state.wake();
   }
