--- a/src/coordination/load-spread/hooks.ts
+++ b/src/coordination/load-spread/hooks.ts
@@ -1,8 +1,12 @@
+/**
+ * What other parts ask of load spreading, as types alone: they must not load its package while it
+ * is off.
+ */
 import type { ShardId } from "@umberfold/ids";
 import type { FairTurn, FairTurnInput } from "@umberfold/load-spread";
 import type { JobSpec } from "../../protocol/jobs.js";
 
-/** What other parts ask of load spreading while it is on. */
+/** Decisions of load spreading while it is on. */
 export interface LoadSpreadHooks {
   /** The shard for a new job, or null for its team's home shard. */
   readonly placeJob: (spec: JobSpec) => ShardId | null;
--- a/src/coordination/load-spread/machine-balance.ts
+++ b/src/coordination/load-spread/machine-balance.ts
@@ -1,69 +1,78 @@
+/**
+ * Machines that shards should give to others that lack their fair part.
+ *
+ * Owns the transfers asked for lately. What must hold: nothing is stopped for them. An owner that is
+ * asked for a machine starts nothing more there, and hands it over once it is empty.
+ */
 import { type MachineId, type MonotonicMs, monotonicMs, type ShardId } from "@umberfold/ids";
 import { machineShifts, type TeamLoad } from "@umberfold/load-spread";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
-import type { MachineRecord } from "../../storage/records.js";
 import { monotonicNow } from "../../transport/clock.js";
 import type { ControllerContext } from "../context.js";
 
 /** How long an owner may take to empty a machine before another is asked for. */
-const ASKED_MS = 10_000;
+const TRANSFER_TIMEOUT_MS = 10_000;
+
+interface PendingTransfer {
+  readonly to: ShardId;
+  readonly until: MonotonicMs;
+}
 
-interface Candidate {
+/** A machine that could go to another shard. */
+interface TransferCandidate {
   readonly id: MachineId;
-  readonly machine: MachineRecord;
+  readonly shard: ShardId;
   readonly cpus: number;
-  readonly open: number;
+  readonly openAttempts: number;
 }
 
-/**
- * Machines that shards should give to others that lack their fair part. Nothing is stopped for it: an
- * owner that is asked for a machine starts nothing more there, and hands it over once it is empty.
- */
+/** Chooses the machines that go to another shard, and remembers those asked for. */
 export class MachineBalance {
-  readonly #asked = new Map<MachineId, { readonly to: ShardId; readonly until: MonotonicMs }>();
+  readonly #pending = new Map<MachineId, PendingTransfer>();
 
   constructor(private readonly ctx: ControllerContext) {}
 
-  moves(loads: readonly TeamLoad[]): readonly MachineTransferRequest[] {
+  /** The transfers to ask for now; each counts as under way until it times out. */
+  dueTransfers(loads: readonly TeamLoad[]): readonly MachineTransferRequest[] {
     const now = monotonicNow();
-    for (const [id, { until }] of this.#asked) if (until <= now) this.#asked.delete(id);
+    for (const [id, { until }] of this.#pending) if (until <= now) this.#pending.delete(id);
     const candidates = this.#candidates();
-    const capacity = this.#capacity(candidates);
-    const out: MachineTransferRequest[] = [];
-    for (const { from, to, cpus } of machineShifts(loads, capacity)) {
-      let left = cpus;
-      for (const c of candidates) {
-        if (c.cpus > left) continue;
-        if (c.machine.shard !== from || this.#asked.has(c.id)) continue;
-        this.#asked.set(c.id, { to, until: monotonicMs(now + ASKED_MS) });
-        out.push({ machine: c.id, to, drain: false, whenEmpty: true });
-        left -= c.cpus;
+    const cpusByShard = this.#cpusByShard(candidates);
+    const requests: MachineTransferRequest[] = [];
+    for (const { from, to, cpus } of machineShifts(loads, cpusByShard)) {
+      let cpusLeft = cpus;
+      for (const candidate of candidates) {
+        if (candidate.cpus > cpusLeft) continue;
+        if (candidate.shard !== from || this.#pending.has(candidate.id)) continue;
+        this.#pending.set(candidate.id, { to, until: monotonicMs(now + TRANSFER_TIMEOUT_MS) });
+        requests.push({ machine: candidate.id, to, drain: false, whenEmpty: true });
+        cpusLeft -= candidate.cpus;
       }
     }
-    return out;
+    return requests;
   }
 
   /** Machines that are up, those with least on them first. */
-  #candidates(): readonly Candidate[] {
+  #candidates(): readonly TransferCandidate[] {
     const { replica } = this.ctx;
     const cpusOf = new Map(replica.machineTypes?.value.map((t) => [t.name, t.capacity.cpus]));
-    const out: Candidate[] = [];
-    for (const [id, machine] of replica.machines) {
-      if (machine.phase !== "up" || machine.endpoint === "" || replica.isGone(id)) continue;
-      const open = replica.shardJobs(machine.shard).openAttemptsOn(id).size;
-      out.push({ id, machine, cpus: cpusOf.get(machine.type) ?? 0, open });
+    const candidates: TransferCandidate[] = [];
+    for (const [id, { phase, endpoint, shard, type }] of replica.machines) {
+      if (phase !== "up" || endpoint === "" || replica.isGone(id)) continue;
+      const openAttempts = replica.shardJobs(shard).openAttemptsOn(id).size;
+      candidates.push({ id, shard, cpus: cpusOf.get(type) ?? 0, openAttempts });
     }
-    return out.sort((a, b) => a.open - b.open);
+    return candidates.sort((a, b) => a.openAttempts - b.openAttempts);
   }
 
   /** Processors by shard; a machine that was asked for counts where it goes. */
-  #capacity(candidates: readonly Candidate[]): ReadonlyMap<ShardId, number> {
-    const out = new Map<ShardId, number>();
-    for (const shard of this.ctx.replica.shardOwners.keys()) out.set(shard, 0);
-    for (const { id, machine, cpus } of candidates) {
-      const shard = this.#asked.get(id)?.to ?? machine.shard;
-      out.set(shard, (out.get(shard) ?? 0) + cpus);
+  #cpusByShard(candidates: readonly TransferCandidate[]): ReadonlyMap<ShardId, number> {
+    const cpusByShard = new Map<ShardId, number>();
+    for (const shard of this.ctx.replica.shardOwners.keys()) cpusByShard.set(shard, 0);
+    for (const { id, shard, cpus } of candidates) {
+      const countedIn = this.#pending.get(id)?.to ?? shard;
+      cpusByShard.set(countedIn, (cpusByShard.get(countedIn) ?? 0) + cpus);
     }
-    return out;
+    return cpusByShard;
   }
 }
--- /dev/null
+++ b/src/coordination/load-spread/quota-transfers.ts
@@ -0,0 +1,75 @@
+/**
+ * An owner's part of load spreading: what the shards owned here have of a team's quota beyond their
+ * targets goes to the shards that lack it.
+ *
+ * Owns a count alone; spans are records. What must hold: only a shard's owner lowers its share, on
+ * condition that it still owns the shard, and never below what its open attempts use.
+ */
+import type { ShardId, TeamName } from "@umberfold/ids";
+import { nextTransfer } from "@umberfold/load-spread";
+import { type Share, type Span, spanValue, stepSpan } from "@umberfold/spans";
+import type { Transaction } from "../../protocol/store.js";
+import { keys } from "../../storage/records.js";
+import type { ControllerContext } from "../context.js";
+import type { Membership } from "../membership/membership.js";
+import type { LocalShardWriter } from "./local-shard-writer.js";
+import { quotaFraction, quotaShare } from "./quota-share.js";
+
+/** Hands quota on between the shards of a span. */
+export class QuotaTransfers {
+  #written = 0;
+
+  /** @param owner writes between its rounds, when the records show all that is open */
+  constructor(
+    private readonly ctx: ControllerContext,
+    private readonly membership: Membership,
+    private readonly owner: LocalShardWriter,
+  ) {}
+
+  /** Transfers written since the start. */
+  get written(): number {
+    return this.#written;
+  }
+
+  /** Writes at most one transfer for each owned shard and team. */
+  async handOnSurplus(): Promise<void> {
+    const { replica } = this.ctx;
+    for (const shard of this.membership.ownedShards())
+      for (const team of [...replica.spans.records.keys()]) {
+        const written = await this.owner.writeBetweenRounds(() => this.#transfer(team, shard));
+        if (written) this.#written++;
+      }
+  }
+
+  /** The next transfer out of a shard, decided when it is about to be written. */
+  #transfer(team: TeamName, shard: ShardId): Transaction | undefined {
+    const span = this.ctx.replica.spans.records.get(team)?.value;
+    if (span === undefined || !this.membership.ownsShard(shard)) return undefined;
+    const event = nextTransfer({ span, from: shard, used: this.#usedShare(team, shard) });
+    const stepped = event === undefined ? undefined : stepSpan(span, event);
+    if (event === undefined || stepped?.ok !== true) return undefined;
+    this.ctx.log.info("quota handed on", { team, from: shard, to: event.to, amount: event.amount });
+    return this.#transferTransaction(team, shard, stepped.span);
+  }
+
+  #transferTransaction(team: TeamName, shard: ShardId, span: Span): Transaction {
+    const { replica } = this.ctx;
+    const key = keys.span(team);
+    return {
+      conditions: [
+        { key, rev: replica.revisionOf(key) },
+        { key: keys.shard(shard), rev: replica.revisionOf(keys.shard(shard)) },
+      ],
+      ops: [{ kind: "put", key, value: spanValue(span) }],
+    };
+  }
+
+  /** What the team's open attempts in a shard take of its quota. */
+  #usedShare(team: TeamName, shard: ShardId): Share {
+    const settings = this.ctx.teams.get(team);
+    const used = this.ctx.replica.shardJobs(shard).index.teamUse().get(team);
+    return quotaShare(
+      settings === undefined || used === undefined ? 0 : quotaFraction(settings, used),
+    );
+  }
+}
--- /dev/null
+++ b/src/coordination/load-spread/span-leader.ts
@@ -0,0 +1,122 @@
+/**
+ * The leader's part of load spreading: changes and plans the spans of busy teams, and asks for
+ * machines where a shard lacks its fair part.
+ *
+ * Owns the pressure on each team, which begins anew with each term of leadership. What must hold: a
+ * team whose span is changed or can't be read is not planned for in the same look.
+ */
+import type { TeamName } from "@umberfold/ids";
+import {
+  decideSpan,
+  dissolvable,
+  LoadSpreadPlanner,
+  type LoadSpreadSettings,
+  NO_PRESSURE,
+  type OwnerLoad,
+  type PlannerCounters,
+  type Pressure,
+  stepPressure,
+  type TeamLoad,
+  teamPressure,
+} from "@umberfold/load-spread";
+import { homeSpan } from "@umberfold/spans";
+import type { MachineTransferRequest } from "../../protocol/peer.js";
+import { monotonicNow } from "../../transport/clock.js";
+import type { ControllerContext } from "../context.js";
+import { MachineBalance } from "./machine-balance.js";
+import { ownerLoads } from "./owner-loads.js";
+import type { SpanRecords } from "./span-records.js";
+import { teamLoads } from "./team-loads.js";
+
+/** Changes and plans spans, on the active leader alone. */
+export class SpanLeader {
+  readonly #planner: LoadSpreadPlanner;
+  readonly #pressures = new Map<TeamName, Pressure>();
+  readonly #balance: MachineBalance;
+  #machinesMoved = 0;
+
+  /**
+   * @param spans the records of spans
+   * @param transferMachines asks the machines' owners to hand them over once they are empty
+   */
+  constructor(
+    private readonly ctx: ControllerContext,
+    private readonly settings: LoadSpreadSettings,
+    private readonly spans: SpanRecords,
+    private readonly transferMachines: (transfers: readonly MachineTransferRequest[]) => void,
+  ) {
+    this.#planner = new LoadSpreadPlanner(settings, monotonicNow);
+    this.#balance = new MachineBalance(ctx);
+  }
+
+  /** Machines whose transfer was asked for, since the start. */
+  get machinesMoved(): number {
+    return this.#machinesMoved;
+  }
+
+  /** How often each way of planning was used, since the start. */
+  get plannerCounters(): PlannerCounters {
+    return this.#planner.counters;
+  }
+
+  /** One look at all teams: machines, then changes of spans, then plans for the settled ones. */
+  async lead(): Promise<void> {
+    const loads = teamLoads(this.ctx);
+    const owners = ownerLoads(this.ctx);
+    this.#balanceMachines(loads);
+    const settled: TeamLoad[] = [];
+    for (const load of loads) if (!(await this.#changeSpan(load, owners))) settled.push(load);
+    await this.#plan(
+      settled.filter((load) => load.span !== undefined),
+      owners,
+    );
+  }
+
+  /** Forgets the pressure on teams, once this controller doesn't lead. */
+  stopLeading(): void {
+    this.#pressures.clear();
+  }
+
+  #balanceMachines(loads: readonly TeamLoad[]): void {
+    const { enabled, balanceMachines } = this.settings;
+    if (!enabled || !balanceMachines) return;
+    const transfers = this.#balance.dueTransfers(loads);
+    if (transfers.length === 0) return;
+    this.#machinesMoved += transfers.length;
+    this.transferMachines(transfers);
+  }
+
+  /** True if the team's span was changed, or can't be read: nothing is planned for it now. */
+  async #changeSpan(load: TeamLoad, owners: readonly OwnerLoad[]): Promise<boolean> {
+    const { team, home } = load;
+    const record = this.ctx.replica.spans.records.get(team);
+    if (record !== undefined && record.value?.home !== home) {
+      await this.spans.repair(team, record.rev);
+      return true;
+    }
+    const now = monotonicNow();
+    const pressure = stepPressure(
+      this.#pressures.get(team) ?? NO_PRESSURE,
+      teamPressure(load, owners),
+      this.settings,
+      now,
+    );
+    this.#pressures.set(team, pressure);
+    const decision = decideSpan(load, pressure, owners, this.settings, now);
+    const span = load.span ?? homeSpan(home);
+    if (decision !== undefined) {
+      if (decision.answersPressure) this.#pressures.set(team, { ...pressure, since: now });
+      return this.spans.apply(team, span, decision.event);
+    }
+    if (load.span === undefined || !dissolvable(load.span)) return false;
+    await this.spans.dissolve(team);
+    return true;
+  }
+
+  async #plan(loads: readonly TeamLoad[], owners: readonly OwnerLoad[]): Promise<void> {
+    for (const [team, plan] of this.#planner.plan(loads, owners)) {
+      const span = loads.find((load) => load.team === team)?.span;
+      if (span !== undefined) await this.spans.apply(team, span, { kind: "plan", plan });
+    }
+  }
+}
--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -1,3 +1,10 @@
+/**
+ * The leader's writes of spans.
+ *
+ * Owns counts alone; spans are records. What must hold: none of these writes lowers a share, since
+ * that is for the shard's owner alone; the repair of an unreadable record may, and fences the owners
+ * off first.
+ */
 import type { Revision, ShardId, TeamName } from "@umberfold/ids";
 import type { TeamLoad } from "@umberfold/load-spread";
 import {
@@ -17,15 +24,32 @@
 import type { LeaderRecords } from "../fleet/leader-records.js";
 import { teamLoads } from "./team-loads.js";
 
-/** The leader's writes of spans. None of them lowers a share: that is for the shard's owner alone. */
+/** A shard with the record that says who owns it. */
+type OwnedShard = readonly [ShardId, Versioned<ControllerId>];
+
+/** How far the repair of an unreadable span has come, as the shards' records show. */
+type RepairStage =
+  /** Owners of these shards may act without having seen the unreadable record. */
+  | { readonly kind: "unfenced"; readonly shards: readonly OwnedShard[] }
+  /** All are fenced, but the replica isn't synced up to the fence. */
+  | { readonly kind: "awaiting_sync" }
+  /** What is open now is all that can be: the record may be replaced. */
+  | { readonly kind: "fenced" };
+
+type SpanWrite = { readonly kind: "put"; readonly value: unknown } | { readonly kind: "delete" };
+
+/** Writes spans under the leader's term. */
 export class SpanRecords {
+  /** Writes of each kind, and changes that the span itself refused, since the start. */
   readonly counters = { changes: 0, refused: 0, dissolved: 0, repaired: 0 };
 
+  /** @param records writes under the leader's term */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly records: LeaderRecords,
   ) {}
 
+  /** Whether this controller leads, and knows the records. */
   get writable(): boolean {
     return this.records.writable;
   }
@@ -41,18 +65,18 @@
     if (!(await this.#write(team, { kind: "put", value: spanValue(stepped.span) }))) return false;
     this.counters.changes++;
     const shard = event.kind === "plan" || event.kind === "transfer" ? undefined : event.shard;
-    const entries = stepped.span.entries.map((e) => [
-      e.shard,
-      e.state,
-      e.share,
-      e.target,
-      e.weight,
+    const entries = stepped.span.entries.map((entry) => [
+      entry.shard,
+      entry.state,
+      entry.share,
+      entry.target,
+      entry.weight,
     ]);
     this.ctx.log.info("span changed", { team, change: event.kind, shard, entries });
     return true;
   }
 
-  /** Takes the record of a span away that has come down to its home shard. */
+  /** Deletes the record of a span that has come down to its home shard. */
   async dissolve(team: TeamName): Promise<void> {
     if (!(await this.#write(team, { kind: "delete" }))) return;
     this.counters.dissolved++;
@@ -60,60 +84,53 @@
   }
 
   /**
-   * Replaces a record that can't be read, in two steps. First every shard's record is written anew,
-   * with the owner that it has: whoever owns a shard acts on nothing before it has seen that write,
-   * and so the unreadable record, under which nothing of the team is started. What is open once all
-   * that has been seen is all that can be: each shard keeps that much, the home shard gets the rest.
+   * Replaces a record that can't be read, in steps, one a call. First each shard's record is written
+   * anew, with the owner that it has: whoever owns a shard acts on nothing before it has seen that
+   * write, and so the unreadable record, under which nothing of the team is started. What is open
+   * once all that has been seen is all that can be: each shard keeps that much, the home shard gets
+   * the rest.
+   *
+   * @param unreadable the revision of the record that can't be read
    */
   async repair(team: TeamName, unreadable: Revision): Promise<void> {
-    const { replica } = this.ctx;
-    const unfenced = [...replica.shardOwners].filter(([, s]) => s.rev <= unreadable);
-    if (unfenced.length > 0) {
-      await this.#fence(team, unfenced);
+    const stage = this.#repairStage(unreadable);
+    if (stage.kind === "unfenced") {
+      await this.#fence(team, stage.shards);
       return;
     }
-    const fencedBy = Math.max(...[...replica.shardOwners.values()].map((s) => s.rev));
-    if (replica.syncedRevision < fencedBy) return;
+    if (stage.kind === "awaiting_sync") return;
     // Added up now: an earlier look may lack what was started before the fence.
-    const load = teamLoads(this.ctx).find((l) => l.team === team);
+    const load = teamLoads(this.ctx).find((one) => one.team === team);
     if (load !== undefined) await this.#replace(load);
   }
 
-  async #fence(
-    team: TeamName,
-    shards: readonly (readonly [ShardId, Versioned<ControllerId>])[],
-  ): Promise<void> {
-    const some = shards.slice(0, this.ctx.settings.state.txnOps);
+  #repairStage(unreadable: Revision): RepairStage {
+    const { shardOwners, syncedRevision } = this.ctx.replica;
+    const unfenced = [...shardOwners].filter(([, { rev }]) => rev <= unreadable);
+    if (unfenced.length > 0) return { kind: "unfenced", shards: unfenced };
+    const fencedBy = Math.max(...[...shardOwners.values()].map(({ rev }) => rev));
+    return { kind: syncedRevision < fencedBy ? "awaiting_sync" : "fenced" };
+  }
+
+  async #fence(team: TeamName, shards: readonly OwnedShard[]): Promise<void> {
+    const fencedNow = shards.slice(0, this.ctx.settings.state.txnOps);
     const span = keys.span(team);
     const written = await this.records.write({
       conditions: [
         { key: span, rev: this.ctx.replica.revisionOf(span) },
-        ...some.map(([shard, { rev }]) => ({ key: keys.shard(shard), rev })),
+        ...fencedNow.map(([shard, { rev }]) => ({ key: keys.shard(shard), rev })),
       ],
-      ops: some.map(([shard, { value }]) => ({
+      ops: fencedNow.map(([shard, { value }]) => ({
         kind: "put" as const,
         key: keys.shard(shard),
         value: encodeControllerId(value),
       })),
     });
-    if (written) this.ctx.log.info("unreadable span fenced", { team, shards: some.length });
+    if (written) this.ctx.log.info("unreadable span fenced", { team, shards: fencedNow.length });
   }
 
   async #replace(load: TeamLoad): Promise<void> {
-    const used = [...load.shards.values()].filter((s) => s.shard !== load.home);
-    const elsewhere = sumOfShares(used.map((s) => s.used));
-    const atHome = share(Math.max(0, WHOLE - elsewhere));
-    const scale = elsewhere > WHOLE ? WHOLE / elsewhere : 1;
-    const span: Span = {
-      home: load.home,
-      entries: [
-        { shard: load.home, state: "active", share: atHome, target: atHome, weight: WHOLE },
-        ...used.map(({ shard, used: part }) => {
-          const kept = share(Math.floor(part * scale));
-          return { shard, state: "draining" as const, share: kept, target: kept, weight: share(0) };
-        }),
-      ],
-    };
+    const span = spanOfOpenAttempts(load);
     if (!(await this.#write(load.team, { kind: "put", value: spanValue(span) }))) return;
     this.counters.repaired++;
     this.ctx.log.info("unreadable span replaced", {
@@ -122,15 +139,30 @@
     });
   }
 
-  #write(
-    team: TeamName,
-    op: { readonly kind: "put"; readonly value: unknown } | { readonly kind: "delete" },
-  ): Promise<boolean> {
+  #write(team: TeamName, write: SpanWrite): Promise<boolean> {
     const key = keys.span(team);
-    const txn: Transaction = {
+    const transaction: Transaction = {
       conditions: [{ key, rev: this.ctx.replica.revisionOf(key) }],
-      ops: [{ ...op, key }],
+      ops: [{ ...write, key }],
     };
-    return this.records.write(txn);
+    return this.records.write(transaction);
   }
 }
+
+/** A span in which each shard keeps what its open attempts use, and the home shard has the rest. */
+const spanOfOpenAttempts = (load: TeamLoad): Span => {
+  const others = [...load.shards.values()].filter(({ shard }) => shard !== load.home);
+  const usedElsewhere = sumOfShares(others.map(({ used }) => used));
+  const atHome = share(Math.max(0, WHOLE - usedElsewhere));
+  const scale = usedElsewhere > WHOLE ? WHOLE / usedElsewhere : 1;
+  return {
+    home: load.home,
+    entries: [
+      { shard: load.home, state: "active", share: atHome, target: atHome, weight: WHOLE },
+      ...others.map(({ shard, used }) => {
+        const kept = share(Math.floor(used * scale));
+        return { shard, state: "draining" as const, share: kept, target: kept, weight: share(0) };
+      }),
+    ],
+  };
+};
--- a/test/coordination/load-spread/machine-balance.test.ts
+++ b/test/coordination/load-spread/machine-balance.test.ts
@@ -28,7 +28,7 @@
 const CPUS = 8;
 const MACHINES = 10;
 
-const replicaWith = (stage: MachineRecord["phase"]): Replica => {
+const replicaWith = (phase: MachineRecord["phase"]): Replica => {
   const replica = new Replica(2);
   let rev = 0;
   const put = (key: string, value: unknown): void =>
@@ -47,7 +47,7 @@
     zone: "a",
     spot: true,
     endpoint: "m:1",
-    phase: stage,
+    phase,
   } as const;
   const record = { ...row, rentedAt: wallClockMs(0), tokenFloor: revision(0) };
   const page = Array.from({ length: MACHINES }, (_, i): readonly [MachineId, MachineRecord] => [
@@ -68,33 +68,33 @@
 
 const cases: readonly (readonly [string, MachineRecord["phase"], number])[] = [
   // A tenth of all machines at a time.
-  ["machines that are up", "up", 1],
-  ["machines on their way out", "retiring", 0],
+  ["the machines that are up", "up", 1],
+  ["the machines being decommissioned", "retiring", 0],
 ];
-for (const [name, stage, expected] of cases)
-  test(`the shard that lacks its fair part is given ${name}: ${expected}`, () => {
+for (const [name, phase, expected] of cases)
+  test(`the shard that lacks its fair part is given ${expected} of ${name}`, () => {
     const clock = new SimulatedClock(1);
     const balance = new MachineBalance({
-      replica: replicaWith(stage),
+      replica: replicaWith(phase),
     } as unknown as ControllerContext);
-    const first = balance.moves(LOADS);
+    const first = balance.dueTransfers(LOADS);
     assert.equal(first.length, expected);
-    for (const move of first)
+    for (const request of first)
       assert.deepEqual(
-        { ...move, machine: "" },
+        { ...request, machine: "" },
         { machine: "", to: QUIET, drain: false, whenEmpty: true },
       );
-    // One that was asked for counts where it goes, and isn't asked for again.
-    const second = balance.moves(LOADS);
+    // One that was asked for counts where it goes, and isn't asked for again before it times out.
+    const second = balance.dueTransfers(LOADS);
     assert.equal(second.length, expected);
-    assert.ok(second.every((m) => first.every((f) => f.machine !== m.machine)));
-    assert.equal(balance.moves(LOADS).length, 0, "by now it has what it needs");
+    assert.ok(second.every((later) => first.every((earlier) => earlier.machine !== later.machine)));
+    assert.equal(balance.dueTransfers(LOADS).length, 0, "by now it has what it needs");
     clock.now = 60_000;
-    assert.equal(balance.moves(LOADS).length, expected, "asked anew where nothing came");
+    assert.equal(balance.dueTransfers(LOADS).length, expected, "asked anew where nothing came");
   });
 
-test("a request to move a machine once it is empty reaches its owner so", () => {
-  const move = { machine: machineId("m-1"), to: QUIET, drain: false, whenEmpty: true };
-  const message = { ...EMPTY_PEER_MESSAGE, from: "n-0", moves: [move] };
-  assert.deepEqual(decodePeerMessage(encodePeerMessage(message)).moves, [move]);
+test("a transfer request for a machine once it is empty reaches its owner as such", () => {
+  const request = { machine: machineId("m-1"), to: QUIET, drain: false, whenEmpty: true };
+  const message = { ...EMPTY_PEER_MESSAGE, from: "n-0", moves: [request] };
+  assert.deepEqual(decodePeerMessage(encodePeerMessage(message)).moves, [request]);
 });
