--- a/src/coordination/cancellation/cancellation-action.ts
+++ b/src/coordination/cancellation/cancellation-action.ts
@@ -8,12 +8,16 @@
  */
 
 /**
- * Fractions of `cancel_s` at which a stage begins. In the decommissioning stage a machine on which
- * a cancelled task isn't proved gone is to be returned by the leader; in the forced-return stage
- * whoever knows of it returns it by a call of its own, which needs neither a record nor a leader.
+ * Fraction of `cancel_s` from which on a machine on which a cancelled task isn't proved gone is to be
+ * returned by the leader.
  */
 const DECOMMISSION_FROM_FRACTION = 0.4;
+/**
+ * Fraction of `cancel_s` from which on whoever knows of such a machine returns it by a call of its
+ * own, which needs neither a record nor a leader.
+ */
 export const FORCE_RETURN_FROM_FRACTION = 0.65;
+/** Fractions of `cancel_s` from which on a first status is not awaited, and is awaited again. */
 const LAST_CHANCE_FROM_FRACTION = 0.85;
 const OVERDUE_FROM_FRACTION = 1;
 
--- a/src/coordination/fleet/unknown-machines.ts
+++ b/src/coordination/fleet/unknown-machines.ts
@@ -133,15 +133,22 @@
       const answer = await this.cloud.call("GET", listPath(after));
       const page = answer?.status === 200 ? parseMachineList(answer.body) : undefined;
       if (page === undefined) return failed;
-      for (const machine of page.machines) {
-        if (!this.records.isKnown(machine.id)) this.#recordListed(machine);
-        else if (machine.phase === "failed") failed.push(machine.id);
-      }
+      failed.push(...this.#takePage(page.machines));
       if (!page.more || page.machines.length === 0) return failed;
       after = page.machines[page.machines.length - 1]?.id;
     }
   }
 
+  /** Takes in one page of the list; returns the machines with a record that have failed. */
+  #takePage(machines: readonly ListedMachine[]): readonly MachineId[] {
+    const failed: MachineId[] = [];
+    for (const machine of machines) {
+      if (!this.records.isKnown(machine.id)) this.#recordListed(machine);
+      else if (machine.phase === "failed") failed.push(machine.id);
+    }
+    return failed;
+  }
+
   /** A machine that is young may only not be in the records yet. */
   #recordListed(machine: ListedMachine): void {
     const minAgeS = 2 * this.ctx.settings.cloud.listLagS + CLOUD_CALL_MS / 1000;
