--- a/test/coordination/rounds/termination-evidence.test.ts
+++ b/test/coordination/rounds/termination-evidence.test.ts
@@ -71,7 +71,12 @@
     const worker = { machine: MACHINE, endpoint: "m:1", type: "small", zone: "a", spot: false };
     const status = { epoch: 1, sequence: 1, token: token as never, preemptionNoticeS: null, tasks };
     const report = { ...worker, ...status };
-    state.stepSession(MACHINE, { kind: "status_received", report, via: "heartbeat", now: NOW });
+    state.stepSession(MACHINE, {
+      kind: "status_received",
+      status: report,
+      via: "heartbeat",
+      now: NOW,
+    });
   }
   if (situation.stopRequested) state.stop(KEY, MACHINE, "preempted", 0);
   state.dirtyMachines.clear();
