--- a/src/coordination/rounds/machine-record-changes.ts
+++ b/src/coordination/rounds/machine-record-changes.ts
@@ -4,13 +4,10 @@
  */
 import type { MachineId, Revision } from "@umberfold/ids";
 import type { MachineRecord } from "../../storage/records.js";
+import { isBlockedByEarlierAttempt } from "../ownership/attempt-observation.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import {
-  isBlockedByEarlierAttempt,
-  mustRaiseToken,
-  shouldRaiseToken,
-  type WorkerSession,
-} from "../ownership/worker-session.js";
+import { mustRaiseToken, shouldRaiseToken } from "../ownership/token-raise.js";
+import type { WorkerSession } from "../ownership/worker-session.js";
 import type { ShardRound } from "./shard-round.js";
 
 /** How a machine's record is to change. */
--- a/src/coordination/rounds/termination-evidence.ts
+++ b/src/coordination/rounds/termination-evidence.ts
@@ -10,8 +10,9 @@
 import type { TaskStatus } from "../../protocol/workers.js";
 import type { LiveJob, MachineRecord } from "../../storage/records.js";
 import type { IndexedAttempt } from "../../storage/shard-jobs.js";
+import { observeAttempt } from "../ownership/attempt-observation.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { observeAttempt, type WorkerSession } from "../ownership/worker-session.js";
+import type { WorkerSession } from "../ownership/worker-session.js";
 import type { ShardRound } from "./shard-round.js";
 
 /** How soon a machine is called again on which an attempt is to stop. */
--- a/test/coordination/rounds/fair-queue.test.ts
+++ b/test/coordination/rounds/fair-queue.test.ts
@@ -36,20 +36,20 @@
   return { ...base, slackS: 0, overdue: false, ...more };
 };
 
-/** In the order of slack; team `busy` runs on half of the room. */
+/** Queues in the order of slack; team `busy` uses half of the capacity. */
 const cases: readonly (readonly [string, readonly QueuedJob[], readonly string[]])[] = [
   [
-    "a quiet team's job of the same class goes before a burst's",
+    "the job of a team that uses less goes before a burst of the same class",
     [queued("wk-1", "busy", "c"), queued("wk-2", "busy", "c"), queued("wk-3", "quiet", "c")],
     ["wk-3:2", "wk-1:2", "wk-2:2", "wk-1", "wk-2", "wk-3"],
   ],
   [
-    "between classes slack decides as before",
+    "between classes slack decides, and the order stays",
     [queued("wk-1", "busy", "urgent"), queued("wk-2", "quiet", "idle")],
     ["wk-1", "wk-2"],
   ],
   [
-    "what is within a guarantee is not reordered",
+    "jobs within a guarantee are not reordered",
     [
       queued("wk-1", "busy", "c", { withinGuarantee: true }),
       queued("wk-2", "quiet", "c", { withinGuarantee: true }),
@@ -57,7 +57,7 @@
     ["wk-1", "wk-2"],
   ],
   [
-    "nor what is overdue",
+    "overdue jobs are not reordered",
     [queued("wk-1", "busy", "c", { overdue: true }), queued("wk-2", "quiet", "c")],
     ["wk-1", "wk-2"],
   ],
@@ -65,29 +65,29 @@
 for (const [name, queue, expected] of cases)
   test(`fair queue: ${name}`, () => {
     const use = new Map([[teamName("busy"), { cpus: 50, gpus: 0, ramGb: 50 }]]);
-    const places = [{ capacity: CAPACITY } as unknown as CandidateMachine];
-    const steps = fairQueue(queue, fairTurns, use, () => 1, places);
+    const candidates = [{ capacity: CAPACITY } as unknown as CandidateMachine];
+    const steps = fairQueue(queue, fairTurns, use, () => 1, candidates);
     assert.deepEqual(
       steps.map((s) => (s.maxStarts === undefined ? s.id : `${s.id}:${s.maxStarts}`)),
       expected,
     );
     assert.equal(
-      fairQueue(queue, undefined, use, () => 1, places),
+      fairQueue(queue, undefined, use, () => 1, candidates),
       queue,
     );
   });
 
-test("fair queue: a team that spans shards is judged by what it has in all of them", () => {
+test("fair queue: a team that spans shards is judged by its use in all of them", () => {
   const queue = [queued("wk-1", "burst", "c"), queued("wk-2", "home", "c")];
   const use = new Map([
     [teamName("burst"), { cpus: 10, gpus: 0, ramGb: 0 }],
     [teamName("home"), { cpus: 20, gpus: 0, ramGb: 0 }],
   ]);
-  const places = [{ capacity: CAPACITY } as unknown as CandidateMachine];
-  const first = (part: number): string | undefined => {
-    const partOf = (team: string): number => (team === "burst" ? part : 1);
-    return fairQueue(queue, fairTurns, use, partOf, places)[0]?.id;
+  const candidates = [{ capacity: CAPACITY } as unknown as CandidateMachine];
+  const firstWith = (fraction: number): string | undefined => {
+    const quotaFractionOf = (team: string): number => (team === "burst" ? fraction : 1);
+    return fairQueue(queue, fairTurns, use, quotaFractionOf, candidates)[0]?.id;
   };
-  assert.equal(first(1), "wk-1", "all of it here: it has less");
-  assert.equal(first(0.25), "wk-2", "a quarter of it here: it has twice as much");
+  assert.equal(firstWith(1), "wk-1", "all of its quota is here: it uses less");
+  assert.equal(firstWith(0.25), "wk-2", "a quarter of it is here: it uses twice as much");
 });
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -34,8 +34,8 @@
 import { SimulatedClock } from "../sim/clock.js";
 
 /**
- * A round costs what waits and what changed. Steps are counted, not time: reads of what jobs ask
- * for, in a round over a shard with many live jobs whose tasks all run.
+ * The cost of a round follows from what waits and what changed. It is counted in steps, not in time:
+ * reads of job specifications, in a round over a shard with many live jobs whose tasks all run.
  */
 const SHARD = shardId(0);
 const TEAM = teamName("t");
@@ -131,7 +131,7 @@
       const report = { machine, endpoint: "m:1", type: TYPE.name, zone: "a", spot: true, ...empty };
       this.state.stepSession(machine, {
         kind: "status_received",
-        report,
+        status: report,
         via: "heartbeat",
         now: monotonicMs(0),
       });
@@ -158,7 +158,7 @@
       const spec = this.#counted(specOf(id));
       const job = { spec, acceptedAt: wallClockMs(i), cancelledAt: null, shard: null };
       this.replica.accepted.set(id, { value: job, rev: revision(1) });
-      // Those that run do so on a machine that no session is about.
+      // Running tasks are on a machine without a session.
       const open = [{ index: 0, attempt: attemptNumber(1), machine: machineId("m-99") }];
       if (i < running) page.set(id, { done: [], open, nextAttempt: 2 });
       if (i >= running + WAITING) page.set(id, { done: [0, 0], open: [], nextAttempt: 2 });
@@ -178,7 +178,7 @@
     });
   }
 
-  /** Steps, starts and changes of one round. */
+  /** Steps, starts and operations of one round. */
   round(): { readonly steps: number; readonly starts: number; readonly ops: number } {
     const batch = new TransactionBatch(this.replica, LIMITS);
     const round = newShardRound(SHARD, batch, monotonicMs(0));
@@ -188,7 +188,7 @@
     return { steps: this.steps, starts: this.state.counters.starts, ops: batch.ops };
   }
 
-  /** Machines whose records a round looks at, by the sessions it asks for, and its changes. */
+  /** How many machines' records a round examines, by the sessions it reads, and its operations. */
   records(
     records: MachineRecordPhase,
     looked: readonly MachineId[],
@@ -211,14 +211,14 @@
     return new MachineRecordPhase(this.state);
   }
 
-  /** Changes of a transaction of ends alone. */
-  ends(): number {
+  /** Operations of a transaction with final records alone. */
+  finishOnly(): number {
     const batch = new TransactionBatch(this.replica, LIMITS);
     finishCompletedJobs(this.state, newShardRound(SHARD, batch, monotonicMs(0)));
     return batch.ops;
   }
 
-  /** What a pass over all live jobs takes. */
+  /** Steps of a pass over all live jobs. */
   fullPass(): number {
     for (const job of this.replica.shardJobs(SHARD).jobs.values()) void job.spec.resources;
     return this.steps;
@@ -236,22 +236,22 @@
 });
 
 /**
- * In a flood of one-task jobs their ends, two changes each, filled every transaction, and hundreds of
- * jobs waited for minutes beside idle machines.
+ * In a flood of one-task jobs their final records, two operations each, filled every transaction, and
+ * hundreds of jobs waited for minutes while machines were idle.
  */
-test("ends leave room for starts, and what is left of them goes by itself", () => {
+test("final records leave room for starts, and the rest is written in a transaction of its own", () => {
   const flood = new Setup(0, 200);
-  assert.ok(flood.ends() > LIMITS.txnOps - 3, "ends alone fill a transaction");
+  assert.ok(flood.finishOnly() > LIMITS.txnOps - 3, "final records alone fill a transaction");
   const { starts, ops } = flood.round();
   assert.equal(starts, WAITING);
-  assert.ok(ops > LIMITS.txnOps / 2 && ops < LIMITS.txnOps - 3, `${ops} changes`);
+  assert.ok(ops > LIMITS.txnOps / 2 && ops < LIMITS.txnOps - 3, `${ops} operations`);
 });
 
 /**
- * Each round looked at the records of all machines of the shard, changed or not. Now it looks at
- * those of which something was heard, and at those whose change is not written yet.
+ * Each round examined the records of all machines of the shard, changed or not. Now it examines
+ * those that are dirty, and those whose change is not written yet.
  */
-test("a round looks at the records of machines in proportion to what changed", () => {
+test("a round examines machine records in proportion to what changed", () => {
   const setup = new Setup(0);
   const records = setup.newRecords();
   const [first, second] = [machineId("m-0"), machineId("m-1")];
