--- /dev/null
+++ b/test/coordination/rounds/machine-page-compaction.test.ts
@@ -0,0 +1,93 @@
+import assert from "node:assert/strict";
+import test from "node:test";
+import { machineId, monotonicMs, revision, shardId, wallClockMs } from "@umberfold/ids";
+import type { ControllerContext } from "../../../src/coordination/context.js";
+import { compactMachinePages } from "../../../src/coordination/rounds/machine-page-compaction.js";
+import { newShardRound } from "../../../src/coordination/rounds/shard-round.js";
+import { encodeMachinePage } from "../../../src/storage/pages.js";
+import { keys, type MachineRecord } from "../../../src/storage/records.js";
+import { Replica } from "../../../src/storage/replica.js";
+import { TransactionBatch } from "../../../src/storage/transaction-batch.js";
+
+const SHARD = shardId(0);
+const LIMITS = { rps: 100, writeRps: 100, txnOps: 40, valueKb: 64 };
+const RECORD: MachineRecord = {
+  shard: SHARD,
+  type: "small",
+  zone: "a",
+  spot: false,
+  endpoint: "m:1",
+  phase: "up",
+  rentedAt: wallClockMs(0),
+  tokenFloor: revision(1),
+};
+
+const pageKey = (name: string): string => keys.fleet(SHARD, name);
+
+/** The pages of a shard by name, as sizes, after a compaction; those it leaves alone are absent. */
+const compact = (
+  sizes: Readonly<Record<string, number>>,
+  written: readonly string[],
+  writeLevel: number,
+): Readonly<Record<string, number>> => {
+  const replica = new Replica();
+  let rev = 0;
+  for (const [name, size] of Object.entries(sizes)) {
+    const rows = Array.from({ length: size }, (_, i) => [machineId(`m-${name}-${i}`), RECORD]);
+    const value = encodeMachinePage(rows as [ReturnType<typeof machineId>, MachineRecord][]);
+    replica.apply({ kind: "put", key: pageKey(name), value, rev: revision(++rev) });
+  }
+  const batch = new TransactionBatch(replica, { ...LIMITS, shardCount: 1 });
+  const store = { writeLevel: () => writeLevel };
+  const ctx = { settings: { state: LIMITS, shardCount: 1 }, store } as unknown as ControllerContext;
+  const round = newShardRound(SHARD, batch, monotonicMs(0));
+  const pages = [...replica.machinePages];
+  compactMachinePages(ctx, round, pages, new Set(written.map(pageKey)));
+  const after = new Replica();
+  const edited: Record<string, number> = {};
+  for (const op of batch.transaction().ops) {
+    const name = Object.keys(sizes).find((known) => pageKey(known) === op.key) ?? op.key;
+    if (op.kind === "put")
+      after.apply({ kind: "put", key: op.key, value: op.value, rev: revision(99) });
+    edited[name] = after.machinePages.get(op.key)?.machines.size ?? 0;
+  }
+  return edited;
+};
+
+const cases: readonly (readonly [
+  name: string,
+  sizes: Readonly<Record<string, number>>,
+  written: readonly string[],
+  writeLevel: number,
+  edited: Readonly<Record<string, number>>,
+])[] = [
+  ["two pages stay", { a: 1, b: 2 }, ["a"], 1, {}],
+  [
+    "small pages join the one that is written",
+    { a: 1, b: 2, c: 3 },
+    ["b"],
+    0,
+    { a: 0, b: 6, c: 0 },
+  ],
+  ["nothing is written for it alone while writes are scarce", { a: 1, b: 2, c: 3 }, [], 0.5, {}],
+  [
+    "all join the fullest if writes are plentiful",
+    { a: 1, b: 2, c: 3 },
+    [],
+    1,
+    { a: 0, b: 0, c: 6 },
+  ],
+  [
+    "three pages join in one round, the smallest first",
+    { a: 1, b: 2, c: 3, d: 4, e: 5 },
+    ["e"],
+    0,
+    { a: 0, b: 0, c: 0, e: 11 },
+  ],
+  ["a full page takes no more", { a: 20, b: 400, c: 400 }, ["b", "c"], 1, {}],
+  ["the smallest page is no target", { a: 1, b: 2, c: 3 }, ["a"], 1, {}],
+];
+for (const [name, sizes, written, writeLevel, edited] of cases)
+  test(`machine page compaction: ${name}`, () => {
+    assert.deepEqual(compact(sizes, written, writeLevel), edited);
+  });
