--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -7,7 +7,7 @@
 import type { ShardState } from "../ownership/shard-state.js";
 import { mustRaiseToken, shouldRaiseToken } from "../ownership/token-raise.js";
 import type { WorkerSession } from "../ownership/worker-session.js";
-import type { ShardRound } from "./attempt-termination.js";
+import type { ShardRound } from "./shard-round.js";
 
 /** What is to become of a machine's record. */
 type Change =
@@ -132,7 +132,7 @@
   }
 
   /** A new name for the pages of the next round's moves. */
-  nextNames(): void {
+  nextPageNames(): void {
     this.#names++;
   }
 
