--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -46,7 +46,7 @@
 /** One that can't be read is no reason not to start: it is ignored, and logged. */
 const readObjective = (row: FieldReader, ignored: string[]): Objective | undefined => {
   const faults: string[] = [];
-  const fields = row.apart(faults);
+  const fields = row.withFaults(faults);
   const kind = fields.text("kind");
   if (faults.length === 0 && !OBJECTIVE_KINDS.includes(kind))
     faults.push(
@@ -87,21 +87,21 @@
 
 /** What the state store allows. */
 export interface StateSettings {
-  /** Requests a second, of this controller. */
+  /** Requests a second, of all controllers together; renewals of leases and watches count. */
   readonly rps: number;
-  /** Writes a second, of this controller. */
+  /** Puts and deletes a second, of all controllers together; those of refused transactions count. */
   readonly writeRps: number;
   /** The largest value, in KiB. */
   readonly valueKb: number;
-  /** The most changes of one transaction. */
+  /** The most puts and deletes of one transaction. */
   readonly txnOps: number;
 }
 
 /** What the cloud allows. */
 export interface CloudSettings {
-  /** Requests a second. */
+  /** Requests a second; all go through the leader but for forced returns. */
   readonly rps: number;
-  /** Seconds by which its list of machines may be behind. */
+  /** Seconds by which its list of machines is behind; at times up to twice as many. */
   readonly listLagS: number;
 }
 
