--- a/test/coordination/workers/channel-setup.ts
+++ b/test/coordination/workers/channel-setup.ts
@@ -1,8 +1,9 @@
-/** A shard's owner with one machine, whose direct calls a test answers by hand. */
+/** A shard's owner with one machine or more, whose direct calls a test answers by hand. */
 import {
   controllerLabel,
   fencingToken,
   incarnation,
+  type MachineId,
   machineId,
   monotonicMs,
   revision,
@@ -18,8 +19,12 @@
 import { Replica } from "../../../src/storage/replica.js";
 import type { CallResult, HttpClient } from "../../../src/transport/client.js";
 
-/** The machine, its shard, and the fencing token that it is commanded under. */
-export const MACHINE = machineId("m-000001");
+/** The machines of an owner, numbered from 0. */
+export const machineNumber = (index: number): MachineId =>
+  machineId(`m-${String(index + 1).padStart(6, "0")}`);
+
+/** The first machine, the shard, and the fencing token that it is commanded under. */
+export const MACHINE = machineNumber(0);
 export const SHARD = shardId(0);
 export const TOKEN = fencingToken(10);
 
@@ -61,6 +66,7 @@
 
 /** What a test may change of the owner. */
 export interface SetupOptions {
+  readonly machineCount?: number;
   readonly ownsShard?: boolean;
   readonly holdsValidLease?: boolean;
   readonly synced?: boolean;
@@ -110,11 +116,12 @@
   const state = new ShardState(ctx, membership, () => {
     rounds++;
   });
+  const ids = Array.from({ length: options.machineCount ?? 1 }, (_, index) => machineNumber(index));
   const rev = revision(5);
   replica.apply({
     kind: "put",
     key: keys.fleet(SHARD, "1"),
-    value: encodeMachinePage([[MACHINE, RECORD]]),
+    value: encodeMachinePage(ids.map((id) => [id, RECORD])),
     rev,
   });
   replica.advance(rev);
