--- a/test/coordination/cancellation/cancellation-action.test.ts
+++ b/test/coordination/cancellation/cancellation-action.test.ts
@@ -1,3 +1,4 @@
+/** `decideCancellationAction`: what an open attempt of a cancelled job calls for, over the time. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
--- a/test/coordination/cancellation/notice-outbox.test.ts
+++ b/test/coordination/cancellation/notice-outbox.test.ts
@@ -1,3 +1,4 @@
+/** `NoticeOutbox`: acknowledgments, and which notices share a message. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { controllerLabel, jobId, revision, wallClockMs } from "@umberfold/ids";
--- a/test/coordination/fleet/pending-transfers.test.ts
+++ b/test/coordination/fleet/pending-transfers.test.ts
@@ -1,3 +1,4 @@
+/** `PendingTransfers`: how long a machine counts as its new shard's. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, monotonicMs, shardId } from "@umberfold/ids";
--- a/test/coordination/fleet/rental-outcome.test.ts
+++ b/test/coordination/fleet/rental-outcome.test.ts
@@ -1,3 +1,4 @@
+/** `rentalOutcome`: what each answer of the cloud means for a rental intent. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId } from "@umberfold/ids";
--- a/test/coordination/load-spread/machine-balance.test.ts
+++ b/test/coordination/load-spread/machine-balance.test.ts
@@ -1,3 +1,4 @@
+/** `MachineBalance`: which machines a shard that lacks its fair part is given. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
--- a/test/coordination/load-spread/quota-share.test.ts
+++ b/test/coordination/load-spread/quota-share.test.ts
@@ -1,3 +1,4 @@
+/** `quotaFraction` and `quotaShare`: amounts of a quota as fractions and shares. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { teamName } from "@umberfold/ids";
