--- a/packages/spans/src/step.ts
+++ b/packages/spans/src/step.ts
@@ -107,30 +107,49 @@
   return changed(span, entries);
 };
 
+const applyJoin = (span: Span, shard: ShardId): StepResult => {
+  const entry = entryOf(span, shard);
+  if (entry === undefined) return withNewEntry(span, shard, "active");
+  if (entry.state === "active") return refused("in the span already");
+  return withEntryChanged(span, shard, { state: "active" });
+};
+
+const applyAdopt = (span: Span, shard: ShardId): StepResult =>
+  entryOf(span, shard) === undefined
+    ? withNewEntry(span, shard, "draining")
+    : refused("in the span already");
+
+const applyDrain = (span: Span, shard: ShardId): StepResult => {
+  if (shard === span.home) return refused("home shard");
+  if (entryOf(span, shard)?.state !== "active") return refused("not in the span");
+  return withEntryChanged(span, shard, { state: "draining", weight: share(0) });
+};
+
+const applyLeave = (span: Span, shard: ShardId): StepResult => {
+  if (shard === span.home) return refused("home shard");
+  const entry = entryOf(span, shard);
+  if (entry?.state !== "draining") return refused("not in the span");
+  if (entry.share > 0) return refused("holds a share");
+  return changed(
+    span,
+    span.entries.filter((other) => other !== entry),
+  );
+};
+
 /** Applies an event to a span; a refused one leaves it as it is. */
 export const stepSpan = (span: Span, event: SpanEvent): StepResult => {
-  if (event.kind === "plan") return applyPlan(span, event.plan);
-  if (event.kind === "transfer") return applyTransfer(span, event);
-  const entry = entryOf(span, event.shard);
   switch (event.kind) {
     case "join":
-      if (entry === undefined) return withNewEntry(span, event.shard, "active");
-      if (entry.state === "active") return refused("in the span already");
-      return withEntryChanged(span, event.shard, { state: "active" });
+      return applyJoin(span, event.shard);
     case "adopt":
-      if (entry !== undefined) return refused("in the span already");
-      return withNewEntry(span, event.shard, "draining");
+      return applyAdopt(span, event.shard);
     case "drain":
-      if (event.shard === span.home) return refused("home shard");
-      if (entry?.state !== "active") return refused("not in the span");
-      return withEntryChanged(span, event.shard, { state: "draining", weight: share(0) });
+      return applyDrain(span, event.shard);
     case "leave":
-      if (event.shard === span.home) return refused("home shard");
-      if (entry?.state !== "draining") return refused("not in the span");
-      if (entry.share > 0) return refused("holds a share");
-      return changed(
-        span,
-        span.entries.filter((other) => other !== entry),
-      );
+      return applyLeave(span, event.shard);
+    case "plan":
+      return applyPlan(span, event.plan);
+    case "transfer":
+      return applyTransfer(span, event);
   }
 };
--- a/src/scheduling/fleet-rentals.ts
+++ b/src/scheduling/fleet-rentals.ts
@@ -31,25 +31,36 @@
  */
 const ZONE_SPREAD_COST = 1e-6;
 
-/** The offers that a group's tasks may run on, in the order in which ties are decided. */
-const offersFor = (group: DemandGroup, input: FleetInput, spotOnly: boolean): readonly Offer[] => {
-  const offers: Offer[] = [];
-  for (const type of input.types) {
-    const slots = taskSlots(group.resources, type.capacity);
-    if (slots === 0) continue;
-    for (const spot of spotOnly ? [true] : [true, false]) {
-      const price = (spot ? type.spotPrice : type.price) * (1 + type.bootS / input.machineLifeS);
-      for (const zone of type.zones) {
-        const key = offerKey(type.name, zone, spot);
-        if (!permitsOffer(group, { type: type.name, zone, spot })) continue;
-        if (input.refusedOffers.has(key)) continue;
-        offers.push({ key, type, zone, spot, slots, costPerSlot: price / slots });
-      }
-    }
-  }
-  return offers;
+/** The offers of one machine type that a group's tasks may run on; none that was refused recently. */
+const offersOfType = (
+  type: MachineType,
+  group: DemandGroup,
+  input: FleetInput,
+  spotOnly: boolean,
+): readonly Offer[] => {
+  const slots = taskSlots(group.resources, type.capacity);
+  if (slots === 0) return [];
+  return (spotOnly ? [true] : [true, false]).flatMap((spot) => {
+    const price = (spot ? type.spotPrice : type.price) * (1 + type.bootS / input.machineLifeS);
+    const costPerSlot = price / slots;
+    return type.zones
+      .filter((zone) => permitsOffer(group, { type: type.name, zone, spot }))
+      .map((zone) => ({
+        key: offerKey(type.name, zone, spot),
+        type,
+        zone,
+        spot,
+        slots,
+        costPerSlot,
+      }))
+      .filter(({ key }) => !input.refusedOffers.has(key));
+  });
 };
 
+/** The offers that a group's tasks may run on, in the order in which ties are decided. */
+const offersFor = (group: DemandGroup, input: FleetInput, spotOnly: boolean): readonly Offer[] =>
+  input.types.flatMap((type) => offersOfType(type, group, input, spotOnly));
+
 /** The offer with the lowest price per slot, and of several the one with the fewest machines. */
 const cheapestOffer = (
   offers: readonly Offer[],
