--- a/src/coordination/ownership/machine-health.ts
+++ b/src/coordination/ownership/machine-health.ts
@@ -31,7 +31,7 @@
 
   /**
    * The newest heartbeat since this controller owns the machine, or null. A machine that answers
-   * calls and sends no heartbeats is of no use: its lease expires whatever it is told.
+   * calls and sends no heartbeats is of no use: its lease expires whatever it is sent.
    */
   get lastHeartbeatAt(): MonotonicMs | null {
     return this.#lastHeartbeatAt;
--- a/src/coordination/ownership/worker-session.ts
+++ b/src/coordination/ownership/worker-session.ts
@@ -20,7 +20,7 @@
 } from "./start-delivery.js";
 
 /**
- * `unknown`: no status yet since we own the machine. `fencing`: it has sent one, but the highest
+ * `unknown`: no status yet since this controller owns the machine. `fencing`: it has sent one, but the highest
  * token it has seen is below ours, so commands of an earlier owner may still be executed, and
  * nothing may be started or believed absent. `ready`: it has shown our token: no older command can
  * be executed, and its newest status is the whole truth. `unresponsive`: the failure detector gave
--- a/src/coordination/ownership/worker-sessions.ts
+++ b/src/coordination/ownership/worker-sessions.ts
@@ -9,8 +9,12 @@
 import type { FencingToken, MachineId, MonotonicMs, Revision, ShardId } from "@umberfold/ids";
 import type { MachineRecord } from "../../storage/records.js";
 import type { Replica } from "../../storage/replica.js";
-import type { WorkerSession, WorkerSessionEvent } from "./worker-session.js";
-import { newWorkerSession, stepWorkerSession } from "./worker-session.js";
+import {
+  newWorkerSession,
+  stepWorkerSession,
+  type WorkerSession,
+  type WorkerSessionEvent,
+} from "./worker-session.js";
 
 /** What sessions are derived from. */
 export interface SessionSources {
--- a/src/coordination/workers/connectivity.ts
+++ b/src/coordination/workers/connectivity.ts
@@ -5,8 +5,8 @@
  */
 
 /**
- * `connected`: some machines are heard. `suspect`: none was heard for longer than chance allows,
- * and whoever falls silent now isn't given up. `disconnected`: that has lasted; the network to all
+ * `connected`: statuses arrive. `suspect`: none came for longer than chance allows, and machines
+ * that are silent now aren't given up. `disconnected`: that has lasted; the network to all
  * of them is gone, not they. `abandoned`: it has lasted for so long that nothing can be left
  * running there anyway, and machines are given up again.
  */
@@ -17,11 +17,11 @@
   /** Machines that should be sending heartbeats. */
   readonly known: number;
   /** For how long nothing was received from any of them. */
-  readonly quietMs: number;
+  readonly silentMs: number;
   /** Most of them don't answer our calls, though some may still send heartbeats. */
   readonly mostUnreached: boolean;
   /** The period of heartbeats. */
-  readonly reportMs: number;
+  readonly heartbeatPeriodMs: number;
   /** The time after which a single machine counts as silent. */
   readonly silenceMs: number;
   /** How long a worker's lease lasts. */
@@ -45,14 +45,14 @@
 
 /** The one place where connectivity is judged; it follows from the view alone. */
 export const assessConnectivity = (view: ConnectivityView): Connectivity => {
-  const { known, quietMs, silenceMs } = view;
+  const { known, silentMs, silenceMs } = view;
   if (known < MIN_MACHINES) return "connected";
   if (view.mostUnreached) return "disconnected";
   const suspectMs = Math.min(
     silenceMs * MAX_SUSPECT_PART,
-    Math.max(MIN_SUSPECT_MS, (EXPECTED_HEARTBEATS * view.reportMs) / known),
+    Math.max(MIN_SUSPECT_MS, (EXPECTED_HEARTBEATS * view.heartbeatPeriodMs) / known),
   );
-  if (quietMs < suspectMs) return "connected";
-  if (quietMs < silenceMs * DISCONNECTED_PART) return "suspect";
-  return quietMs < view.leaseMs * ABANDONED_LEASES ? "disconnected" : "abandoned";
+  if (silentMs < suspectMs) return "connected";
+  if (silentMs < silenceMs * DISCONNECTED_PART) return "suspect";
+  return silentMs < view.leaseMs * ABANDONED_LEASES ? "disconnected" : "abandoned";
 };
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -152,7 +152,7 @@
   ): void {
     if (isOwnFault(result)) return;
     this.#onAnswer(id, machineState, bodyOf(result));
-    // It has told its epoch: the next call can show it our token.
+    // Its epoch is known now: the next call can show it our token.
     if (call.kind === "introduce" && this.state.sessions.get(id)?.state === "fencing")
       machineState.call.repeat();
   }
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -42,7 +42,7 @@
   readonly now: MonotonicMs;
   /** Everything that was sent here up to this moment has been read. */
   readonly readUpTo: MonotonicMs;
-  readonly reportMs: number;
+  readonly heartbeatPeriodMs: number;
   /** Without anything received for this long, a machine is called. */
   readonly overdueMs: number;
   readonly limits: FailureLimits;
@@ -78,7 +78,7 @@
   readonly callMachine: (id: MachineId) => void;
 }
 
-/** A machine that has yet to see our token, or to be heard at all, is asked without delay. */
+/** A machine that has yet to see our token, or to send anything at all, is called without delay. */
 const awaitsToken = ({ session, record }: WatchedMachine): boolean =>
   session.state === "fencing" || (session.state === "unknown" && record.endpoint !== "");
 
@@ -88,14 +88,14 @@
   return due && now - call.lastCallAt >= PROBE_PERIOD_MS;
 };
 
-/** Heartbeats are due from it: it was heard or has an endpoint, and is not on its way out. */
+/** Heartbeats are due from it: it has sent a status or has an endpoint, and isn't leaving. */
 const shouldSendHeartbeats = ({ session, record, soft }: WatchedMachine): boolean => {
   if (record.endpoint === "" && session.status === undefined) return false;
   return record.phase === "up" && soft.departure.decommission?.force !== true;
 };
 
-const isUnreached = ({ soft, silentMs }: WatchedMachine, reportMs: number): boolean =>
-  (soft.health.failedCalls > 0 && silentMs > reportMs) ||
+const isUnreached = ({ soft, silentMs }: WatchedMachine, heartbeatPeriodMs: number): boolean =>
+  (soft.health.failedCalls > 0 && silentMs > heartbeatPeriodMs) ||
   soft.health.unreachableCalls >= UNANSWERED_CALLS_UNTIL_SILENT;
 
 /** Watches the machines of one controller. */
@@ -154,18 +154,18 @@
 
   #times(now: MonotonicMs): DetectionTimes {
     const { operators, settings, loopLag } = this.state.ctx;
-    const reportMs = settings.workers.reportS * 1000;
+    const heartbeatPeriodMs = settings.workers.reportS * 1000;
     const silenceMs = operators.silenceS * 1000;
     const wave = this.#wave.isActive(now);
     return {
       now,
       readUpTo: loopLag.readUpTo(now),
-      reportMs,
-      overdueMs: reportMs * (wave ? WAVE_OVERDUE_PERIODS : OVERDUE_PERIODS) + OVERDUE_MS,
+      heartbeatPeriodMs,
+      overdueMs: heartbeatPeriodMs * (wave ? WAVE_OVERDUE_PERIODS : OVERDUE_PERIODS) + OVERDUE_MS,
       limits: {
         silenceMs,
         patienceMs: silenceMs * (wave ? WAVE_SILENCE_PART : 1),
-        heartbeatMs: settings.workers.leaseS * 1000 * HEARTBEAT_LEASES + reportMs,
+        heartbeatMs: settings.workers.leaseS * 1000 * HEARTBEAT_LEASES + heartbeatPeriodMs,
       },
     };
   }
@@ -192,7 +192,7 @@
     if (shouldProbe(machine, times)) this.parts.callMachine(id);
     if (!shouldSendHeartbeats(machine)) return;
     findings.known++;
-    if (isUnreached(machine, times.reportMs)) findings.unreached++;
+    if (isUnreached(machine, times.heartbeatPeriodMs)) findings.unreached++;
     if (session.status !== undefined) soft.health.expectHeartbeats(times.now);
     const failure = detectMachineFailure(soft.health, silentMs, times.readUpTo, times.limits);
     if (failure !== undefined) findings.failed.push({ id, failure, silentMs });
@@ -200,14 +200,14 @@
 
   #assessConnectivity({ known, unreached }: Findings, times: DetectionTimes): void {
     const { recorder } = this.parts;
-    // Before the first machines were owned there was nobody to be heard.
+    // Before the first machines were owned none could send anything.
     if (this.#known === 0) recorder.restartSilence(times.now);
     this.#known = known;
     this.#connectivity = assessConnectivity({
       known,
-      quietMs: times.readUpTo - recorder.lastReceivedAt,
+      silentMs: times.readUpTo - recorder.lastReceivedAt,
       mostUnreached: unreached >= known * UNREACHED_PART,
-      reportMs: times.reportMs,
+      heartbeatPeriodMs: times.heartbeatPeriodMs,
       silenceMs: times.limits.silenceMs,
       leaseMs: this.state.ctx.settings.workers.leaseS * 1000,
     });
--- a/src/coordination/workers/heartbeat-handler.ts
+++ b/src/coordination/workers/heartbeat-handler.ts
@@ -17,7 +17,7 @@
 import { desiredAttemptsOn } from "./desired-attempts.js";
 import type { StatusRecorder } from "./status-recorder.js";
 
-/** What a worker is told to wait before its next heartbeat. */
+/** The worker repeats its heartbeat after so many seconds. */
 const RETRY_SOON: HttpResponse = { status: 503, retryAfterS: 1 };
 const RETRY_LATER: HttpResponse = { status: 503, retryAfterS: 5 };
 
--- a/src/coordination/workers/machine-failure.ts
+++ b/src/coordination/workers/machine-failure.ts
@@ -4,7 +4,7 @@
  * A machine that is silent has stopped sending and doesn't answer calls either. One that is
  * unreachable may send heartbeats, but never answers a call: heartbeats alone don't prove that
  * commands get through, so it is of no use. One without heartbeats answers calls, but its lease
- * expires whatever it is told. All three are proved gone by returning them to the cloud.
+ * expires whatever it is sent. All three are proved gone by returning them to the cloud.
  */
 import type { MonotonicMs } from "@umberfold/ids";
 import type { MachineHealth } from "../ownership/machine-health.js";
@@ -14,7 +14,7 @@
 /** Calls in a row without an answer until a machine that may send heartbeats is unreachable. */
 const UNREACHABLE_CALLS = 4;
 
-/** Why a machine is given up; it stands in logs and in the reason of its decommission. */
+/** Why a machine is given up, as logs and the reason of its decommission say it. */
 export type MachineFailure = "silent" | "unreachable" | "heartbeats missing";
 
 /** How much is tolerated of a machine. */
--- a/test/coordination/workers/connectivity.test.ts
+++ b/test/coordination/workers/connectivity.test.ts
@@ -10,31 +10,31 @@
 /** Two hundred machines, the newest heartbeat just now. */
 const BASE: ConnectivityView = {
   known: 200,
-  quietMs: 0,
+  silentMs: 0,
   mostUnreached: false,
-  reportMs: 5000,
+  heartbeatPeriodMs: 5000,
   silenceMs: 6500,
   leaseMs: 29_000,
 };
 
 const cases: readonly (readonly [string, Partial<ConnectivityView>, Connectivity])[] = [
-  ["some send heartbeats", { quietMs: 300 }, "connected"],
-  ["none of two hundred for a second: the network is in doubt", { quietMs: 1000 }, "suspect"],
+  ["some send heartbeats", { silentMs: 300 }, "connected"],
+  ["none of two hundred for a second: the network is in doubt", { silentMs: 1000 }, "suspect"],
   // Cut off from its workers, a controller returned 87 machines one by one before it noticed.
-  ["none for longer", { quietMs: 4000 }, "disconnected"],
-  ["none of a few for a second is chance", { known: 8, quietMs: 1000 }, "connected"],
+  ["none for longer", { silentMs: 4000 }, "disconnected"],
+  ["none of a few for a second is chance", { known: 8, silentMs: 1000 }, "connected"],
   [
     "none of a few for half the silence of a failed machine",
-    { known: 8, quietMs: 3300 },
+    { known: 8, silentMs: 3300 },
     "suspect",
   ],
-  ["too few to tell", { known: 3, quietMs: 20_000 }, "connected"],
+  ["too few to tell", { known: 3, silentMs: 20_000 }, "connected"],
   [
     "heartbeats come, but hardly any call is answered",
-    { mostUnreached: true, quietMs: 100 },
+    { mostUnreached: true, silentMs: 100 },
     "disconnected",
   ],
-  ["for so long that no lease can have lasted", { quietMs: 60_000 }, "abandoned"],
+  ["for so long that no lease can have lasted", { silentMs: 60_000 }, "abandoned"],
 ];
 
 for (const [name, view, expected] of cases)
