--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -30,7 +30,8 @@
 
 const setUp = () => {
   const replica = new Replica();
-  const membership = { ownedShards: () => [shardId(0)] } as unknown as Membership;
+  const ownedShards = [shardId(0)];
+  const membership = { ownedShards: () => ownedShards } as unknown as Membership;
   const ctx = {
     replica,
     settings: { workers: { leaseS: 20 } },
@@ -40,7 +41,7 @@
   replica.apply({ kind: "put", key: page("x"), value: machines, rev: revision(10) });
   replica.advance(revision(10));
   state.syncSessions(monotonicMs(0));
-  return { replica, state };
+  return { replica, state, ownedShards };
 };
 
 /**
@@ -69,6 +70,30 @@
   assert.equal(state.sessions.size, 0);
 });
 
+/** Some 140 machines were returned the moment their shard was handed back. */
+test("what was counted against a machine is forgotten when its shard is handed over", () => {
+  const { state, ownedShards } = setUp();
+  state.machineState(ID).health.recordFailedCall(monotonicMs(1));
+  ownedShards.pop();
+  state.syncSessions(monotonicMs(2));
+  assert.equal(state.sessions.size, 0);
+  assert.equal(state.machineStates.size, 0);
+  ownedShards.push(shardId(0));
+  state.syncSessions(monotonicMs(3));
+  assert.equal(state.sessions.get(ID)?.lastHeardAt, 3);
+  assert.equal(state.machineState(ID).health.failedCalls, 0);
+});
+
+test("the first stop request of an attempt stands, and makes its machine dirty once", () => {
+  const { state } = setUp();
+  state.stop("key", ID, "preempted", 5);
+  assert.deepEqual([...state.dirtyMachines], [ID]);
+  state.dirtyMachines.clear();
+  state.stop("key", ID, "notice", 0);
+  assert.deepEqual([...state.dirtyMachines], []);
+  assert.deepEqual(state.attemptStates.get("key")?.stopRequest, { reason: "preempted", graceS: 5 });
+});
+
 const heartbeats: readonly {
   name: string;
   heartbeatAt: number | null;
