--- a/test/digest/days.ts
+++ b/test/digest/days.ts
@@ -3,7 +3,7 @@
  * kind of fault. A day's name is its key in expected.txt: rename none.
  */
 import { type Burst, scheduleBurst } from "../sim/burst.js";
-import type { FaultScenario, SimulationScale } from "../sim/faults.js";
+import { type FaultScenario, NO_FAULTS, type SimulationScale } from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
 
 /** One day: everything that its calls follow from. */
@@ -17,7 +17,6 @@
   readonly bursts?: readonly Burst[];
 }
 
-const CALM: FaultScenario = { lost: 0, crashes: false, outages: false, deaths: false };
 const JOBS = 25;
 const OUTAGE_JOBS = 14;
 const OUTAGE_SCALE: SimulationScale = { controllers: 3, machines: 40, quotaCpus: 160, maxTasks: 6 };
@@ -139,7 +138,7 @@
 
 /** The simulation of a day, before it begins. */
 export const simulationOf = (day: DigestDay): Simulation => {
-  const simulation = new Simulation(day.seed, { ...CALM, ...day.faults }, day.scale);
+  const simulation = new Simulation(day.seed, { ...NO_FAULTS, ...day.faults }, day.scale);
   for (const [i, burst] of (day.bursts ?? []).entries())
     scheduleBurst(simulation, burst, FIRST_BURST_ID + i * BURST_IDS);
   return simulation;
--- a/test/scenarios/combined-faults.test.ts
+++ b/test/scenarios/combined-faults.test.ts
@@ -6,15 +6,15 @@
   type CancellationView,
   decideCancellationAction,
 } from "../../src/coordination/cancellation/cancellations.js";
-import type {
-  DisabledSafeguard,
-  FaultScenario,
-  SimulationScale,
-  StoreOutageAfterRefusal,
+import {
+  type DisabledSafeguard,
+  type FaultScenario,
+  NO_FAULTS,
+  type SimulationScale,
+  type StoreOutageAfterRefusal,
 } from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
 
-const calm: FaultScenario = { lost: 0, crashes: false, outages: false, deaths: false };
 const LARGE: SimulationScale = { controllers: 3, machines: 40, quotaCpus: 160, maxTasks: 6 };
 const JOBS = 14;
 const MAX_FAILED_STARTS = 200;
@@ -44,7 +44,7 @@
 
 for (const [name, seed, storeOutageAfterRefusal] of outagesAfterRefusal)
   test(`confirmed cancellations hold through a store outage after refusal: ${name}`, async () => {
-    const simulation = new Simulation(seed, { ...calm, storeOutageAfterRefusal }, LARGE);
+    const simulation = new Simulation(seed, { ...NO_FAULTS, storeOutageAfterRefusal }, LARGE);
     await simulation.day(JOBS);
     assert.deepEqual(simulation.violations, []);
     // Cut from the others, the owner can't acknowledge a cancellation notice, and no user gets a
@@ -69,12 +69,17 @@
 
 type Occurrence = keyof Simulation["occurrences"];
 const meetings: readonly (readonly [string, number, FaultScenario, Occurrence])[] = [
-  ["late writes beside crashes", 61, { ...calm, lateWrites: true, crashes: true }, "lateWrites"],
+  [
+    "late writes beside crashes",
+    61,
+    { ...NO_FAULTS, lateWrites: true, crashes: true },
+    "lateWrites",
+  ],
   [
     "late writes, late copies and repeats beside elections",
     62,
     {
-      ...calm,
+      ...NO_FAULTS,
       lateWrites: true,
       lateHeartbeatCopies: true,
       repeatedRequests: true,
@@ -82,12 +87,12 @@
     },
     "lateWrites",
   ],
-  ["muted machines", 63, { ...calm, mutedMachines: true }, "muted"],
+  ["muted machines", 63, { ...NO_FAULTS, mutedMachines: true }, "muted"],
   [
     "muted and deaf machines beside crashes and late copies",
     64,
     {
-      ...calm,
+      ...NO_FAULTS,
       mutedMachines: true,
       oneWayMachines: true,
       crashes: true,
@@ -98,63 +103,74 @@
   [
     "many cancellations at once, machines hang",
     65,
-    { ...calm, cancelAtOnce: true },
+    { ...NO_FAULTS, cancelAtOnce: true },
     "cancelledAtOnce",
   ],
   [
     "many cancellations at once, machines hang, outages and crashes",
     66,
-    { ...calm, cancelAtOnce: true, outages: true, crashes: true },
+    { ...NO_FAULTS, cancelAtOnce: true, outages: true, crashes: true },
     "cancelledAtOnce",
   ],
   [
     "cancellations, questions and repeated submissions at a job's end",
     67,
-    { ...calm, cancelAtEnd: true },
+    { ...NO_FAULTS, cancelAtEnd: true },
     "cancelledAtEnd",
   ],
   [
     "the same with late writes and lost messages",
     68,
-    { ...calm, cancelAtEnd: true, lateWrites: true, lost: 0.03 },
+    { ...NO_FAULTS, cancelAtEnd: true, lateWrites: true, lost: 0.03 },
     "cancelledAtEnd",
   ],
-  ["odd requests beside crashes", 69, { ...calm, oddRequests: true, crashes: true }, "oddRequests"],
+  [
+    "odd requests beside crashes",
+    69,
+    { ...NO_FAULTS, oddRequests: true, crashes: true },
+    "oddRequests",
+  ],
   [
     "the leader crashes ten times in two minutes, an outage",
     70,
-    { ...calm, leaderCrashes: true },
+    { ...NO_FAULTS, leaderCrashes: true },
     "leaderCrashes",
   ],
   [
     "ten leader crashes, one-way machines, late writes, cancellations at once",
     71,
-    { ...calm, leaderCrashes: true, oneWayMachines: true, lateWrites: true, cancelAtOnce: true },
+    {
+      ...NO_FAULTS,
+      leaderCrashes: true,
+      oneWayMachines: true,
+      lateWrites: true,
+      cancelAtOnce: true,
+    },
     "leaderCrashes",
   ],
   [
     "all controllers away for longer than a lease",
     72,
-    { ...calm, allControllersAway: true },
+    { ...NO_FAULTS, allControllersAway: true },
     "allControllersAway",
   ],
   [
     "all controllers away, late copies, machines hang",
     73,
-    { ...calm, allControllersAway: true, lateHeartbeatCopies: true, hangs: true },
+    { ...NO_FAULTS, allControllersAway: true, lateHeartbeatCopies: true, hangs: true },
     "allControllersAway",
   ],
   [
     "a zone with a controller cut off",
     74,
-    { ...calm, zoneCut: true, cancelAtOnce: true },
+    { ...NO_FAULTS, zoneCut: true, cancelAtOnce: true },
     "zoneCuts",
   ],
   [
     "a refused controller, machines out of reach, cancellations at once",
     75,
     {
-      ...calm,
+      ...NO_FAULTS,
       controllerRefused: true,
       mutedMachines: true,
       cancelAtOnce: true,
@@ -165,13 +181,13 @@
   [
     "jobs bound to zones lose machines",
     76,
-    { ...calm, zoneBound: true, spotWave: true, deaths: true, crashes: true },
+    { ...NO_FAULTS, zoneBound: true, spotWave: true, deaths: true, crashes: true },
     "zoneBoundStarts",
   ],
   [
     "slow links, cancellations at once, crashes",
     77,
-    { ...calm, slowLinks: true, cancelAtOnce: true, crashes: true, zoneBound: true },
+    { ...NO_FAULTS, slowLinks: true, cancelAtOnce: true, crashes: true, zoneBound: true },
     "zoneBoundStarts",
   ],
 ];
@@ -189,7 +205,7 @@
   // With ShardState.heartbeatOverdue always false 35 starts go to muted machines on this day, each to end with a lease.
   const simulation = new Simulation(
     82,
-    { ...calm, mutedForGood: true },
+    { ...NO_FAULTS, mutedForGood: true },
     { ...LARGE, machines: 12 },
   );
   await simulation.day(10);
@@ -210,7 +226,7 @@
   // token for the ended attempt that the worker still reports, it waits for ever.
   const simulation = new Simulation(
     91,
-    { ...calm, failures: "first" },
+    { ...NO_FAULTS, failures: "first" },
     { ...LARGE, machines: 1, maxTasks: 2 },
   );
   await simulation.day(1);
@@ -222,7 +238,7 @@
 test("jobs whose tasks always fail start a bounded number of times and hold up no other", async () => {
   const simulation = new Simulation(
     92,
-    { ...calm, failures: "always" },
+    { ...NO_FAULTS, failures: "always" },
     { ...LARGE, machines: 8, maxTasks: 12 },
   );
   await simulation.day(18);
@@ -242,7 +258,12 @@
 ];
 for (const [safeguard, storeOutageAfterRefusal] of safeguards)
   test(`without its safeguard a store outage after refusal is noticed as ran_cancelled: ${safeguard}`, async () => {
-    const simulation = new Simulation(31, { ...calm, storeOutageAfterRefusal }, LARGE, safeguard);
+    const simulation = new Simulation(
+      31,
+      { ...NO_FAULTS, storeOutageAfterRefusal },
+      LARGE,
+      safeguard,
+    );
     await simulation.day(JOBS);
     assert.ok(
       simulation.violations.some((violation) => violation.startsWith("ran_cancelled")),
--- a/test/scenarios/load-spread.test.ts
+++ b/test/scenarios/load-spread.test.ts
@@ -6,14 +6,11 @@
 import test from "node:test";
 import { parseSpan, type Span, WHOLE } from "@umberfold/spans";
 import { type Burst, scheduleBurst } from "../sim/burst.js";
-import type { FaultScenario, SimulationScale } from "../sim/faults.js";
+import { type FaultScenario, NO_FAULTS, type SimulationScale } from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
 
-const calm: FaultScenario = {
-  lost: 0,
-  crashes: false,
-  outages: false,
-  deaths: false,
+const spreading: FaultScenario = {
+  ...NO_FAULTS,
   loadSpread: {
     maxSpan: 3,
     minTasks: 20,
@@ -58,11 +55,6 @@
   }
 };
 
-const unfinishedJobs = (simulation: Simulation): readonly string[] =>
-  [...simulation.jobs]
-    .filter(([id, job]) => job.finalState === null && !simulation.hasMistake(id))
-    .map(([id]) => id);
-
 const array: Burst = { team: "t0", atMs: BURST_MS, jobs: 1, tasks: 150 };
 const small: Burst = { team: "t0", atMs: BURST_MS, jobs: 100, tasks: 1 };
 const failing: Burst = {
@@ -181,13 +173,13 @@
 
 for (const { name, seed, faults, bursts, also } of days)
   test(`a burst is spread and the rules hold: ${name}`, async () => {
-    const simulation = new Simulation(seed, { ...calm, ...faults }, SCALE);
+    const simulation = new Simulation(seed, { ...spreading, ...faults }, SCALE);
     for (const [i, burst] of bursts.entries())
       scheduleBurst(simulation, burst, i === 0 ? FIRST_BURST_ID : SECOND_BURST_ID);
     const check = also?.(simulation);
     await simulation.day(JOBS);
     assert.deepEqual(simulation.violations, []);
-    assert.deepEqual(unfinishedJobs(simulation), []);
+    assert.deepEqual(simulation.unfinishedJobs, []);
     checkSpans(simulation);
     assert.ok(widest(spansOf(simulation, "t0")) > 1, "the team's span grew");
     assert.ok(transfers(spansOf(simulation, "t0")) > 0, "shares changed hands");
@@ -202,7 +194,7 @@
 test("a burst whose jobs are cancelled while controllers crash is spread, and confirmed cancellations hold", async () => {
   const simulation = new Simulation(
     321,
-    { ...calm, crashes: true, cancelAtOnce: true, lateHeartbeatCopies: true },
+    { ...spreading, crashes: true, cancelAtOnce: true, lateHeartbeatCopies: true },
     SCALE,
   );
   const ids = scheduleBurst(simulation, { ...small, cancelAfterMs: 12_000 }, FIRST_BURST_ID);
@@ -235,14 +227,14 @@
 ];
 for (const [name, value] of foreign)
   test(`a foreign span ${name} is replaced and raises no limit`, async () => {
-    const simulation = new Simulation(322, calm, SCALE);
+    const simulation = new Simulation(322, spreading, SCALE);
     scheduleBurst(simulation, { ...small, jobs: 150, withinMs: 20_000 }, FIRST_BURST_ID);
     // In the middle of the burst, while shares are spread and attempts are open.
     simulation.clock.after(45_000, () => void simulation.meddle("now/span/t0", value));
     simulation.clock.after(60_000, () => void simulation.meddle("now/span/t1", value));
     await simulation.day(JOBS);
     assert.deepEqual(simulation.violations, []);
-    assert.deepEqual(unfinishedJobs(simulation), []);
+    assert.deepEqual(simulation.unfinishedJobs, []);
     const written = simulation.spans.filter((s) => s.team === "t0" && s.at >= 45_000);
     assert.deepEqual(written[0]?.value, value);
     const replaced = parseSpan(written[1]?.value, SCALE.controllers);
@@ -253,7 +245,7 @@
   });
 
 test("switched off between restarts, spans shrink to their home shard; switched on again, they grow", async () => {
-  const simulation = new Simulation(323, calm, SCALE);
+  const simulation = new Simulation(323, spreading, SCALE);
   scheduleBurst(simulation, small, FIRST_BURST_ID);
   scheduleBurst(simulation, { ...small, atMs: 155_000, jobs: 60 }, SECOND_BURST_ID);
   const { loadSpread } = simulation.packages;
@@ -273,7 +265,7 @@
   });
   await simulation.day(JOBS);
   assert.deepEqual(simulation.violations, []);
-  assert.deepEqual(unfinishedJobs(simulation), []);
+  assert.deepEqual(simulation.unfinishedJobs, []);
   assert.ok(spannedAtSwitch > 1, "there was a span when it was switched off");
   assert.ok(shrank, "it shrank to its home shard while off");
   const late = simulation.spans.filter((s) => s.team === "t0" && s.at > 155_000);
@@ -281,7 +273,7 @@
 });
 
 test("a burst changes spans a bounded number of times", async () => {
-  const simulation = new Simulation(324, calm, SCALE);
+  const simulation = new Simulation(324, spreading, SCALE);
   scheduleBurst(simulation, { ...small, jobs: 200 }, FIRST_BURST_ID);
   await simulation.day(JOBS);
   assert.deepEqual(simulation.violations, []);
@@ -291,8 +283,7 @@
 });
 
 test("switched off, load spreading writes no span and runs no periodic task", async () => {
-  const { loadSpread: _off, ...off } = calm;
-  const simulation = new Simulation(325, off, SCALE);
+  const simulation = new Simulation(325, NO_FAULTS, SCALE);
   scheduleBurst(simulation, small, FIRST_BURST_ID);
   await simulation.day(JOBS);
   assert.deepEqual(simulation.violations, []);
--- a/test/scenarios/safety.test.ts
+++ b/test/scenarios/safety.test.ts
@@ -4,42 +4,44 @@
  */
 import assert from "node:assert/strict";
 import test from "node:test";
-import type { DisabledSafeguard, FaultScenario } from "../sim/faults.js";
+import { type DisabledSafeguard, type FaultScenario, NO_FAULTS } from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
 
-const calm: FaultScenario = { lost: 0, crashes: false, outages: false, deaths: false };
-
 const days: readonly (readonly [string, number, FaultScenario])[] = [
-  ["quiet", 1, calm],
-  ["lost and late messages", 2, { ...calm, lost: 0.03 }],
-  ["controllers crash", 3, { ...calm, crashes: true }],
-  ["outages", 4, { ...calm, outages: true }],
-  ["machines die and hang", 5, { ...calm, lost: 0.01, deaths: true }],
+  ["quiet", 1, NO_FAULTS],
+  ["lost and late messages", 2, { ...NO_FAULTS, lost: 0.03 }],
+  ["controllers crash", 3, { ...NO_FAULTS, crashes: true }],
+  ["outages", 4, { ...NO_FAULTS, outages: true }],
+  ["machines die and hang", 5, { ...NO_FAULTS, lost: 0.01, deaths: true }],
   ["all together", 6, { lost: 0.02, crashes: true, outages: true, deaths: true }],
   [
     "all together, with other seed and more losses",
     7,
     { lost: 0.03, crashes: true, outages: true, deaths: true },
   ],
-  ["heartbeats arrive, nothing reaches their machines", 8, { ...calm, oneWayMachines: true }],
+  ["heartbeats arrive, nothing reaches their machines", 8, { ...NO_FAULTS, oneWayMachines: true }],
   [
     "late copies of heartbeats",
     9,
-    { ...calm, lost: 0.01, lateHeartbeatCopies: true, crashes: true },
+    { ...NO_FAULTS, lost: 0.01, lateHeartbeatCopies: true, crashes: true },
+  ],
+  [
+    "a controller cut from the state store and its peers",
+    10,
+    { ...NO_FAULTS, controllerCut: true },
   ],
-  ["a controller cut from the state store and its peers", 10, { ...calm, controllerCut: true }],
-  ["one controller refused by the state store", 11, { ...calm, controllerRefused: true }],
-  ["a controller that reaches no worker", 12, { ...calm, workersUnreachable: true }],
+  ["one controller refused by the state store", 11, { ...NO_FAULTS, controllerRefused: true }],
+  ["a controller that reaches no worker", 12, { ...NO_FAULTS, workersUnreachable: true }],
   [
     "crashes in the middle of elections",
     13,
-    { ...calm, crashesAfterElections: true, crashes: true },
+    { ...NO_FAULTS, crashesAfterElections: true, crashes: true },
   ],
   [
     "one-way machines and late copies beside crashes, a wave and an outage",
     14,
     {
-      ...calm,
+      ...NO_FAULTS,
       oneWayMachines: true,
       lateHeartbeatCopies: true,
       crashes: true,
@@ -51,7 +53,7 @@
     "a cut controller, peers that refuse, deaths",
     15,
     {
-      ...calm,
+      ...NO_FAULTS,
       lost: 0.01,
       controllerCut: true,
       peersRefuse: true,
@@ -63,27 +65,31 @@
     "a refused controller beside elections and a wave",
     16,
     {
-      ...calm,
+      ...NO_FAULTS,
       controllerRefused: true,
       crashesAfterElections: true,
       spotWave: true,
       oneWayMachines: true,
     },
   ],
-  ["process pauses longer than all leases", 17, { ...calm, processPauses: true }],
-  ["all controllers cut off together for two leases", 18, { ...calm, allControllersCut: true }],
-  ["the whole service restarts, twice", 19, { ...calm, restarts: true }],
-  ["machines hang beyond their lease and go on", 20, { ...calm, hangs: true, lost: 0.01 }],
+  ["process pauses longer than all leases", 17, { ...NO_FAULTS, processPauses: true }],
+  [
+    "all controllers cut off together for two leases",
+    18,
+    { ...NO_FAULTS, allControllersCut: true },
+  ],
+  ["the whole service restarts, twice", 19, { ...NO_FAULTS, restarts: true }],
+  ["machines hang beyond their lease and go on", 20, { ...NO_FAULTS, hangs: true, lost: 0.01 }],
   [
     "requests that were carried out come again",
     21,
-    { ...calm, repeatedRequests: true, crashes: true, lost: 0.02 },
+    { ...NO_FAULTS, repeatedRequests: true, crashes: true, lost: 0.02 },
   ],
   [
     "process pauses beside hangs, crashes, late copies and repeats",
     22,
     {
-      ...calm,
+      ...NO_FAULTS,
       lost: 0.02,
       processPauses: true,
       hangs: true,
@@ -96,7 +102,7 @@
     "a cut of all beside restarts, deaths and a wave",
     23,
     {
-      ...calm,
+      ...NO_FAULTS,
       lost: 0.01,
       allControllersCut: true,
       restarts: true,
@@ -109,7 +115,7 @@
     "a controller without workers beside a paused one, elections and a wave",
     24,
     {
-      ...calm,
+      ...NO_FAULTS,
       workersUnreachable: true,
       processPauses: true,
       crashesAfterElections: true,
@@ -152,16 +158,16 @@
   // Fencing tokens keep an earlier owner's late command from being executed.
   [
     "fencing_tokens",
-    { ...calm, lost: 0.15, crashes: true, crashesAfterElections: true },
+    { ...NO_FAULTS, lost: 0.15, crashes: true, crashesAfterElections: true },
     ["ran_twice", "quota"],
   ],
   // The cloud's word that a machine is gone is the evidence that its attempts ended.
   ["cloud_returns", storm, ["ran_twice", "quota"]],
   // A final record is what an ended job is known by.
-  ["final_records", calm, ["forgotten"]],
-  ["no_service", calm, ["unserved"]],
+  ["final_records", NO_FAULTS, ["forgotten"]],
+  ["no_service", NO_FAULTS, ["unserved"]],
   // A cancellation that is confirmed and not carried out.
-  ["cancellations", calm, ["ran_cancelled", "went_back"]],
+  ["cancellations", NO_FAULTS, ["ran_cancelled", "went_back"]],
 ];
 const MAX_DAYS = 16;
 
@@ -184,7 +190,7 @@
  * a second. Bounded by counts, which no machine's speed changes.
  */
 test("at a few hundred machines writes and calls follow what starts, not what is there", async () => {
-  const simulation = new Simulation(21, calm, {
+  const simulation = new Simulation(21, NO_FAULTS, {
     controllers: 5,
     machines: 200,
     quotaCpus: 2000,
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -8,39 +8,43 @@
 export interface FaultScenario {
   /** Share of calls whose answer is lost; the call itself may come late, or never. */
   readonly lost: number;
+  /** Single controllers crash now and then. */
   readonly crashes: boolean;
+  /** The state store is out twice and the cloud once. */
   readonly outages: boolean;
+  /** Machines die, or hang for a while. */
   readonly deaths: boolean;
-  /** Machines whose reports arrive while nothing reaches them, for less and for more than a lease. */
+  /** Machines whose heartbeats arrive while nothing reaches them, for less and for more than a lease. */
   readonly oneWayMachines?: boolean;
-  /** Reports come again, seconds to several leases later, whoever holds or leads by then. */
+  /** Heartbeats come again, seconds to several leases later, whoever is owner or leader by then. */
   readonly lateHeartbeatCopies?: boolean;
-  /** One controller loses the state service and the others, but not its workers. */
+  /** One controller is cut from the state store and the others, but not from its workers. */
   readonly controllerCut?: boolean;
-  /** One controller is refused by the state service, while the others are served. */
+  /** The state store refuses one controller, while it serves the others. */
   readonly controllerRefused?: boolean;
   /** One controller can't reach its workers, nor they it. */
   readonly workersUnreachable?: boolean;
   /** Controllers refuse one another's connections. */
   readonly peersRefuse?: boolean;
-  /** Processes end just as they take leadership or a share, and are back at once. */
+  /** Controllers crash just after leadership or a shard changed hands, and are back at once. */
   readonly crashesAfterElections?: boolean;
   /** More than half of the machines vanish within seconds. */
   readonly spotWave?: boolean;
-  /** Controllers stand still for longer than all leases while clocks run on, one or two at a time. */
+  /** Process pauses, shorter and longer than a lease, of one or two controllers at a time. */
   readonly processPauses?: boolean;
-  /** All controllers are cut from the state service, the cloud, users and most workers, and released. */
+  /** All controllers are cut from the state store, the cloud, users and most workers for two leases. */
   readonly allControllersCut?: boolean;
-  /** All controllers end at once, twice, once during an outage and once just after. */
+  /** All controllers crash together twice, once during an outage of the state store. */
   readonly restarts?: boolean;
   /** A third of the machines hang for longer than their lease, and go on. */
   readonly hangs?: boolean;
   /** Requests of a controller that were carried out already come again, seconds to minutes later. */
   readonly repeatedRequests?: boolean;
+  /** The state store refuses the leader alone, then everybody. */
   readonly storeOutageAfterRefusal?: StoreOutageAfterRefusal;
   /** Transactions get no answer and are carried out 2 to 12 s later, after newer ones. */
   readonly lateWrites?: boolean;
-  /** Machines reach no controller, while calls reach them, for less and for more than a lease. */
+  /** Machines whose heartbeats reach no controller, while calls reach them, for up to two leases. */
   readonly mutedMachines?: boolean;
   /** Each task fails once, or those of some jobs fail whenever they are started. */
   readonly failures?: "first" | "always";
@@ -48,21 +52,21 @@
   readonly zoneBound?: boolean;
   /** Images take up to half a minute to come. */
   readonly slowLinks?: boolean;
-  /** The same for good, with tasks that run for longer than a lease. */
+  /** Muted machines that stay so, with tasks that run for longer than a lease. */
   readonly mutedForGood?: boolean;
-  /** Many users call off running jobs at once, and some of their machines hang. */
+  /** Users cancel several running jobs at once, and some of their machines hang. */
   readonly cancelAtOnce?: boolean;
-  /** Jobs are called off, asked about and submitted again at the moment of their last task's end. */
+  /** Jobs are cancelled, asked about and submitted again at the moment of their last task's end. */
   readonly cancelAtEnd?: boolean;
   /** Users repeat submissions, cancel what is done, and submit what can't run or lacks a field. */
   readonly oddRequests?: boolean;
-  /** The leader ends ten times in two minutes and is back within a second, in an outage too. */
+  /** The leader crashes ten times in two minutes and is back within a second, in an outage too. */
   readonly leaderCrashes?: boolean;
   /** All controllers are away for longer than a lease. */
   readonly allControllersAway?: boolean;
   /** A zone's workers and one controller are cut off from the rest for longer than a lease. */
   readonly zoneCut?: boolean;
-  /** For a minute users ask this many times as often, and the state service counts requests. */
+  /** For a minute users ask this many times as often, and the state store limits its requests. */
   readonly questionFlood?: number;
   /** A team without a guarantee sends one-task jobs in masses and one huge array. */
   readonly floodTeam?: boolean;
@@ -74,29 +78,42 @@
   readonly lateBoots?: boolean;
 }
 
+/** A day without faults, to be spread with those that a test is for. */
+export const NO_FAULTS: FaultScenario = {
+  lost: 0,
+  crashes: false,
+  outages: false,
+  deaths: false,
+};
+
 /**
- * The state service refuses the leading controller alone; users are told by the others that their
- * jobs are cancelled; then it is out for all, for longer than `cancel_s`.
+ * The state store refuses the leader alone; the other controllers confirm cancellations to users;
+ * then it is out for all, for longer than `cancel_s`.
  */
 export interface StoreOutageAfterRefusal {
-  /** The refused one is cut from the other controllers as well. */
+  /** The refused leader is cut from the other controllers as well. */
   readonly peersCut?: boolean;
-  /** The others end just after they told users, and are back seconds later, in the outage. */
+  /** The others crash just after they confirmed, and are back seconds later, in the outage. */
   readonly confirmersCrash?: boolean;
-  /** The refused one ends inside the outage, and is back within a second. */
+  /** The refused leader crashes inside the outage, and is back within a second. */
   readonly oldLeaderCrashes?: boolean;
   /** What happens to some machines with tasks of cancelled jobs, for longer than `cancel_s`. */
   readonly machineFault?: "hang" | "deaf" | "mute";
   /** The cloud is out for the first part of the outage. */
   readonly cloudOutage?: boolean;
-  /** What gives the user the confirmation; the cancel itself is then not answered. */
+  /** Which request gives the user the confirmation; the answer to the cancellation is then ignored. */
   readonly confirmedBy?: "cancel" | "question" | "repeat";
 }
 
+/** The size of a simulated cluster and of its jobs. */
 export interface SimulationScale {
+  /** Controllers, and as many shards. */
   readonly controllers: number;
+  /** Machines that the cloud has. */
   readonly machines: number;
+  /** The limit of each team, in processors. */
   readonly quotaCpus: number;
+  /** The most tasks of one of the day's own jobs. */
   readonly maxTasks: number;
 }
 
--- a/test/sim/safety/answer-invariants.ts
+++ b/test/sim/safety/answer-invariants.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * A final state doesn't change once its user was told. (What was asked before that may have been
+ * A final state doesn't change once its user got it. (What was asked before that may have been
  * answered before as well, and come later.)
  */
 const finalStateStays = ({ job, state, askedAt }: JobAnswer): string | undefined =>
--- a/test/sim/settings.ts
+++ b/test/sim/settings.ts
@@ -21,6 +21,13 @@
 const teamTable = (name: string, cpus: number, maxCpus: number): string =>
   `[[params.teams]]\nname = "${name}"\ncpus = ${cpus}.0\ncpus_max = ${maxCpus}.0`;
 
+const seedTables = (index: number, labels: readonly string[]): readonly string[] =>
+  labels.flatMap((label, other) =>
+    other === index
+      ? []
+      : [`[[seeds]]\nlabel = "${label}"\narea = "z"\naddress = "10.0.0.${other}:2"`],
+  );
+
 /** The settings of one controller, by its index. */
 export const settingsOf = (
   index: number,
@@ -30,17 +37,12 @@
 ): Settings => {
   const teams = TEAMS.map((name) => teamTable(name, GUARANTEED_CPUS, quotaCpus));
   if (hasFloodTeam) teams.push(teamTable(FLOOD_TEAM, 0, quotaCpus));
-  const seeds = labels.flatMap((label, other) =>
-    other === index
-      ? []
-      : [`[[seeds]]\nlabel = "${label}"\narea = "z"\naddress = "10.0.0.${other}:2"`],
-  );
   const parsed = parseSettings(`
 label = "${labels[index]}"
 area = "z"
 front = "10.0.0.${index}:1"
 internal_addr = "10.0.0.${index}:2"
-${seeds.join("\n")}
+${seedTables(index, labels).join("\n")}
 [services]
 cloud = "10.2.0.2:1"
 state = "10.2.0.1:1"
--- a/test/sim/simulation.ts
+++ b/test/sim/simulation.ts
@@ -3,7 +3,7 @@
  * and faults, in simulated time, with a checker of the protocol's rules. Everything in it follows
  * from the seed.
  *
- *     const simulation = new Simulation(1, { lost: 0, crashes: true, outages: false, deaths: false });
+ *     const simulation = new Simulation(1, { ...NO_FAULTS, crashes: true });
  *     await simulation.day(25);
  *     assert.deepEqual(simulation.violations, []);
  *
@@ -125,6 +125,13 @@
     return this.#parts.jobs;
   }
 
+  /** The ids of jobs that came to no end, but for those that were submitted with a mistake. */
+  get unfinishedJobs(): readonly string[] {
+    return [...this.jobs.values()]
+      .filter(({ id, finalState }) => finalState === null && !this.hasMistake(id))
+      .map(({ id }) => id);
+  }
+
   /** The periodic tasks that controllers run. */
   get taskNames(): ReadonlySet<string> {
     return this.#parts.controllers.taskNames;
--- a/test/sim/stand-ins.ts
+++ b/test/sim/stand-ins.ts
@@ -22,12 +22,14 @@
 const MAX_LATE_BOOT_MS = 120_000;
 const SLOW_FETCH_MS: readonly [number, number] = [4000, 28_000];
 
-/** A controller's lease record, as far as the simulation reads it. */
+/** The label of the controller that a record of an owner or of the leader names. */
 const ownerLabel = (value: unknown): string => String((value as Body | undefined)?.l);
 
 /** The outside systems of one simulation. */
 export class StandIns {
+  /** The state store, for faults and for looking into its records. */
   readonly stateStore: FakeStateStore;
+  /** The cloud, for faults and for what it rented. */
   readonly cloud: FakeCloud;
   /** Workers of machines that came up and were not returned, by machine. */
   readonly workers = new Map<string, FakeWorker>();
--- a/test/sim/user-job.ts
+++ b/test/sim/user-job.ts
@@ -13,7 +13,7 @@
   accepted: boolean;
   cancelRequestedAt: number | null;
   cancelConfirmedAt: number | null;
-  /** The final state that the user was first told, which must never change. */
+  /** The final state in the first answer that had one; it must never change. */
   finalState: string | null;
   finalStateAt: number;
   lastAnswerAt: number;
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -2,7 +2,7 @@
  * The users of a simulation: each submits a job until it is accepted, asks for its state until the
  * end of the day, and perhaps cancels it.
  *
- * Owns the jobs as users know them. Every answer goes to the safety checker with the time at which
+ * Alone enters jobs among those that users know of. Every answer goes to the safety checker with the time at which
  * it was asked for.
  */
 import { CALM_MS, type SimulationContext } from "./context.js";
