--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -6,7 +6,9 @@
  * user's request would wait behind all the answers of a failover. Each call's outcome goes into the
  * worker session (may its starts be in flight?) and into the machine's health (did it answer?).
  */
+
 import type { MachineId } from "@umberfold/ids";
+import { errorFields } from "../../observability/error-fields.js";
 import { commandsBody, parseWorkerStatus } from "../../protocol/workers.js";
 import type { CallResult, HttpClient } from "../../transport/client.js";
 import { monotonicNow } from "../../transport/clock.js";
@@ -98,7 +100,7 @@
       this.#inFlight++;
       this.#send(id, machineState)
         .catch((error) =>
-          this.state.ctx.log.error("worker call failed", { machine: id, error: String(error) }),
+          this.state.ctx.log.error("worker call failed", { machine: id, ...errorFields(error) }),
         )
         .finally(() => {
           this.#inFlight--;
--- a/test/architecture/layers.test.ts
+++ b/test/architecture/layers.test.ts
@@ -43,6 +43,7 @@
     "coordination/membership",
   ],
   "coordination/workers": [
+    "observability",
     "protocol",
     "transport",
     "storage",
