--- a/test/sim/controller-ports.ts
+++ b/test/sim/controller-ports.ts
@@ -31,6 +31,12 @@
 /** Finds the running process of a controller by its index; undefined if there is none. */
 export type FindController = (index: number) => Controller | undefined;
 
+/** Turns the stop commands of a request into commands that do nothing. */
+const removeStops = (body: Body | undefined): void => {
+  for (const command of (body?.orders ?? []) as Body[])
+    if (command.verb === "kill") command.verb = "none";
+};
+
 /** Makes the ports of controllers. */
 export class ControllerPorts {
   constructor(
@@ -71,9 +77,7 @@
       if (worker === undefined || worker.hangs || worker.deaf) return undefined;
       if (!this.partitions.reachesWorker(controller, worker)) return undefined;
       this.context.calls.workers++;
-      if (this.context.isDisabled("cancellations") && path === "/orders")
-        for (const command of (body?.orders ?? []) as Body[])
-          if (command.verb === "kill") command.verb = "none";
+      if (this.context.isDisabled("cancellations") && path === "/orders") removeStops(body);
       return worker.handle(path, body);
     };
   }
--- a/test/sim/fakes/worker.ts
+++ b/test/sim/fakes/worker.ts
@@ -197,12 +197,10 @@
     for (const { thread, try: attempt, verb } of commands) {
       const task = String(thread);
       const known = this.tasks.get(task);
-      if (verb === "run") {
-        if (known === undefined) this.#start(task, Number(attempt));
-      } else if (known !== undefined && known.attempt === Number(attempt)) {
-        if (verb === "kill" && known.stage !== "ended") this.#end(known, "halted");
-        if (verb === "forget" && known.stage === "ended") this.tasks.delete(task);
-      }
+      if (verb === "run" && known === undefined) this.#start(task, Number(attempt));
+      if (known?.attempt !== Number(attempt)) continue;
+      if (verb === "kill" && known.stage !== "ended") this.#end(known, "halted");
+      if (verb === "forget" && known.stage === "ended") this.tasks.delete(task);
     }
   }
 
