--- a/src/storage/pages.ts
+++ b/src/storage/pages.ts
@@ -107,26 +107,19 @@
     const openNumbers = list(openField) as readonly number[] | undefined;
     if (typeof id !== "string" || !isJobId(id)) continue;
     if (nextAttempt === undefined || openNumbers === undefined) continue;
-    const open = parseOpenAttempts(openNumbers, machines);
+    // In place rather than in a function of its own: each round parses the pages that changed.
+    const open: OpenAttempt[] = [];
+    for (let i = 0; i + 2 < openNumbers.length; i += 3)
+      open.push({
+        index: Number(openNumbers[i]),
+        attempt: attemptNumber(Number(openNumbers[i + 1])),
+        machine: machines[Number(openNumbers[i + 2])] ?? machineId(""),
+      });
     entries.set(jobId(id), { done: parseRanges(done), open, nextAttempt });
   }
   return entries;
 };
 
-const parseOpenAttempts = (
-  numbers: readonly number[],
-  machines: readonly MachineId[],
-): readonly OpenAttempt[] => {
-  const open: OpenAttempt[] = [];
-  for (let i = 0; i + 2 < numbers.length; i += 3)
-    open.push({
-      index: Number(numbers[i]),
-      attempt: attemptNumber(Number(numbers[i + 1])),
-      machine: machines[Number(numbers[i + 2])] ?? machineId(""),
-    });
-  return open;
-};
-
 const FLAG = { spot: 1, retiring: 2 } as const;
 
 /** The stored form of a machine page. */
