--- a/src/coordination/workers/connectivity.ts
+++ b/src/coordination/workers/connectivity.ts
@@ -1,58 +1,63 @@
 /**
- * Whether this controller reaches its workers at all. When it receives nothing from any of them,
- * its own network is the likelier cause: it must not give up machines for that.
- * (Cut from its workers, a controller returned 87 machines one by one before it noticed.)
+ * Whether this controller reaches its workers at all. If it receives nothing from any of them, its
+ * own network is the more likely cause, and it must not declare machines failed for that. (Without
+ * this check, a controller cut off from its workers returned 87 machines one by one.)
  */
 
 /**
- * `connected`: statuses arrive. `suspect`: none came for longer than chance allows, and machines
- * that are silent now aren't given up. `disconnected`: that has lasted; the network to all
- * of them is gone, not they. `abandoned`: it has lasted for so long that nothing can be left
- * running there anyway, and machines are given up again.
+ * `connected`: statuses arrive. `suspect`: no status has arrived for longer than chance explains;
+ * no machine is declared failed meanwhile. `disconnected`: the silence has lasted, or hardly any
+ * direct call is answered, so the network to the machines is assumed to have failed, not the
+ * machines; none is declared failed either. `abandoned`: the silence has outlasted the worker
+ * leases, so no task can still be running there, and machines are declared failed again.
  */
 export type Connectivity = "connected" | "suspect" | "disconnected" | "abandoned";
 
-/** What connectivity is judged by. */
-export interface ConnectivityView {
+/** The observations and timeouts that determine connectivity. */
+export interface ConnectivityInputs {
   /** Machines that should be sending heartbeats. */
-  readonly known: number;
-  /** For how long nothing was received from any of them. */
+  readonly machineCount: number;
+  /** Time since a status was received from any of them. */
   readonly silentMs: number;
-  /** Most of them don't answer our calls, though some may still send heartbeats. */
-  readonly mostUnreached: boolean;
-  /** The period of heartbeats. */
+  /** Most of them don't answer direct calls; some may still send heartbeats. */
+  readonly mostAreUnreachable: boolean;
+  /** Period at which each worker sends heartbeats. */
   readonly heartbeatPeriodMs: number;
-  /** The time after which a single machine counts as silent. */
-  readonly silenceMs: number;
-  /** How long a worker's lease lasts. */
-  readonly leaseMs: number;
+  /** Configured time without a status after which a single machine counts as silent. */
+  readonly silenceTimeoutMs: number;
+  /** Duration of a worker's lease. */
+  readonly workerLeaseMs: number;
 }
 
-/** With fewer machines than this, silence proves nothing about the network to them. */
+/** With fewer machines, silence of all of them is no evidence of a network failure. */
 const MIN_MACHINES = 4;
 /**
- * Heartbeats that should have come meanwhile, all machines alive, until silence is suspect. Where
- * three quarters of them die at once a quarter of this number still comes, and none at all in one
- * such wave of fifty.
+ * Silence is suspect once this many heartbeats would have arrived if all machines were alive. If
+ * three quarters of the machines die at once, a quarter of this number still arrives on average;
+ * by chance none arrives in about one of fifty such failures.
  */
-const EXPECTED_HEARTBEATS = 16;
-const MIN_SUSPECT_MS = 700;
-/** Parts of the time after which a single machine counts as silent. */
-const MAX_SUSPECT_PART = 0.5;
-const DISCONNECTED_PART = 0.6;
-/** Leases of workers after which nothing runs on any of them. */
-const ABANDONED_LEASES = 2;
+const MIN_MISSED_HEARTBEATS = 16;
+/** Bounds of the silence that is suspect; the upper one is a fraction of the silence timeout. */
+const MIN_SUSPECT_SILENCE_MS = 700;
+const MAX_SUSPECT_SILENCE_FRACTION = 0.5;
+/** Fraction of the silence timeout after which suspect silence means disconnected. */
+const DISCONNECTED_SILENCE_FRACTION = 0.6;
+/** Worker leases of silence after which no task can still be running on any machine. */
+const ABANDONED_LEASE_FACTOR = 2;
 
-/** The one place where connectivity is judged; it follows from the view alone. */
-export const assessConnectivity = (view: ConnectivityView): Connectivity => {
-  const { known, silentMs, silenceMs } = view;
-  if (known < MIN_MACHINES) return "connected";
-  if (view.mostUnreached) return "disconnected";
+/** The one place where connectivity is determined; a pure function of the inputs. */
+export const assessConnectivity = (inputs: ConnectivityInputs): Connectivity => {
+  const { machineCount, silentMs, silenceTimeoutMs } = inputs;
+  if (machineCount < MIN_MACHINES) return "connected";
+  if (inputs.mostAreUnreachable) return "disconnected";
   const suspectMs = Math.min(
-    silenceMs * MAX_SUSPECT_PART,
-    Math.max(MIN_SUSPECT_MS, (EXPECTED_HEARTBEATS * view.heartbeatPeriodMs) / known),
+    silenceTimeoutMs * MAX_SUSPECT_SILENCE_FRACTION,
+    Math.max(
+      MIN_SUSPECT_SILENCE_MS,
+      (MIN_MISSED_HEARTBEATS * inputs.heartbeatPeriodMs) / machineCount,
+    ),
   );
   if (silentMs < suspectMs) return "connected";
-  if (silentMs < silenceMs * DISCONNECTED_PART) return "suspect";
-  return silentMs < view.leaseMs * ABANDONED_LEASES ? "disconnected" : "abandoned";
+  if (silentMs < silenceTimeoutMs * DISCONNECTED_SILENCE_FRACTION) return "suspect";
+  return silentMs < inputs.workerLeaseMs * ABANDONED_LEASE_FACTOR ? "disconnected" : "abandoned";
 };
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -1,10 +1,12 @@
 /**
- * Failure detection for the machines of one controller: calls those whose heartbeat is late, judges
- * whether the controller reaches its workers at all, and only if it does gives up machines that
- * failed (see machine-failure.ts). What is given up is decommissioned at once.
+ * Failure detection for the machines of one controller. Calls machines whose heartbeat is overdue
+ * and determines whether the controller reaches its workers at all (see connectivity.ts). Unless
+ * its own network is in doubt, it declares machines failed (see machine-failure.ts) and
+ * decommissions them at once.
  *
- * What must hold: a controller that reaches hardly any of its machines never takes its own trouble
- * for theirs, and what this process has not read yet counts as nobody's silence.
+ * Invariants: a controller that reaches hardly any of its machines attributes that to its own
+ * network and declares none of them failed. Messages that have arrived but that this process hasn't
+ * read yet (see event-loop-lag.ts) never count as a machine's silence.
  */
 import { type MachineId, type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import type { MachineRecord } from "../../storage/records.js";
@@ -17,43 +19,46 @@
   detectMachineFailure,
   type FailureLimits,
   type MachineFailure,
-  UNANSWERED_CALLS_UNTIL_SILENT,
+  MIN_UNANSWERED_CALLS_FOR_SILENT,
 } from "./machine-failure.js";
 import type { StatusRecorder } from "./status-recorder.js";
 
-/** How often machines are looked at. */
+/** Minimum time between two runs. */
 const DETECTION_PERIOD_MS = 200;
-/** Heartbeats come with up to a quarter of a period's delay; in a wave they are asked for earlier. */
-const OVERDUE_PERIODS = 1.25;
-const WAVE_OVERDUE_PERIODS = 0.5;
-/** How late beyond that a heartbeat may be before its machine is called. */
-const OVERDUE_MS = 300;
-/** How often a machine is called for that. */
+/**
+ * Heartbeat periods after which a heartbeat is overdue: one may arrive a quarter of a period late.
+ * In a failure wave machines are called earlier, without waiting for that.
+ */
+const OVERDUE_PERIOD_FACTOR = 1.25;
+const WAVE_OVERDUE_PERIOD_FACTOR = 0.5;
+/** Added to the overdue time before the machine is called. */
+const OVERDUE_MARGIN_MS = 300;
+/** Minimum time between the last direct call to a machine and a call by the detector. */
 const PROBE_PERIOD_MS = 1500;
-/** The part of the time after which a machine counts as silent that is enough in a wave. */
-const WAVE_SILENCE_PART = 0.5;
-/** Leases without a heartbeat after which a machine that answers calls is given up. */
-const HEARTBEAT_LEASES = 3;
-/** With this part of its machines out of reach, the trouble is the controller's own. */
-const UNREACHED_PART = 0.8;
-
-/** The times that apply in one run of the detector. */
+/** The silence timeout in a failure wave, as a fraction of the configured one. */
+const WAVE_SILENCE_TIMEOUT_FRACTION = 0.5;
+/** Worker leases without a heartbeat after which a machine that answers calls has failed. */
+const MAX_LEASES_WITHOUT_HEARTBEAT = 3;
+/** If this fraction of the machines is unreachable, the controller's own network has failed. */
+const DISCONNECTED_UNREACHABLE_FRACTION = 0.8;
+
+/** The times and timeouts that apply in one run of the detector. */
 interface DetectionTimes {
   readonly now: MonotonicMs;
-  /** Everything that was sent here up to this moment has been read. */
+  /** Every message sent to this process up to this time has been read. */
   readonly readUpTo: MonotonicMs;
   readonly heartbeatPeriodMs: number;
-  /** Without anything received for this long, a machine is called. */
-  readonly overdueMs: number;
+  /** A machine from which nothing was received for longer than this is called. */
+  readonly overdueTimeoutMs: number;
   readonly limits: FailureLimits;
 }
 
-/** One machine of one run. */
-interface WatchedMachine {
+/** A machine as one run sees it. */
+interface MonitoredMachine {
   readonly id: MachineId;
   readonly session: WorkerSession;
   readonly record: MachineRecord;
-  readonly soft: MachineSoftState;
+  readonly softState: MachineSoftState;
   readonly silentMs: number;
 }
 
@@ -63,56 +68,64 @@
   readonly silentMs: number;
 }
 
-/** What one run found. */
+/** The results of one run. */
 interface Findings {
-  /** Machines that should be sending heartbeats, and those of them that don't answer calls. */
-  known: number;
-  unreached: number;
+  /** Machines that should be sending heartbeats, and how many of those don't answer calls. */
+  machineCount: number;
+  unreachableCount: number;
   readonly failed: FailedMachine[];
 }
 
-/** What the detector needs of the worker channel. */
-export interface DetectorParts {
+/** The parts of the worker channel that the detector uses. */
+export interface DetectorDependencies {
   readonly recorder: StatusRecorder;
   /** Queues a direct call to a machine. */
   readonly callMachine: (id: MachineId) => void;
 }
 
-/** A machine that has yet to see our token, or to send anything at all, is called without delay. */
-const awaitsToken = ({ session, record }: WatchedMachine): boolean =>
+/** The worker has sent no status or hasn't seen our fencing token: it is called without waiting. */
+const awaitsToken = ({ session, record }: MonitoredMachine): boolean =>
   session.state === "fencing" || (session.state === "unknown" && record.endpoint !== "");
 
-const shouldProbe = (machine: WatchedMachine, { now, overdueMs }: DetectionTimes): boolean => {
-  const { health, call } = machine.soft;
-  const due = machine.silentMs > overdueMs || awaitsToken(machine) || health.unreachableCalls > 0;
+const shouldProbe = (
+  machine: MonitoredMachine,
+  { now, overdueTimeoutMs }: DetectionTimes,
+): boolean => {
+  const { health, call } = machine.softState;
+  const due =
+    machine.silentMs > overdueTimeoutMs || awaitsToken(machine) || health.unreachableCalls > 0;
   return due && now - call.lastCallAt >= PROBE_PERIOD_MS;
 };
 
-/** Heartbeats are due from it: it has sent a status or has an endpoint, and isn't leaving. */
-const shouldSendHeartbeats = ({ session, record, soft }: WatchedMachine): boolean => {
+/** It has sent a status or has an endpoint, is up and isn't being decommissioned by force. */
+const shouldSendHeartbeats = ({ session, record, softState }: MonitoredMachine): boolean => {
   if (record.endpoint === "" && session.status === undefined) return false;
-  return record.phase === "up" && soft.departure.decommission?.force !== true;
+  return record.phase === "up" && softState.departure.decommission?.force !== true;
 };
 
-const isUnreached = ({ soft, silentMs }: WatchedMachine, heartbeatPeriodMs: number): boolean =>
-  (soft.health.failedCalls > 0 && silentMs > heartbeatPeriodMs) ||
-  soft.health.unreachableCalls >= UNANSWERED_CALLS_UNTIL_SILENT;
+/** Calls fail and a heartbeat is missing, or several calls failed whatever heartbeats came. */
+const appearsUnreachable = (
+  { softState, silentMs }: MonitoredMachine,
+  heartbeatPeriodMs: number,
+): boolean =>
+  (softState.health.failedCalls > 0 && silentMs > heartbeatPeriodMs) ||
+  softState.health.unreachableCalls >= MIN_UNANSWERED_CALLS_FOR_SILENT;
 
-/** Watches the machines of one controller. */
+/** Detects failed machines of one controller. */
 export class FailureDetector {
   #lastRunAt: MonotonicMs = monotonicMs(0);
   #connectivity: Connectivity = "connected";
   /** Machines that should be sending heartbeats, as of the last run. */
-  #known = 0;
+  #machineCount = 0;
   readonly #wave = new FailureWave();
 
   /**
-   * @param state what the controller keeps of its machines
-   * @param parts the parts of the worker channel that the detector uses
+   * @param state the controller's in-memory state of its shards and machines
+   * @param dependencies the parts of the worker channel that the detector uses
    */
   constructor(
     private readonly state: ShardState,
-    private readonly parts: DetectorParts,
+    private readonly dependencies: DetectorDependencies,
   ) {}
 
   /** Whether this controller reaches its workers, as of the last run. */
@@ -120,19 +133,19 @@
     return this.#connectivity;
   }
 
-  /** Whether heartbeats arrive here; undefined if no machine should be sending any. */
+  /** Whether this controller receives heartbeats; undefined if no machine should send any. */
   receivesHeartbeats(): boolean | undefined {
-    if (this.#known === 0) return undefined;
+    if (this.#machineCount === 0) return undefined;
     return this.#connectivity === "connected";
   }
 
   /**
-   * The controller was paused or cut off: the machines' silence until now says nothing of them. All
-   * that was counted against them is dropped, and counted anew from here.
+   * Restarts failure detection after the controller was paused or cut off: silence until now is no
+   * evidence against the machines. Their failed calls and missing heartbeats are forgotten too.
    */
   resetTimers(now: MonotonicMs): void {
     const { state } = this;
-    this.parts.recorder.restartSilence(now);
+    this.dependencies.recorder.restartSilenceTimer(now);
     this.#wave.reset();
     this.#connectivity = "connected";
     for (const id of state.sessions.keys()) {
@@ -141,31 +154,35 @@
     }
   }
 
-  /** Looks at all machines, unless it did so a moment ago. */
+  /** Checks all machines, unless the last run was less than the detection period ago. */
   run(now: MonotonicMs): void {
     if (now - this.#lastRunAt < DETECTION_PERIOD_MS) return;
     this.#lastRunAt = now;
-    const times = this.#times(now);
+    const times = this.#computeTimes(now);
     const findings = this.#inspectAll(times);
     this.#assessConnectivity(findings, times);
     if (this.#connectivity === "suspect" || this.#connectivity === "disconnected") return;
-    for (const failed of findings.failed) this.#giveUp(failed, now);
+    for (const failed of findings.failed) this.#declareFailed(failed, now);
   }
 
-  #times(now: MonotonicMs): DetectionTimes {
+  #computeTimes(now: MonotonicMs): DetectionTimes {
     const { operators, settings, loopLag } = this.state.ctx;
     const heartbeatPeriodMs = settings.workers.reportS * 1000;
-    const silenceMs = operators.silenceS * 1000;
-    const wave = this.#wave.isActive(now);
+    const silenceTimeoutMs = operators.silenceS * 1000;
+    const isInWave = this.#wave.isActive(now);
     return {
       now,
       readUpTo: loopLag.readUpTo(now),
       heartbeatPeriodMs,
-      overdueMs: heartbeatPeriodMs * (wave ? WAVE_OVERDUE_PERIODS : OVERDUE_PERIODS) + OVERDUE_MS,
+      overdueTimeoutMs:
+        heartbeatPeriodMs * (isInWave ? WAVE_OVERDUE_PERIOD_FACTOR : OVERDUE_PERIOD_FACTOR) +
+        OVERDUE_MARGIN_MS,
       limits: {
-        silenceMs,
-        patienceMs: silenceMs * (wave ? WAVE_SILENCE_PART : 1),
-        heartbeatMs: settings.workers.leaseS * 1000 * HEARTBEAT_LEASES + heartbeatPeriodMs,
+        silenceTimeoutMs,
+        effectiveSilenceTimeoutMs:
+          silenceTimeoutMs * (isInWave ? WAVE_SILENCE_TIMEOUT_FRACTION : 1),
+        heartbeatTimeoutMs:
+          settings.workers.leaseS * 1000 * MAX_LEASES_WITHOUT_HEARTBEAT + heartbeatPeriodMs,
       },
     };
   }
@@ -173,13 +190,13 @@
   #inspectAll(times: DetectionTimes): Findings {
     const { state } = this;
     const { replica } = state.ctx;
-    const findings: Findings = { known: 0, unreached: 0, failed: [] };
+    const findings: Findings = { machineCount: 0, unreachableCount: 0, failed: [] };
     for (const [id, session] of state.sessions) {
       const record = replica.machines.get(id);
       if (record === undefined || replica.isGone(id)) continue;
       const silentMs = times.readUpTo - session.lastHeardAt;
       this.#inspect(
-        { id, session, record, soft: state.machineState(id), silentMs },
+        { id, session, record, softState: state.machineState(id), silentMs },
         times,
         findings,
       );
@@ -187,33 +204,33 @@
     return findings;
   }
 
-  #inspect(machine: WatchedMachine, times: DetectionTimes, findings: Findings): void {
-    const { id, session, soft, silentMs } = machine;
-    if (shouldProbe(machine, times)) this.parts.callMachine(id);
+  #inspect(machine: MonitoredMachine, times: DetectionTimes, findings: Findings): void {
+    const { id, session, softState, silentMs } = machine;
+    if (shouldProbe(machine, times)) this.dependencies.callMachine(id);
     if (!shouldSendHeartbeats(machine)) return;
-    findings.known++;
-    if (isUnreached(machine, times.heartbeatPeriodMs)) findings.unreached++;
-    if (session.status !== undefined) soft.health.expectHeartbeats(times.now);
-    const failure = detectMachineFailure(soft.health, silentMs, times.readUpTo, times.limits);
+    findings.machineCount++;
+    if (appearsUnreachable(machine, times.heartbeatPeriodMs)) findings.unreachableCount++;
+    if (session.status !== undefined) softState.health.expectHeartbeats(times.now);
+    const failure = detectMachineFailure(softState.health, silentMs, times.readUpTo, times.limits);
     if (failure !== undefined) findings.failed.push({ id, failure, silentMs });
   }
 
-  #assessConnectivity({ known, unreached }: Findings, times: DetectionTimes): void {
-    const { recorder } = this.parts;
-    // Before the first machines were owned none could send anything.
-    if (this.#known === 0) recorder.restartSilence(times.now);
-    this.#known = known;
+  #assessConnectivity({ machineCount, unreachableCount }: Findings, times: DetectionTimes): void {
+    const { recorder } = this.dependencies;
+    // Until now no machine was owned that could have sent anything.
+    if (this.#machineCount === 0) recorder.restartSilenceTimer(times.now);
+    this.#machineCount = machineCount;
     this.#connectivity = assessConnectivity({
-      known,
+      machineCount,
       silentMs: times.readUpTo - recorder.lastReceivedAt,
-      mostUnreached: unreached >= known * UNREACHED_PART,
+      mostAreUnreachable: unreachableCount >= machineCount * DISCONNECTED_UNREACHABLE_FRACTION,
       heartbeatPeriodMs: times.heartbeatPeriodMs,
-      silenceMs: times.limits.silenceMs,
-      leaseMs: this.state.ctx.settings.workers.leaseS * 1000,
+      silenceTimeoutMs: times.limits.silenceTimeoutMs,
+      workerLeaseMs: this.state.ctx.settings.workers.leaseS * 1000,
     });
   }
 
-  #giveUp({ id, failure, silentMs }: FailedMachine, now: MonotonicMs): void {
+  #declareFailed({ id, failure, silentMs }: FailedMachine, now: MonotonicMs): void {
     const { state } = this;
     state.stepSession(id, { kind: "became_unresponsive" });
     state.ctx.log.info("machine failed", {
@@ -223,6 +240,6 @@
     });
     state.machineState(id).departure.step({ kind: "decommission_forced", reason: failure });
     state.dirtyMachines.add(id);
-    this.#wave.record(now);
+    this.#wave.recordFailure(now);
   }
 }
--- a/src/coordination/workers/failure-wave.ts
+++ b/src/coordination/workers/failure-wave.ts
@@ -1,29 +1,30 @@
 /**
- * Whether machines are failing in a wave, as when a zone goes down: many failed shortly after one
- * another, and more of them are dying. In a wave machines are asked sooner, and given up sooner.
+ * Detects a failure wave: several machines failing within seconds of one another, as in a zone
+ * outage, where more are likely to fail. During a wave the failure detector calls machines earlier
+ * and uses a shorter silence timeout.
  */
 import type { MonotonicMs } from "@umberfold/ids";
 
-/** So many machines given up within so long are a wave. */
-const WAVE_MACHINES = 3;
-const WAVE_MS = 8000;
+/** This many machines declared failed within this time window are a wave. */
+const MIN_WAVE_FAILURES = 3;
+const WAVE_WINDOW_MS = 8000;
 
-/** The failures of the last few seconds. */
+/** The machine failures within the time window. */
 export class FailureWave {
   #failedAt: MonotonicMs[] = [];
 
-  /** A machine was given up. */
-  record(now: MonotonicMs): void {
+  /** Records that a machine was declared failed. */
+  recordFailure(now: MonotonicMs): void {
     this.#failedAt.push(now);
   }
 
-  /** Whether a wave is under way. */
+  /** Whether a wave is in progress. */
   isActive(now: MonotonicMs): boolean {
-    this.#failedAt = this.#failedAt.filter((failedAt) => now - failedAt < WAVE_MS);
-    return this.#failedAt.length >= WAVE_MACHINES;
+    this.#failedAt = this.#failedAt.filter((failedAt) => now - failedAt < WAVE_WINDOW_MS);
+    return this.#failedAt.length >= MIN_WAVE_FAILURES;
   }
 
-  /** Forgets all failures: those that were found may have been the controller's own. */
+  /** Forgets all failures: the controller itself may have caused them by being cut off. */
   reset(): void {
     this.#failedAt = [];
   }
--- a/src/coordination/workers/machine-failure.ts
+++ b/src/coordination/workers/machine-failure.ts
@@ -1,37 +1,37 @@
 /**
- * The rule by which one machine is given up, as a pure function of its soft state.
+ * Decides whether one machine has failed, as a pure function of its health.
  *
- * A machine that is silent has stopped sending and doesn't answer calls either. One that is
- * unreachable may send heartbeats, but never answers a call: heartbeats alone don't prove that
- * commands get through, so it is of no use. One without heartbeats answers calls, but its lease
- * expires whatever it is sent. All three are proved gone by returning them to the cloud.
+ * `silent`: it sends nothing and doesn't answer direct calls. `unreachable`: it may send
+ * heartbeats, but answers no direct call, so commands may not reach it. `heartbeats missing`: it
+ * answers direct calls, but these don't renew its worker's lease, which expires without heartbeats.
+ * In all three cases the machine is returned to the cloud, which proves that it is gone.
  */
 import type { MonotonicMs } from "@umberfold/ids";
 import type { MachineHealth } from "../ownership/machine-health.js";
 
-/** Calls in a row without an answer until a machine that sends nothing counts as silent. */
-export const UNANSWERED_CALLS_UNTIL_SILENT = 2;
-/** Calls in a row without an answer until a machine that may send heartbeats is unreachable. */
-const UNREACHABLE_CALLS = 4;
+/** Consecutive unanswered calls required to declare a machine silent. */
+export const MIN_UNANSWERED_CALLS_FOR_SILENT = 2;
+/** Consecutive unanswered calls required to declare a machine unreachable. */
+const MIN_UNANSWERED_CALLS_FOR_UNREACHABLE = 4;
 
-/** Why a machine is given up, as logs and the reason of its decommission say it. */
+/** Why a machine is declared failed; logged, and written as the reason of its decommission. */
 export type MachineFailure = "silent" | "unreachable" | "heartbeats missing";
 
-/** How much is tolerated of a machine. */
+/** Timeouts after which a machine is declared failed. */
 export interface FailureLimits {
-  /** How long calls may fail, whatever else is received. */
-  readonly silenceMs: number;
-  /** How long nothing at all may be received; shorter in a wave of failures. */
-  readonly patienceMs: number;
-  /** How long a machine may answer calls without sending a heartbeat. */
-  readonly heartbeatMs: number;
+  /** Configured silence timeout; also how long calls may fail while heartbeats still arrive. */
+  readonly silenceTimeoutMs: number;
+  /** Silence timeout in effect: the configured one, or a shorter one in a failure wave. */
+  readonly effectiveSilenceTimeoutMs: number;
+  /** How long a machine that answers calls may send no heartbeat. */
+  readonly heartbeatTimeoutMs: number;
 }
 
 /**
- * Why a machine is given up, or undefined if it is not.
+ * Why a machine has failed, or undefined if it has not.
  *
- * @param silentMs for how long nothing was received from it
- * @param now the moment up to which all that arrived was read (see event-loop lag)
+ * @param silentMs time since a status was received from it
+ * @param now the time up to which all received messages have been read (see event-loop-lag.ts)
  */
 export const detectMachineFailure = (
   health: MachineHealth,
@@ -39,13 +39,19 @@
   now: MonotonicMs,
   limits: FailureLimits,
 ): MachineFailure | undefined => {
-  if (silentMs >= limits.patienceMs && health.failedCalls >= UNANSWERED_CALLS_UNTIL_SILENT)
+  if (
+    silentMs >= limits.effectiveSilenceTimeoutMs &&
+    health.failedCalls >= MIN_UNANSWERED_CALLS_FOR_SILENT
+  )
     return "silent";
   const unreachableMs = now - health.unreachableSince;
-  if (health.unreachableCalls >= UNREACHABLE_CALLS && unreachableMs >= limits.silenceMs)
+  if (
+    health.unreachableCalls >= MIN_UNANSWERED_CALLS_FOR_UNREACHABLE &&
+    unreachableMs >= limits.silenceTimeoutMs
+  )
     return "unreachable";
   const { lastHeartbeatAt } = health;
-  return lastHeartbeatAt !== null && now - lastHeartbeatAt > limits.heartbeatMs
+  return lastHeartbeatAt !== null && now - lastHeartbeatAt > limits.heartbeatTimeoutMs
     ? "heartbeats missing"
     : undefined;
 };
--- a/src/coordination/workers/session-news.ts
+++ b/src/coordination/workers/session-news.ts
@@ -1,21 +1,21 @@
-/** Whether a worker's new status gives a round anything to decide. */
+/** Whether a worker's new status contains a change that a scheduling round must react to. */
 import { hasNoStartInFlight } from "../ownership/start-delivery.js";
 import type { WorkerSession } from "../ownership/worker-session.js";
 
-const sameTasks = (before: WorkerSession, after: WorkerSession): boolean => {
+const hasSameTasks = (before: WorkerSession, after: WorkerSession): boolean => {
   if (before.tasks.size !== after.tasks.size) return false;
   for (const [task, status] of before.tasks) {
-    const now = after.tasks.get(task);
-    if (now?.attempt !== status.attempt || now.phase !== status.phase) return false;
+    const newStatus = after.tasks.get(task);
+    if (newStatus?.attempt !== status.attempt || newStatus.phase !== status.phase) return false;
   }
   return true;
 };
 
 /**
- * A round would decide the same on both states of a session. Never while a start is in flight: any
- * status may settle it.
+ * Whether a round would decide the same before and after a status. Always false while a start
+ * command may be in flight: any status may show that it no longer is.
  */
-export const hasNoNews = (before: WorkerSession, after: WorkerSession): boolean =>
+export const hasNoRelevantChange = (before: WorkerSession, after: WorkerSession): boolean =>
   before.state === after.state &&
   before.token === after.token &&
   before.startDeliveries.size === after.startDeliveries.size &&
@@ -23,4 +23,4 @@
   before.status !== undefined &&
   before.status.epoch === after.status?.epoch &&
   before.status.preemptionNoticeS === after.status.preemptionNoticeS &&
-  sameTasks(before, after);
+  hasSameTasks(before, after);
--- a/src/coordination/workers/status-recorder.ts
+++ b/src/coordination/workers/status-recorder.ts
@@ -1,8 +1,9 @@
 /**
- * Takes worker statuses in, whichever way they came: into the session, the machine's health, and
- * what is learned from the attempts in them. Asks for a round if there is something to decide.
+ * Records worker statuses, received in heartbeats or in answers to direct calls: updates the worker
+ * session, the machine's health and the soft state of its attempts, and requests a scheduling round
+ * if the status contains a relevant change.
  *
- * Owns one thing: when a status of any machine was last received, which connectivity is judged by.
+ * Its only own state is when a status of any machine was last received, for connectivity.ts.
  */
 import { attemptKey, type MachineId, type MonotonicMs } from "@umberfold/ids";
 import type { TaskStatus, WorkerStatus } from "../../protocol/workers.js";
@@ -10,26 +11,26 @@
 import { monotonicNow, wallClockNow } from "../../transport/clock.js";
 import { rereadKeys } from "../context.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { hasNoNews } from "./session-news.js";
+import { hasNoRelevantChange } from "./session-news.js";
 
 /** Records the statuses of all workers of one controller. */
 export class StatusRecorder {
   #lastReceivedAt: MonotonicMs = monotonicNow();
 
-  /** @param state what the controller keeps of its machines */
+  /** @param state the controller's in-memory state of its shards and machines */
   constructor(private readonly state: ShardState) {}
 
-  /** When any machine's status was last received, or since when silence counts. */
+  /** When a status of any machine was last received, or when the silence timer was restarted. */
   get lastReceivedAt(): MonotonicMs {
     return this.#lastReceivedAt;
   }
 
-  /** Silence counts from now on: the controller was cut off, or owned no machines. */
-  restartSilence(now: MonotonicMs): void {
+  /** Measures silence from now on: the controller was paused or cut off, or owned no machines. */
+  restartSilenceTimer(now: MonotonicMs): void {
     this.#lastReceivedAt = now;
   }
 
-  /** Takes a status in. One that is older than the newest is ignored. */
+  /** Records a status. One that is not newer than the newest one recorded is ignored. */
   record(status: WorkerStatus, via: "heartbeat" | "direct", now: MonotonicMs): void {
     const { state } = this;
     const { machine } = status;
@@ -38,25 +39,24 @@
     if (after === undefined || after === before) return;
     this.#lastReceivedAt = now;
     state.machineState(machine).health.recordStatus(via, now);
-    for (const task of status.tasks) this.#learnFrom(machine, task, now);
-    // A status that says nothing new is no reason for a round.
-    if (before !== undefined && hasNoNews(before, after)) return;
+    for (const task of status.tasks) this.#recordFirstRunning(machine, task, now);
+    if (before !== undefined && hasNoRelevantChange(before, after)) return;
     state.dirtyMachines.add(machine);
     state.wake();
   }
 
   /**
-   * The worker has seen a higher token than ours: somebody else owns the machine, or did, and what
-   * the replica shows of it is old. The records are read again; nobody waits for it, for the worker
-   * sends again anyway.
+   * Rereads the records of a machine whose worker has seen a higher token than ours: another
+   * controller owns the machine, or did, and the replica is stale. The read is not awaited, because
+   * the worker sends its status again anyway.
    */
   rereadOwnership(id: MachineId, { shard }: MachineRecord): void {
     const { ctx } = this.state;
     void rereadKeys(ctx, [keys.shard(shard), ctx.replica.machinePageOf(id) ?? ""]);
   }
 
-  /** An attempt that is seen running for the first time: when it began, and which image it uses. */
-  #learnFrom(machine: MachineId, status: TaskStatus, now: MonotonicMs): void {
+  /** When an attempt is first seen running, records its start time and the image that it uses. */
+  #recordFirstRunning(machine: MachineId, status: TaskStatus, now: MonotonicMs): void {
     const { state } = this;
     const { replica, metrics } = state.ctx;
     if (status.phase !== "running") return;
--- a/test/coordination/workers/channel-setup.ts
+++ b/test/coordination/workers/channel-setup.ts
@@ -1,4 +1,4 @@
-/** A shard's owner with one machine or more, whose direct calls a test answers by hand. */
+/** Sets up the owner of a shard with one or more machines; the test answers its direct calls. */
 import {
   controllerLabel,
   fencingToken,
@@ -19,16 +19,16 @@
 import { Replica } from "../../../src/storage/replica.js";
 import type { CallResult, HttpClient } from "../../../src/transport/client.js";
 
-/** The machines of an owner, numbered from 0. */
-export const machineNumber = (index: number): MachineId =>
+/** The ID of the owner's machine with this index, counted from 0. */
+export const machineIdAt = (index: number): MachineId =>
   machineId(`m-${String(index + 1).padStart(6, "0")}`);
 
-/** The first machine, the shard, and the fencing token that it is commanded under. */
-export const MACHINE = machineNumber(0);
+/** The first machine, its shard, and the owner's fencing token for it. */
+export const MACHINE = machineIdAt(0);
 export const SHARD = shardId(0);
 export const TOKEN = fencingToken(10);
 
-const RECORD: MachineRecord = {
+const MACHINE_RECORD: MachineRecord = {
   shard: SHARD,
   type: "small",
   zone: "a",
@@ -39,7 +39,7 @@
   tokenFloor: revision(TOKEN),
 };
 
-/** A direct call that waits for the test to answer it. */
+/** A direct call in flight, which the test answers. */
 export interface PendingCall {
   readonly method: string;
   readonly path: string;
@@ -47,16 +47,16 @@
   readonly answer: (result: CallResult) => Promise<void>;
 }
 
-/** The body of a worker's status, as the machine sends it. */
+/** The encoded body of a worker's status. */
 export const statusBody = (
   sequence: number,
   seenToken: number,
   fields: Readonly<Record<string, unknown>> = {},
 ): Readonly<Record<string, unknown>> => ({
   loom: MACHINE,
-  endpoint: RECORD.endpoint,
-  frame: RECORD.type,
-  mill: RECORD.zone,
+  endpoint: MACHINE_RECORD.endpoint,
+  frame: MACHINE_RECORD.type,
+  mill: MACHINE_RECORD.zone,
   shift: 1,
   tally: sequence,
   baton: seenToken,
@@ -64,7 +64,7 @@
   ...fields,
 });
 
-/** What a test may change of the owner. */
+/** Properties of the owner that a test may override. */
 export interface SetupOptions {
   readonly machineCount?: number;
   readonly ownsShard?: boolean;
@@ -73,15 +73,15 @@
   readonly isLeader?: boolean;
 }
 
-/** Lets all that is settled by now run. */
-const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+/** Waits until the callbacks of all promises resolved so far have run. */
+const runResolvedCallbacks = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-/** The owner, its logged events, and the calls that it has sent. */
+/** Creates the owner; records the events that it logs and the calls that it sends. */
 export const setUpOwner = (options: SetupOptions = {}) => {
   const replica = new Replica();
   const events: string[] = [];
   const calls: PendingCall[] = [];
-  let rounds = 0;
+  let requestedRounds = 0;
   const membership = {
     ownedShards: () => (options.ownsShard === false ? [] : [SHARD]),
     ownsShard: () => options.ownsShard !== false,
@@ -108,23 +108,23 @@
       new Promise<CallResult>((resolve) => {
         const answer = (result: CallResult): Promise<void> => {
           resolve(result);
-          return settle();
+          return runResolvedCallbacks();
         };
         calls.push({ method, path, body, answer });
       }),
   } as unknown as HttpClient;
   const state = new ShardState(ctx, membership, () => {
-    rounds++;
+    requestedRounds++;
   });
-  const ids = Array.from({ length: options.machineCount ?? 1 }, (_, index) => machineNumber(index));
+  const ids = Array.from({ length: options.machineCount ?? 1 }, (_, index) => machineIdAt(index));
   const rev = revision(5);
   replica.apply({
     kind: "put",
     key: keys.fleet(SHARD, "1"),
-    value: encodeMachinePage(ids.map((id) => [id, RECORD])),
+    value: encodeMachinePage(ids.map((id) => [id, MACHINE_RECORD])),
     rev,
   });
   replica.advance(rev);
   state.syncSessions(monotonicMs(0));
-  return { state, replica, client, calls, events, roundsAsked: () => rounds };
+  return { state, replica, client, calls, events, roundRequestCount: () => requestedRounds };
 };
--- a/test/coordination/workers/connectivity.test.ts
+++ b/test/coordination/workers/connectivity.test.ts
@@ -1,42 +1,50 @@
-/** Whether silence of many machines is theirs or the network's. */
+/** Whether the silence of many machines is attributed to them or to the controller's network. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
   assessConnectivity,
   type Connectivity,
-  type ConnectivityView,
+  type ConnectivityInputs,
 } from "../../../src/coordination/workers/connectivity.js";
 
-/** Two hundred machines, the newest heartbeat just now. */
-const BASE: ConnectivityView = {
-  known: 200,
+/** 200 machines, of which one has just sent a heartbeat. */
+const BASE: ConnectivityInputs = {
+  machineCount: 200,
   silentMs: 0,
-  mostUnreached: false,
+  mostAreUnreachable: false,
   heartbeatPeriodMs: 5000,
-  silenceMs: 6500,
-  leaseMs: 29_000,
+  silenceTimeoutMs: 6500,
+  workerLeaseMs: 29_000,
 };
 
-const cases: readonly (readonly [string, Partial<ConnectivityView>, Connectivity])[] = [
-  ["some send heartbeats", { silentMs: 300 }, "connected"],
-  ["none of two hundred for a second: the network is in doubt", { silentMs: 1000 }, "suspect"],
-  // Cut off from its workers, a controller returned 87 machines one by one before it noticed.
-  ["none for longer", { silentMs: 4000 }, "disconnected"],
-  ["none of a few for a second is chance", { known: 8, silentMs: 1000 }, "connected"],
+const cases: readonly (readonly [string, Partial<ConnectivityInputs>, Connectivity])[] = [
+  ["heartbeats arrived recently", { silentMs: 300 }, "connected"],
+  ["no heartbeat of 200 machines for one second", { silentMs: 1000 }, "suspect"],
+  // Without this case a controller cut off from its workers returned 87 machines one by one.
+  ["no heartbeat of 200 machines for four seconds", { silentMs: 4000 }, "disconnected"],
   [
-    "none of a few for half the silence of a failed machine",
-    { known: 8, silentMs: 3300 },
+    "no heartbeat of 8 machines for one second may be chance",
+    { machineCount: 8, silentMs: 1000 },
+    "connected",
+  ],
+  [
+    "no heartbeat of 8 machines for half the silence timeout",
+    { machineCount: 8, silentMs: 3300 },
     "suspect",
   ],
-  ["too few to tell", { known: 3, silentMs: 20_000 }, "connected"],
   [
-    "heartbeats come, but hardly any call is answered",
-    { mostUnreached: true, silentMs: 100 },
+    "fewer than 4 machines are no evidence of a network failure",
+    { machineCount: 3, silentMs: 20_000 },
+    "connected",
+  ],
+  [
+    "heartbeats arrive, but most machines don't answer calls",
+    { mostAreUnreachable: true, silentMs: 100 },
     "disconnected",
   ],
-  ["for so long that no lease can have lasted", { silentMs: 60_000 }, "abandoned"],
+  ["silence longer than two worker leases", { silentMs: 60_000 }, "abandoned"],
 ];
 
-for (const [name, view, expected] of cases)
+for (const [name, inputs, expected] of cases)
   test(`connectivity: ${name}: ${expected}`, () =>
-    assert.equal(assessConnectivity({ ...BASE, ...view }), expected));
+    assert.equal(assessConnectivity({ ...BASE, ...inputs }), expected));
--- a/test/coordination/workers/failure-wave.test.ts
+++ b/test/coordination/workers/failure-wave.test.ts
@@ -1,4 +1,4 @@
-/** When machines count as failing in a wave. */
+/** When recent machine failures count as a wave. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { monotonicMs } from "@umberfold/ids";
@@ -6,7 +6,7 @@
 
 const waveOf = (failedAt: readonly number[]): FailureWave => {
   const wave = new FailureWave();
-  for (const at of failedAt) wave.record(monotonicMs(at));
+  for (const at of failedAt) wave.recordFailure(monotonicMs(at));
   return wave;
 };
 
@@ -16,10 +16,15 @@
   now: number;
   active: boolean;
 }[] = [
-  { name: "two failures are no wave", failedAt: [1000, 1000], now: 1000, active: false },
-  { name: "three failures within seconds are", failedAt: [0, 3000, 7999], now: 7999, active: true },
+  { name: "two failures are not a wave", failedAt: [1000, 1000], now: 1000, active: false },
   {
-    name: "a failure eight seconds ago is over",
+    name: "three failures within eight seconds are a wave",
+    failedAt: [0, 3000, 7999],
+    now: 7999,
+    active: true,
+  },
+  {
+    name: "a failure eight seconds ago no longer counts",
     failedAt: [0, 3000, 7999],
     now: 8000,
     active: false,
--- a/test/coordination/workers/heartbeat-handler.test.ts
+++ b/test/coordination/workers/heartbeat-handler.test.ts
@@ -1,4 +1,4 @@
-/** How heartbeats are answered. */
+/** Which heartbeats are accepted, and how they are answered. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { HeartbeatHandler } from "../../../src/coordination/workers/heartbeat-handler.js";
@@ -11,11 +11,11 @@
   const owner = setUpOwner(options);
   const handler = new HeartbeatHandler(owner.state, new StatusRecorder(owner.state));
   const adopted: string[] = [];
-  const adopt = ({ machine }: WorkerStatus): void => {
+  const adoptMachine = ({ machine }: WorkerStatus): void => {
     adopted.push(machine);
   };
-  const beat = (body: unknown): HttpResponse => handler.handle(body, adopt);
-  return { ...owner, beat, adopted };
+  const sendHeartbeat = (body: unknown): HttpResponse => handler.handle(body, adoptMachine);
+  return { ...owner, sendHeartbeat, adopted };
 };
 
 const refusals: readonly {
@@ -25,32 +25,32 @@
   response: HttpResponse;
 }[] = [
   {
-    name: "one without a machine is malformed",
+    name: "a status without a machine is malformed",
     body: { shift: 1 },
     response: { status: 400, body: { error: "malformed report" } },
   },
   {
-    name: "before the first scan the worker is asked to come again",
+    name: "before the replica is synced the worker is asked to retry",
     options: { synced: false },
     response: { status: 503, retryAfterS: 1 },
   },
   {
-    name: "without a valid lease the worker is sent elsewhere",
+    name: "without a valid lease the worker is redirected",
     options: { holdsValidLease: false },
     response: { status: 421, body: {} },
   },
   {
-    name: "the machine of another's shard is redirected to its owner",
+    name: "a machine in another controller's shard is redirected to its owner",
     options: { ownsShard: false },
     response: { status: 421, body: { foreman: "other" } },
   },
   {
-    name: "one from a machine that no record shows is redirected",
+    name: "a machine without a record is redirected",
     body: statusBody(1, 10, { loom: "m-unknown" }),
     response: { status: 421, body: {} },
   },
   {
-    name: "one with a higher token than ours is not accepted: the machine may be another's",
+    name: "a status with a higher token than ours is refused: another controller may be the owner",
     body: statusBody(1, 11),
     response: { status: 503, retryAfterS: 1 },
   },
@@ -58,39 +58,39 @@
 
 for (const { name, options, body = statusBody(1, 10), response } of refusals)
   test(`heartbeat: ${name}`, () => {
-    const { beat, state } = setUp(options);
-    assert.deepEqual(beat(body), response);
-    assert.equal(state.sessions.get(MACHINE)?.status, undefined, "nothing of it is taken in");
+    const { sendHeartbeat, state } = setUp(options);
+    assert.deepEqual(sendHeartbeat(body), response);
+    assert.equal(state.sessions.get(MACHINE)?.status, undefined, "the status is not recorded");
   });
 
-test("heartbeat: the owner answers with its token, and the session is ready", () => {
-  const { beat, state, roundsAsked } = setUp();
-  const { status, body } = beat(statusBody(1, 10));
+test("heartbeat: the owner answers with its token, and the session becomes ready", () => {
+  const { sendHeartbeat, state, roundRequestCount } = setUp();
+  const { status, body } = sendHeartbeat(statusBody(1, 10));
   assert.equal(status, 200);
   assert.deepEqual((body as { orders: unknown }).orders, []);
   assert.equal(Number((body as { baton: unknown }).baton), 10);
   assert.equal(state.sessions.get(MACHINE)?.state, "ready");
-  assert.equal(roundsAsked(), 1);
+  assert.equal(roundRequestCount(), 1);
 });
 
-test("heartbeat: one that says nothing new asks for no round", () => {
-  const { beat, roundsAsked } = setUp();
-  beat(statusBody(1, 10));
-  beat(statusBody(2, 10));
-  assert.equal(roundsAsked(), 1);
+test("heartbeat: a status without a relevant change requests no round", () => {
+  const { sendHeartbeat, roundRequestCount } = setUp();
+  sendHeartbeat(statusBody(1, 10));
+  sendHeartbeat(statusBody(2, 10));
+  assert.equal(roundRequestCount(), 1);
 });
 
-test("heartbeat: a task that no record shows is stopped, but not on a status that came late", () => {
-  const { beat } = setUp();
+test("heartbeat: a task without a record is stopped, but not in response to a late status", () => {
+  const { sendHeartbeat } = setUp();
   const threads = [{ thread: "wk-000001/0", try: 1, stage: "running" }];
-  const ordersOf = ({ body }: HttpResponse): readonly unknown[] =>
+  const commandsIn = ({ body }: HttpResponse): readonly unknown[] =>
     (body as { orders: readonly unknown[] }).orders;
-  assert.equal(ordersOf(beat(statusBody(5, 10, { threads }))).length, 1);
-  assert.equal(ordersOf(beat(statusBody(4, 10, { threads }))).length, 0);
+  assert.equal(commandsIn(sendHeartbeat(statusBody(5, 10, { threads }))).length, 1);
+  assert.equal(commandsIn(sendHeartbeat(statusBody(4, 10, { threads }))).length, 0);
 });
 
-test("heartbeat: the leader is given the status of a machine that no record shows", () => {
-  const { beat, adopted } = setUp({ isLeader: true });
-  beat(statusBody(1, 10, { loom: "m-unknown" }));
+test("heartbeat: the leader adopts a machine without a record", () => {
+  const { sendHeartbeat, adopted } = setUp({ isLeader: true });
+  sendHeartbeat(statusBody(1, 10, { loom: "m-unknown" }));
   assert.deepEqual(adopted, ["m-unknown"]);
 });
--- a/test/coordination/workers/machine-failure.test.ts
+++ b/test/coordination/workers/machine-failure.test.ts
@@ -1,4 +1,4 @@
-/** When a single machine is given up, and why. */
+/** When a single machine is declared failed, and for which reason. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { monotonicMs } from "@umberfold/ids";
@@ -9,74 +9,83 @@
   type MachineFailure,
 } from "../../../src/coordination/workers/machine-failure.js";
 
-const LIMITS: FailureLimits = { silenceMs: 6500, patienceMs: 6500, heartbeatMs: 60_000 };
+const LIMITS: FailureLimits = {
+  silenceTimeoutMs: 6500,
+  effectiveSilenceTimeoutMs: 6500,
+  heartbeatTimeoutMs: 60_000,
+};
 const NOW = monotonicMs(100_000);
 
 const cases: readonly {
   name: string;
-  /** When calls were sent that got no answer. */
+  /** When each unanswered call was sent. */
   failedCallsAt?: readonly number[];
-  /** When the newest heartbeat came, after those calls; never if undefined. */
+  /** When the newest heartbeat arrived, recorded after those calls; undefined if none did. */
   heartbeatAt?: number;
   silentMs: number;
   limits?: Partial<FailureLimits>;
   expected: MachineFailure | undefined;
 }[] = [
-  { name: "kept while it is heard", heartbeatAt: 99_000, silentMs: 1000, expected: undefined },
   {
-    name: "kept while only one call was left unanswered, however long it is silent",
+    name: "none while heartbeats arrive",
+    heartbeatAt: 99_000,
+    silentMs: 1000,
+    expected: undefined,
+  },
+  {
+    name: "none after one unanswered call, however long the silence",
     failedCallsAt: [90_000],
     silentMs: 30_000,
     expected: undefined,
   },
   {
-    name: "silent after two unanswered calls and the whole time",
+    name: "silent after two unanswered calls and the full silence timeout",
     failedCallsAt: [94_000, 96_000],
     silentMs: 6500,
     expected: "silent",
   },
   {
-    name: "kept after two unanswered calls while the time isn't over",
+    name: "none after two unanswered calls before the silence timeout",
     failedCallsAt: [94_000, 96_000],
     silentMs: 6499,
     expected: undefined,
   },
   {
-    name: "silent sooner in a wave, which allows less time",
+    name: "silent after the shorter timeout of a failure wave",
     failedCallsAt: [96_000, 98_000],
     silentMs: 3300,
-    limits: { patienceMs: 3250 },
+    limits: { effectiveSilenceTimeoutMs: 3250 },
     expected: "silent",
   },
   {
-    name: "unreachable after four unanswered calls over the whole time, though it sends heartbeats",
+    name: "unreachable after four unanswered calls over the full timeout despite heartbeats",
     failedCallsAt: [93_000, 94_500, 96_000, 97_500],
     heartbeatAt: 99_000,
     silentMs: 1000,
     expected: "unreachable",
   },
   {
-    name: "kept after three unanswered calls while it sends heartbeats",
+    name: "none after three unanswered calls while heartbeats arrive",
     failedCallsAt: [90_000, 92_000, 94_000],
     heartbeatAt: 99_000,
     silentMs: 1000,
     expected: undefined,
   },
   {
-    name: "kept after four unanswered calls within less than the whole time",
+    name: "none after four unanswered calls within less than the full timeout",
     failedCallsAt: [94_000, 95_500, 97_000, 98_500],
     heartbeatAt: 99_000,
     silentMs: 1000,
     expected: undefined,
   },
   {
-    name: "given up when it answers calls, but sent no heartbeat for leases",
+    name: "heartbeats missing when calls are answered but the heartbeat timeout has passed",
     heartbeatAt: 39_999,
     silentMs: 500,
     expected: "heartbeats missing",
   },
   {
-    name: "kept when its newest heartbeat is just within the limit",
+    name: "none when the newest heartbeat is exactly at the heartbeat timeout",
     heartbeatAt: 40_000,
     silentMs: 500,
     expected: undefined,
--- a/test/coordination/workers/session-news.test.ts
+++ b/test/coordination/workers/session-news.test.ts
@@ -1,4 +1,4 @@
-/** Whether a new status of a worker is a reason for a round. */
+/** Which changes in a worker's status are relevant to a scheduling round. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { fencingToken, monotonicMs } from "@umberfold/ids";
@@ -6,7 +6,7 @@
   stepWorkerSession,
   type WorkerSessionEvent,
 } from "../../../src/coordination/ownership/worker-session.js";
-import { hasNoNews } from "../../../src/coordination/workers/session-news.js";
+import { hasNoRelevantChange } from "../../../src/coordination/workers/session-news.js";
 import type { WorkerStatus } from "../../../src/protocol/workers.js";
 import { KEY, received, sessionAfter, statusOf, TASK } from "../ownership/session-events.js";
 
@@ -16,64 +16,67 @@
   name: string;
   before: readonly WorkerSessionEvent[];
   status: WorkerStatus;
-  noNews: boolean;
+  isIrrelevant: boolean;
 }[] = [
   {
-    name: "a later status with the same tasks is none",
+    name: "a newer status with the same tasks is not relevant",
     before: [received(RUNNING)],
     status: { ...RUNNING, sequence: 2 },
-    noNews: true,
+    isIrrelevant: true,
   },
-  { name: "the first status is news", before: [], status: RUNNING, noNews: false },
+  { name: "the first status is relevant", before: [], status: RUNNING, isIrrelevant: false },
   {
-    name: "a task that has ended is news",
+    name: "a task that has ended is relevant",
     before: [received(RUNNING)],
     status: statusOf(1, 2, 10, [[TASK, 1, "ended", "done"]]),
-    noNews: false,
+    isIrrelevant: false,
   },
   {
-    name: "another attempt of the task is news",
+    name: "another attempt of the task is relevant",
     before: [received(RUNNING)],
     status: statusOf(1, 2, 10, [[TASK, 2, "running"]]),
-    noNews: false,
+    isIrrelevant: false,
   },
   {
-    name: "a task that is gone is news",
+    name: "a task that is no longer listed is relevant",
     before: [received(RUNNING)],
     status: statusOf(1, 2, 10),
-    noNews: false,
+    isIrrelevant: false,
   },
   {
-    name: "a new epoch is news",
+    name: "a new epoch is relevant",
     before: [received(RUNNING)],
     status: { ...RUNNING, epoch: 2, sequence: 2 },
-    noNews: false,
+    isIrrelevant: false,
   },
   {
-    name: "a preemption notice is news",
+    name: "a preemption notice is relevant",
     before: [received(RUNNING)],
     status: { ...RUNNING, sequence: 2, preemptionNoticeS: 30 },
-    noNews: false,
+    isIrrelevant: false,
   },
   {
-    name: "our token, shown for the first time, is news",
+    name: "the first status that shows our token is relevant",
     before: [
       received(RUNNING),
       { kind: "token_assigned", token: fencingToken(20), now: monotonicMs(1) },
     ],
     status: { ...RUNNING, sequence: 2, token: fencingToken(20) },
-    noNews: false,
+    isIrrelevant: false,
   },
   {
-    name: "any status is news while a start is in flight",
+    name: "any status is relevant while a start is in flight",
     before: [received(RUNNING), { kind: "command_sent", starts: [KEY] }],
     status: { ...RUNNING, sequence: 2 },
-    noNews: false,
+    isIrrelevant: false,
   },
 ];
 
-for (const { name, before, status, noNews } of cases)
-  test(`session news: ${name}`, () => {
+for (const { name, before, status, isIrrelevant } of cases)
+  test(`session change: ${name}`, () => {
     const session = sessionAfter(10, before);
-    assert.equal(hasNoNews(session, stepWorkerSession(session, received(status))), noNews);
+    assert.equal(
+      hasNoRelevantChange(session, stepWorkerSession(session, received(status))),
+      isIrrelevant,
+    );
   });
