--- a/src/coordination/workers/desired-attempts.ts
+++ b/src/coordination/workers/desired-attempts.ts
@@ -1,25 +1,25 @@
-/** What the records want of the attempts on one machine, as reconciliation takes it in. */
+/** Derives from the stored records which attempts should run on a machine, for reconciliation. */
 import type { MachineId, TaskId } from "@umberfold/ids";
 import { monotonicNow } from "../../transport/clock.js";
 import type { DesiredAttempt, DesiredAttempts } from "../ownership/reconciliation.js";
 import type { ShardState } from "../ownership/shard-state.js";
 
-/** The desired attempts of a machine; none if no record shows the machine. */
+/** The desired attempts of a machine; empty if no record of the machine exists. */
 export const desiredAttemptsOn = (state: ShardState, id: MachineId): DesiredAttempts => {
   const { replica } = state.ctx;
   const desired = new Map<TaskId, DesiredAttempt>();
   const machine = replica.machines.get(id);
   if (machine === undefined) return desired;
-  const takesStarts =
+  const acceptsStarts =
     machine.phase === "up" && !replica.isGone(id) && !state.heartbeatOverdue(id, monotonicNow());
-  const work = replica.shardJobs(machine.shard);
-  for (const [task, { job: jobOfTask, attempt, key }] of work.openAttemptsOn(id)) {
-    const job = work.jobs.get(jobOfTask);
+  const shardJobs = replica.shardJobs(machine.shard);
+  for (const [task, { job: jobId, attempt, key }] of shardJobs.openAttemptsOn(id)) {
+    const job = shardJobs.jobs.get(jobId);
     const stopRequest = state.attemptStates.get(key)?.stopRequest;
-    // Nothing of a cancelled job is of use: its attempts stop without saving.
+    // A checkpoint of a cancelled job is never used: its attempts stop without saving.
     const stopGraceS =
       job === undefined || job.cancelledAt !== null ? 0 : (stopRequest?.graceS ?? null);
-    const startForbidden = !takesStarts || state.terminating.has(key);
+    const startForbidden = !acceptsStarts || state.terminating.has(key);
     desired.set(task, { task, attempt, stopGraceS, startForbidden });
   }
   return desired;
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -1,10 +1,11 @@
 /**
- * Direct calls to workers: sends commands without waiting for a heartbeat, and asks machines that
- * are silent for their status.
+ * Direct calls to workers: sends commands without waiting for a heartbeat, and asks silent
+ * machines for their status.
  *
- * One call at a time for each machine (see direct-call-state.ts), and a bounded number in all, or a
- * user's request would wait behind all the answers of a failover. Each call's outcome goes into the
- * worker session (may its starts be in flight?) and into the machine's health (did it answer?).
+ * Each machine has at most one call in flight (see direct-call-state.ts), and the total in flight
+ * is bounded: otherwise a user's request would wait behind the answers of all machines called in a
+ * failover. The outcome of a call updates the worker session (whether the starts that it carried
+ * may still be in flight) and the machine's health (whether it answered).
  */
 
 import type { MachineId } from "@umberfold/ids";
@@ -20,24 +21,24 @@
 import { desiredAttemptsOn } from "./desired-attempts.js";
 import type { StatusRecorder } from "./status-recorder.js";
 
-/** How long a direct call to a worker may take. */
-export const DIRECT_CALL_MS = 1200;
-/** The epoch that most machines are in when their first status hasn't come yet. */
+/** Timeout of a direct call to a worker. */
+export const DIRECT_CALL_TIMEOUT_MS = 1200;
+/** The epoch assumed for a worker that has sent no status yet: most are in their first epoch. */
 const FIRST_EPOCH = 1;
 
-/** A machine that is being called, as it is known before the call. */
+/** The endpoint and session of a machine, read before it is called. */
 interface Recipient {
   readonly endpoint: string;
   readonly session: WorkerSession;
 }
 
-/** What a machine is sent next. */
+/** The next call to a machine. */
 type DirectCall =
-  /** Shows our token to a worker of which no status is known. */
-  | { readonly kind: "introduce"; readonly body: unknown }
-  /** There is nothing to command: its status is asked for. */
+  /** Shows our fencing token to a worker that has sent no status yet; carries no commands. */
+  | { readonly kind: "show_token"; readonly body: unknown }
+  /** Asks for the status, because there is nothing to command. */
   | { readonly kind: "ask_status" }
-  /** Commands, under the session as it was before; `starts` are the attempts that they start. */
+  /** Sends commands. `starts`: keys of the attempts started; `session`: as before the call. */
   | {
       readonly kind: "command";
       readonly body: unknown;
@@ -47,45 +48,52 @@
 
 type CommandOutcome = "command_answered" | "command_not_sent" | "command_lost";
 
-/** A call that never went out for want of a socket or a turn here says nothing of the machine. */
-const isOwnFault = (result: CallResult): boolean => result.kind === "unsent" && result.own === true;
+/**
+ * The call was not sent because this process had no free socket or connection slot, which is no
+ * evidence against the machine.
+ */
+const isLocalFailure = (result: CallResult): boolean =>
+  result.kind === "unsent" && result.own === true;
 
-const bodyOf = (result: CallResult): unknown =>
+const answerBody = (result: CallResult): unknown =>
   result.kind === "answer" ? result.body : undefined;
 
-/** What became of the commands in a call. */
+/** Whether the commands in a call were executed, as far as its result shows. */
 const commandOutcome = (result: CallResult): CommandOutcome => {
   if (result.kind === "unsent") return "command_not_sent";
   if (result.kind === "lost") return "command_lost";
   if (result.status === 200) return "command_answered";
-  // Refused: nothing was executed.
+  // The worker refused the request and executed nothing.
   return result.status === 409 || result.status === 400 ? "command_not_sent" : "command_lost";
 };
 
 /** The direct calls of one controller. */
 export class DirectCommandSender {
   readonly #queue: MachineId[] = [];
-  #inFlight = 0;
-  /** Calls in flight at a time: dead machines hold theirs for as long as a call may take. */
+  #inFlightCount = 0;
+  /** Limit of calls in flight; a call to a dead machine counts until it times out. */
   readonly #maxInFlight: number;
 
   /**
-   * @param state what the controller keeps of its machines
-   * @param workers sends the calls
-   * @param recorder takes in the statuses that they are answered with
+   * @param state the controller's in-memory state of its shards and machines
+   * @param workerClient sends the calls
+   * @param recorder records the statuses in their answers
    */
   constructor(
     private readonly state: ShardState,
-    private readonly workers: HttpClient,
+    private readonly workerClient: HttpClient,
     private readonly recorder: StatusRecorder,
   ) {
     const { settings } = state.ctx;
-    const members = settings.seeds.length + 1;
-    this.#maxInFlight = socketParts(settings.resources.maxSockets, members).workers;
+    const controllerCount = settings.seeds.length + 1;
+    this.#maxInFlight = socketParts(settings.resources.maxSockets, controllerCount).workers;
   }
 
-  /** Queues a call to a machine, at the front if it is urgent; or after the one in flight. */
-  call(id: MachineId, urgent: boolean): void {
+  /**
+   * Queues a call to a machine, at the front if it is urgent. If one is queued or in flight, the
+   * next is queued after it has ended.
+   */
+  requestCall(id: MachineId, urgent: boolean): void {
     if (!this.state.machineState(id).call.request(monotonicNow())) return;
     if (urgent) this.#queue.unshift(id);
     else this.#queue.push(id);
@@ -93,25 +101,25 @@
   }
 
   #sendQueued(): void {
-    while (this.#inFlight < this.#maxInFlight) {
+    while (this.#inFlightCount < this.#maxInFlight) {
       const id = this.#queue.shift();
       if (id === undefined) return;
       const machineState = this.state.machineState(id);
-      this.#inFlight++;
+      this.#inFlightCount++;
       this.#send(id, machineState)
         .catch((error) =>
           this.state.ctx.log.error("worker call failed", { machine: id, ...errorFields(error) }),
         )
         .finally(() => {
-          this.#inFlight--;
-          if (machineState.call.end()) this.call(id, false);
+          this.#inFlightCount--;
+          if (machineState.call.end()) this.requestCall(id, false);
           this.#sendQueued();
         });
     }
   }
 
   async #send(id: MachineId, machineState: MachineSoftState): Promise<void> {
-    const recipient = this.#recipient(id);
+    const recipient = this.#findRecipient(id);
     if (recipient === undefined) return;
     const { endpoint, session } = recipient;
     machineState.call.markSent(monotonicNow());
@@ -119,14 +127,14 @@
     if (call.kind === "command")
       this.state.stepSession(id, { kind: "command_sent", starts: call.starts });
     const result = await (call.kind === "ask_status"
-      ? this.workers.call(endpoint, "GET", "/status", undefined, DIRECT_CALL_MS)
-      : this.workers.call(endpoint, "POST", "/orders", call.body, DIRECT_CALL_MS));
+      ? this.workerClient.call(endpoint, "GET", "/status", undefined, DIRECT_CALL_TIMEOUT_MS)
+      : this.workerClient.call(endpoint, "POST", "/orders", call.body, DIRECT_CALL_TIMEOUT_MS));
     if (call.kind === "command") this.#onCommandResult(id, machineState, call, result);
     else this.#onStatusResult(id, machineState, call, result);
   }
 
-  /** Whom to call; undefined if the machine can't be called, or needn't be any more. */
-  #recipient(id: MachineId): Recipient | undefined {
+  /** Undefined if the machine has no known endpoint, is gone, or has no session or record. */
+  #findRecipient(id: MachineId): Recipient | undefined {
     const { sessions, ctx } = this.state;
     const session = sessions.get(id);
     const machine = ctx.replica.machines.get(id);
@@ -136,10 +144,10 @@
   }
 
   #nextCall(id: MachineId, session: WorkerSession): DirectCall {
-    // The epoch is unknown, but most are in their first: if so, one call shows it our token; if
-    // not, the refusal tells the epoch.
+    // The worker's epoch is unknown. If it is the first, this call shows it our token; if not, the
+    // worker refuses the call, and its answer contains the epoch.
     if (session.status === undefined)
-      return { kind: "introduce", body: commandsBody(session.token, FIRST_EPOCH, []) };
+      return { kind: "show_token", body: commandsBody(session.token, FIRST_EPOCH, []) };
     const commands = reconcileCommands(session, desiredAttemptsOn(this.state, id));
     if (session.state === "ready" && commands.length === 0) return { kind: "ask_status" };
     const body = commandsBody(session.token, session.status.epoch, commands);
@@ -152,10 +160,10 @@
     call: DirectCall,
     result: CallResult,
   ): void {
-    if (isOwnFault(result)) return;
-    this.#onAnswer(id, machineState, bodyOf(result));
-    // Its epoch is known now: the next call can show it our token.
-    if (call.kind === "introduce" && this.state.sessions.get(id)?.state === "fencing")
+    if (isLocalFailure(result)) return;
+    this.#onAnswer(id, machineState, answerBody(result));
+    // The worker refused the assumed epoch. Its epoch is known now: the next call shows our token.
+    if (call.kind === "show_token" && this.state.sessions.get(id)?.state === "fencing")
       machineState.call.repeat();
   }
 
@@ -169,14 +177,14 @@
     const outcome = commandOutcome(result);
     state.stepSession(id, { kind: outcome, starts });
     if (result.kind !== "answer" || outcome === "command_lost") {
-      if (!isOwnFault(result)) this.#onFailedCall(id, machineState);
+      if (!isLocalFailure(result)) this.#onFailedCall(id, machineState);
       return;
     }
     this.#onAnswer(id, machineState, result.body);
-    // It has shown our token just now: what waited for that goes at once.
-    const after = state.sessions.get(id);
-    if (session.state !== "fencing" || after?.state !== "ready") return;
-    if (reconcileCommands(after, desiredAttemptsOn(state, id)).length > 0)
+    // The worker has just accepted our token: commands that waited for this are sent at once.
+    const sessionAfter = state.sessions.get(id);
+    if (session.state !== "fencing" || sessionAfter?.state !== "ready") return;
+    if (reconcileCommands(sessionAfter, desiredAttemptsOn(state, id)).length > 0)
       machineState.call.repeat();
   }
 
@@ -186,7 +194,7 @@
     this.state.wake();
   }
 
-  /** Takes an answer in; one that is no status of this machine counts as none. */
+  /** Handles an answer; one that is not a status of this machine counts as a failed call. */
   #onAnswer(id: MachineId, machineState: MachineSoftState, body: unknown): void {
     const { sessions, ctx } = this.state;
     const status = parseWorkerStatus(body);
--- a/src/coordination/workers/reachability-probe.ts
+++ b/src/coordination/workers/reachability-probe.ts
@@ -1,33 +1,36 @@
-/** Whether machines can be reached from here again, asked before this controller rejoins. */
+/**
+ * Probes whether machines are reachable again, before a controller that has released its shards
+ * rejoins.
+ */
 import type { HttpClient } from "../../transport/client.js";
 import type { ControllerContext } from "../context.js";
-import { DIRECT_CALL_MS } from "./direct-command-sender.js";
+import { DIRECT_CALL_TIMEOUT_MS } from "./direct-command-sender.js";
 
-/** Machines that are asked, and what part of them must answer. */
-const PROBES = 8;
-const ANSWERED_PART = 0.5;
+/** The number of machines that are called, and the fraction of them that must answer. */
+const MAX_PROBED_MACHINES = 8;
+const MIN_ANSWERED_FRACTION = 0.5;
 
 /**
- * Asks a few machines drawn at random, whoever owns them. True if enough of them answer, or if
- * there is none to ask.
+ * Asks a few randomly chosen machines for their status, whichever controller owns them. True if
+ * enough of them answer, or if there is no machine to ask.
  */
 export const canReachMachines = async (
   { replica, random }: ControllerContext,
-  workers: HttpClient,
+  workerClient: HttpClient,
 ): Promise<boolean> => {
   const candidates = [...replica.machines].filter(
     ([id, machine]) => machine.phase === "up" && machine.endpoint !== "" && !replica.isGone(id),
   );
   const endpoints: string[] = [];
-  while (candidates.length > 0 && endpoints.length < PROBES) {
-    const [row] = candidates.splice(Math.floor(random() * candidates.length), 1);
-    if (row !== undefined) endpoints.push(row[1].endpoint);
+  while (candidates.length > 0 && endpoints.length < MAX_PROBED_MACHINES) {
+    const [candidate] = candidates.splice(Math.floor(random() * candidates.length), 1);
+    if (candidate !== undefined) endpoints.push(candidate[1].endpoint);
   }
   const results = await Promise.all(
     endpoints.map((endpoint) =>
-      workers.call(endpoint, "GET", "/status", undefined, DIRECT_CALL_MS),
+      workerClient.call(endpoint, "GET", "/status", undefined, DIRECT_CALL_TIMEOUT_MS),
     ),
   );
-  const answers = results.filter(({ kind }) => kind === "answer").length;
-  return answers >= endpoints.length * ANSWERED_PART;
+  const answerCount = results.filter(({ kind }) => kind === "answer").length;
+  return answerCount >= endpoints.length * MIN_ANSWERED_FRACTION;
 };
--- a/src/coordination/workers/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -1,7 +1,7 @@
 /**
- * All traffic between an owner and its workers, composed of its parts: heartbeats in
- * (heartbeat-handler.ts), direct calls out (direct-command-sender.ts), statuses taken in
- * (status-recorder.ts), and failure detection (failure-detector.ts).
+ * All communication between a shard's owner and the workers on its machines. Composes heartbeat
+ * handling (heartbeat-handler.ts), direct calls (direct-command-sender.ts), recording of statuses
+ * (status-recorder.ts) and failure detection (failure-detector.ts).
  */
 import type { MachineId, MonotonicMs } from "@umberfold/ids";
 import type { WorkerStatus } from "../../protocol/workers.js";
@@ -15,65 +15,68 @@
 import { canReachMachines } from "./reachability-probe.js";
 import { StatusRecorder } from "./status-recorder.js";
 
-/** The workers of one controller. */
+/** The communication of one controller with its workers. */
 export class WorkerChannel {
-  readonly #heartbeats: HeartbeatHandler;
-  readonly #commands: DirectCommandSender;
-  readonly #detector: FailureDetector;
+  readonly #heartbeatHandler: HeartbeatHandler;
+  readonly #commandSender: DirectCommandSender;
+  readonly #failureDetector: FailureDetector;
 
   /**
-   * @param state what the controller keeps of its machines
-   * @param workers sends direct calls
+   * @param state the controller's in-memory state of its shards and machines
+   * @param workerClient sends direct calls
    */
   constructor(
     private readonly state: ShardState,
-    private readonly workers: HttpClient,
+    private readonly workerClient: HttpClient,
   ) {
     const recorder = new StatusRecorder(state);
-    const commands = new DirectCommandSender(state, workers, recorder);
-    this.#heartbeats = new HeartbeatHandler(state, recorder);
-    this.#commands = commands;
-    this.#detector = new FailureDetector(state, {
+    const commandSender = new DirectCommandSender(state, workerClient, recorder);
+    this.#heartbeatHandler = new HeartbeatHandler(state, recorder);
+    this.#commandSender = commandSender;
+    this.#failureDetector = new FailureDetector(state, {
       recorder,
-      callMachine: (id) => commands.call(id, false),
+      callMachine: (id) => commandSender.requestCall(id, false),
     });
   }
 
   /** Whether this controller reaches its workers at all. */
   get connectivity(): Connectivity {
-    return this.#detector.connectivity;
+    return this.#failureDetector.connectivity;
   }
 
-  /** Whether heartbeats arrive here; undefined if no machine should be sending any. */
+  /** Whether this controller receives heartbeats; undefined if no machine should send any. */
   receivesHeartbeats(): boolean | undefined {
-    return this.#detector.receivesHeartbeats();
+    return this.#failureDetector.receivesHeartbeats();
   }
 
-  /** The controller was paused or cut off: silence until now counts against no machine. */
+  /** After a pause or isolation of this controller: ignores the silence of machines until now. */
   resetTimers(now: MonotonicMs): void {
-    this.#detector.resetTimers(now);
+    this.#failureDetector.resetTimers(now);
   }
 
-  /** Whether machines answer a call from here: a few are asked, whoever owns them. */
+  /** Probes whether a few machines, of any owner, answer direct calls of this controller. */
   canReachMachines(): Promise<boolean> {
-    return canReachMachines(this.state.ctx, this.workers);
+    return canReachMachines(this.state.ctx, this.workerClient);
   }
 
   /**
-   * Answers `POST /agent/beat`. The leader's `adoptUnknown` is given the status of a machine that
-   * no record shows.
+   * Answers `POST /agent/beat`. If this controller is the leader and no record of the machine
+   * exists, its status is passed to `adoptUnknownMachine`.
    */
-  handleHeartbeat(body: unknown, adoptUnknown: (status: WorkerStatus) => void): HttpResponse {
-    return this.#heartbeats.handle(body, adoptUnknown);
+  handleHeartbeat(
+    body: unknown,
+    adoptUnknownMachine: (status: WorkerStatus) => void,
+  ): HttpResponse {
+    return this.#heartbeatHandler.handle(body, adoptUnknownMachine);
   }
 
-  /** Sends a machine what it should do, straight to its address; ahead of others if `urgent`. */
+  /** Queues a direct call that sends a machine its commands; at the front if `urgent`. */
   callMachine(id: MachineId, urgent = false): void {
-    this.#commands.call(id, urgent);
+    this.#commandSender.requestCall(id, urgent);
   }
 
-  /** Calls machines that are late, and gives up those that failed. Cheap to call often. */
+  /** Calls machines with overdue heartbeats and handles failed ones. Cheap to call often. */
   detectFailures(now: MonotonicMs): void {
-    this.#detector.run(now);
+    this.#failureDetector.run(now);
   }
 }
--- a/test/coordination/workers/direct-command-sender.test.ts
+++ b/test/coordination/workers/direct-command-sender.test.ts
@@ -1,4 +1,4 @@
-/** Direct calls: which are sent, and what their outcome does to the session and the health. */
+/** Which direct calls are sent, and how their outcome changes the session and machine health. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { revision, wallClockMs } from "@umberfold/ids";
@@ -24,18 +24,18 @@
 
 const answered = (status: number, body: unknown): CallResult => ({ kind: "answer", status, body });
 
-test("direct call: a worker of which nothing is known is shown our token first", async () => {
+test("direct call: a worker without a known status is shown our token first", async () => {
   const { sender, calls, lastCall, session } = setUp();
-  sender.call(MACHINE, false);
+  sender.requestCall(MACHINE, false);
   assert.equal(lastCall().path, "/orders");
   await lastCall().answer(answered(200, statusBody(1, 10)));
   assert.equal(session()?.state, "ready");
   assert.equal(calls.length, 1);
 });
 
-test("direct call: a worker that refuses the first epoch is called again with its own", async () => {
+test("direct call: a worker that refuses the assumed epoch is called again with its own", async () => {
   const { sender, calls, lastCall, session } = setUp();
-  sender.call(MACHINE, false);
+  sender.requestCall(MACHINE, false);
   await lastCall().answer(answered(409, statusBody(1, 0, { shift: 3 })));
   assert.equal(session()?.state, "fencing");
   assert.equal(calls.length, 2);
@@ -44,17 +44,17 @@
 
 test("direct call: a ready worker with nothing to do is asked for its status", async () => {
   const { sender, lastCall } = setUp();
-  sender.call(MACHINE, false);
+  sender.requestCall(MACHINE, false);
   await lastCall().answer(answered(200, statusBody(1, 10)));
-  sender.call(MACHINE, false);
+  sender.requestCall(MACHINE, false);
   assert.deepEqual([lastCall().method, lastCall().path], ["GET", "/status"]);
 });
 
-test("direct call: a second request while one is in flight is sent after it, once", async () => {
+test("direct call: requests during a call in flight lead to one more call after it", async () => {
   const { sender, calls, lastCall, call } = setUp();
-  sender.call(MACHINE, false);
-  sender.call(MACHINE, false);
-  sender.call(MACHINE, true);
+  sender.requestCall(MACHINE, false);
+  sender.requestCall(MACHINE, false);
+  sender.requestCall(MACHINE, true);
   assert.equal(calls.length, 1);
   await lastCall().answer(answered(200, statusBody(1, 10)));
   assert.equal(calls.length, 2);
@@ -71,12 +71,12 @@
     failedCalls: 1,
   },
   {
-    name: "a call that found no socket here doesn't count against the machine",
+    name: "a call that got no local socket doesn't count against the machine",
     result: { kind: "unsent", own: true },
     failedCalls: 0,
   },
   {
-    name: "an answer that is no status counts against the machine",
+    name: "an answer that is not a status counts against the machine",
     result: answered(200, {}),
     failedCalls: 1,
   },
@@ -95,18 +95,18 @@
 for (const { name, result, failedCalls } of failures) {
   test(`direct call: to an unknown worker, ${name}`, async () => {
     const { sender, health, lastCall } = setUp();
-    sender.call(MACHINE, false);
+    sender.requestCall(MACHINE, false);
     await lastCall().answer(result);
     assert.equal(health.failedCalls, failedCalls);
     assert.equal(health.unreachableCalls, failedCalls);
   });
   test(`direct call: with commands, ${name}`, async () => {
     const { sender, health, lastCall } = setUp();
-    sender.call(MACHINE, false);
-    // It runs a task that no record shows: the next call commands its stop.
+    sender.requestCall(MACHINE, false);
+    // The worker runs a task without a record: the next call commands its stop.
     const threads = [{ thread: "wk-000001/0", try: 1, stage: "running" }];
     await lastCall().answer(answered(200, statusBody(1, 10, { threads })));
-    sender.call(MACHINE, false);
+    sender.requestCall(MACHINE, false);
     assert.equal((lastCall().body as { orders: readonly unknown[] }).orders.length, 1);
     await lastCall().answer(result);
     assert.equal(health.failedCalls, failedCalls);
@@ -114,9 +114,9 @@
   });
 }
 
-test("direct call: a status with a higher token than ours is not taken in", async () => {
+test("direct call: a status with a higher token than ours is not recorded", async () => {
   const { sender, health, lastCall, session } = setUp();
-  sender.call(MACHINE, false);
+  sender.requestCall(MACHINE, false);
   await lastCall().answer(answered(409, statusBody(1, 11)));
   assert.equal(session()?.status, undefined);
   assert.equal(health.failedCalls, 0);
@@ -126,6 +126,6 @@
   const { sender, calls, replica } = setUp();
   const value = encodeGoneRecord({ ids: [MACHINE], at: wallClockMs(0) });
   replica.apply({ kind: "put", key: keys.gone("1"), value, rev: revision(6) });
-  sender.call(MACHINE, false);
+  sender.requestCall(MACHINE, false);
   assert.equal(calls.length, 0);
 });
