--- a/test/coordination/workers/direct-command-sender.test.ts
+++ b/test/coordination/workers/direct-command-sender.test.ts
@@ -33,7 +33,7 @@
   assert.equal(calls.length, 1);
 });
 
-test("direct call: a worker that refuses the assumed epoch is called again with its own", async () => {
+test("direct call: a worker that refuses the assumed epoch is called with its own", async () => {
   const { sender, calls, lastCall, session } = setUp();
   sender.requestCall(MACHINE, false);
   await lastCall().answer(answered(409, statusBody(1, 0, { shift: 3 })));
