--- a/src/coordination/rounds/attempt-outcome.ts
+++ b/src/coordination/rounds/attempt-outcome.ts
@@ -1,9 +1,9 @@
 /**
- * What an owner learns from the end of an attempt: run times, backoff of jobs that fail, quarantine of
- * machines on which several jobs failed.
+ * Updates soft state when an attempt ends: expected run times, the backoff of failing jobs, and the
+ * quarantine of machines on which several jobs failed.
  *
- * Owns no state; changes the soft state of jobs and machines. It steers later rounds and proves
- * nothing.
+ * Owns no state. The soft state that it changes influences the decisions of later rounds, but is
+ * never evidence that an attempt has terminated.
  */
 import type { JobId, MachineId } from "@umberfold/ids";
 import type { TaskStatus } from "../../protocol/workers.js";
@@ -11,7 +11,7 @@
 import type { ShardState } from "../ownership/shard-state.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** An attempt that ended with a status of its worker. */
+/** An attempt that its worker has reported as ended. */
 export interface EndedAttempt {
   readonly id: JobId;
   readonly job: LiveJob;
@@ -21,7 +21,7 @@
   readonly status: TaskStatus;
 }
 
-/** Counts the outcome, and draws the consequences for the job and its machine. */
+/** Counts the outcome, and updates the backoff of the job and the faults of its machine. */
 export const recordOutcome = (
   state: ShardState,
   { now }: ShardRound,
@@ -50,7 +50,7 @@
   quarantineIfDue(state, machine);
 };
 
-/** Jobs that fail on several machines are backed off; a machine that fails several jobs goes. */
+/** Requests the decommission of a machine on which several jobs have failed. */
 const quarantineIfDue = (state: ShardState, machine: MachineId): void => {
   const { faults, departure } = state.machineState(machine);
   if (!faults.isQuarantineDue || departure.decommission !== null) return;
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -1,10 +1,10 @@
 /**
- * The first deciding phase of a round: open attempts that are proved gone are terminated in their
- * jobs' records, and jobs that are over are finished.
+ * The termination phase of a round: removes open attempts that are proved gone from the records of
+ * their jobs, and writes the final records of jobs that have completed or were cancelled.
  *
- * Owns no state. It writes to the round's batch, and marks the attempts as terminating in the shard's
- * soft state, so that no start is sent for what the records are about to call gone. What has no room
- * in the batch comes up again in the next round.
+ * Owns no state. It adds changes to the round's batch, and marks the attempts as terminating in the
+ * shard's soft state, so that no start command is sent for an attempt whose record is about to be
+ * closed. Changes that do not fit in the batch are retried in the next round.
  */
 import {
   type AttemptNumber,
@@ -25,10 +25,11 @@
 } from "./termination-evidence.js";
 
 /**
- * What part of a transaction finished jobs may fill: each takes two operations of its own. (In a flood
- * of one-task jobs they filled every transaction, and nothing could be started for minutes.)
+ * The fraction of a transaction's operations that finished jobs may use. Each finished job takes
+ * two operations of its own: under a burst of one-task jobs these used up every transaction, and no
+ * task could start for minutes.
  */
-const MAX_FINISH_FRACTION = 0.7;
+const MAX_FINISHED_JOBS_BATCH_FRACTION = 0.7;
 
 /** An open attempt that is proved gone. */
 interface TerminatedAttempt {
@@ -39,28 +40,31 @@
   readonly evidence: Exclude<TerminationEvidence, { kind: "none" }>;
 }
 
-/** A job whose record changes by terminations or by its end. */
+/** A job of which attempts are terminated, or which is finished. */
 interface TerminatedJob {
   readonly id: JobId;
-  /** Undefined if it is not live any more. */
+  /** Undefined if the job is no longer live. */
   readonly job: LiveJob | undefined;
   readonly attempts: readonly TerminatedAttempt[];
 }
 
-/** Terminates every open attempt on these machines that is proved gone, and finishes jobs that are over. */
+/**
+ * Terminates every open attempt on these machines that is proved gone, and finishes jobs that have
+ * completed or were cancelled.
+ */
 export const terminateAttempts = (
   state: ShardState,
   round: ShardRound,
   machines: Iterable<MachineId>,
 ): void => {
-  for (const [id, attempts] of provedGone(state, round, machines))
+  for (const [id, attempts] of terminatedAttemptsByJob(state, round, machines))
     terminateInJob(state, round, id, attempts);
-  finishCompletedJobs(state, round, MAX_FINISH_FRACTION);
+  finishCompletedJobs(state, round, MAX_FINISHED_JOBS_BATCH_FRACTION);
 };
 
 /**
- * Finishes cancelled jobs that have no open attempts, and completed ones whose final records had to
- * wait, until they fill this fraction of the batch.
+ * Finishes cancelled jobs that have no open attempts, and completed jobs whose final records have
+ * not been written yet. Stops once the operations in the batch reach this fraction of its maximum.
  */
 export const finishCompletedJobs = (
   state: ShardState,
@@ -75,8 +79,8 @@
     }
 };
 
-/** Attempts on these machines that are proved gone, by job. */
-const provedGone = (
+/** Finds the open attempts on these machines that are proved gone, grouped by job. */
+const terminatedAttemptsByJob = (
   state: ShardState,
   round: ShardRound,
   machines: Iterable<MachineId>,
@@ -101,7 +105,10 @@
   return byJob;
 };
 
-/** Writes the terminations of one job; its machines are examined again if the batch has no room. */
+/**
+ * Adds the terminations of one job to the batch. If they do not fit, marks the machines of the
+ * attempts dirty, so that the next round examines them again.
+ */
 const terminateInJob = (
   state: ShardState,
   round: ShardRound,
@@ -135,7 +142,10 @@
   return { done, open, nextAttempt: before.nextAttempt };
 };
 
-/** Finishes the job if it is over, or writes its progress. Returns false if the batch has no room. */
+/**
+ * Finishes the job if it has completed or was cancelled, or else writes its progress. Returns false
+ * if the batch is full.
+ */
 const writeProgress = (
   state: ShardState,
   { shard, batch }: ShardRound,
@@ -148,12 +158,12 @@
   const isOver = isCancelled ? progress.open.length === 0 : doneTasks === job.spec.taskCount;
   const revision = state.ctx.replica.accepted.get(id)?.rev;
   const hasTerminations = attempts.length > 0;
-  // Jobs that have waited for their final records already are limited by the caller.
-  const mayFinish = !hasTerminations || batch.ops < batch.maxOps * MAX_FINISH_FRACTION;
+  // Without terminations, the job comes from `finishCompletedJobs`, which applies its own limit.
+  const mayFinish = !hasTerminations || batch.ops < batch.maxOps * MAX_FINISHED_JOBS_BATCH_FRACTION;
   const phase = isCancelled ? "cancelled" : "done";
   if (isOver && revision !== undefined && mayFinish)
     if (batch.finishJob(shard, id, revision, { phase, done: doneTasks })) return true;
-  // Its final record can wait, but not the room that its tasks have left.
+  // The final record may be delayed, but the terminations free capacity and are written now.
   return hasTerminations && batch.putJob(shard, id, progress);
 };
 
@@ -164,13 +174,14 @@
   { key, index, machine, evidence }: TerminatedAttempt,
 ): void => {
   state.terminating.add(key);
-  round.terminatedKeys.push(key);
+  round.terminatedAttemptKeys.push(key);
   const terminatedTasks = round.terminatedByMachine.get(machine) ?? new Set<TaskId>();
   terminatedTasks.add(taskId(id, index));
   round.terminatedByMachine.set(machine, terminatedTasks);
   if (evidence.kind === "lost") state.counters.lost++;
   else if (job !== undefined)
     recordOutcome(state, round, { id, job, key, machine, status: evidence.status });
-  // The machine may be empty by now: a departure that waits for that is looked at in the next round.
+  // The machine may have no open attempts left. If its transfer or decommission waits for that, the
+  // next round has to examine it.
   if (state.machineState(machine).departure.isPending) state.dirtyMachines.add(machine);
 };
--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -1,10 +1,11 @@
 /**
- * The phase of a round that reconciles machine records: writes what `machine-record-changes.ts` finds
- * to be changed, page by page, and compacts pages.
+ * The phase of a round that reconciles machine records: adds the changes that
+ * `machine-record-changes.ts` decides to the batch, page by page, and compacts pages.
  *
- * Owns which machines' changes are not written yet, and since when pages with changes that are not
- * urgent wait for others. A change comes up in each round until it is in the records. Nothing may be
- * started in a round on a machine whose record it changes.
+ * Owns the set of machines whose changes are not written yet, and the time since which pages with
+ * only non-urgent changes have been delayed. A change is decided again in each round until the
+ * records show it. No task may start on a machine in a round that transfers it, retires it or
+ * raises its token floor.
  */
 import type { MachineId, MonotonicMs } from "@umberfold/ids";
 import { keys, type MachineRecord } from "../../storage/records.js";
@@ -13,24 +14,24 @@
 import { type MachineRecordChange, machineRecordChange } from "./machine-record-changes.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** Changes of the machines of one page. */
+/** The changes to one page, by machine. */
 type PageChanges = ReadonlyMap<MachineId, MachineRecordChange>;
 
 /** Reconciles the machine records of one owner. */
 export class MachineRecordPhase {
-  /** Pages with changes that may wait, and since when they do. */
-  readonly #delayedSince = new Map<string, MonotonicMs>();
-  /** Machines whose records are to change and have not been written yet. */
-  readonly #unwritten = new Set<MachineId>();
+  /** When the delay of each page with only non-urgent changes began, by page key. */
+  readonly #pageDelayedSince = new Map<string, MonotonicMs>();
+  /** Machines whose records need a change that is not written yet. */
+  readonly #unwrittenMachines = new Set<MachineId>();
   /** Makes the names of new pages unique. */
   #pageNameCounter = 0;
 
   constructor(private readonly state: ShardState) {}
 
   /**
-   * Examines these machines, and those whose changes are not written yet.
+   * Reconciles the records of these machines, and of those whose changes are not written yet.
    *
-   * @returns the machines whose records this round changes: nothing may be started on them
+   * @returns the machines on which this round may start no task, because it changes their records
    */
   reconcile(round: ShardRound, machines: Iterable<MachineId>): ReadonlySet<MachineId> {
     const { ctx } = this.state;
@@ -39,15 +40,15 @@
     const pages: KeyedMachinePage[] = [];
     for (const [key, page] of ctx.replica.machinePages)
       if (page.shard === round.shard) pages.push([key, page]);
-    for (const key of this.#delayedSince.keys())
-      if (!ctx.replica.machinePages.has(key)) this.#delayedSince.delete(key);
+    for (const key of this.#pageDelayedSince.keys())
+      if (!ctx.replica.machinePages.has(key)) this.#pageDelayedSince.delete(key);
     const changesByPage = this.#changesByPage(round, machines);
     for (const [key] of pages) {
       const changes = changesByPage.get(key);
-      if (changes === undefined) this.#delayedSince.delete(key);
-      else if (!this.#mayWait(key, changes, round)) {
+      if (changes === undefined) this.#pageDelayedSince.delete(key);
+      else if (!this.#mayBeDelayed(key, changes, round)) {
         if (!this.#writePage(key, changes, round, changedMachines)) continue;
-        this.#delayedSince.delete(key);
+        this.#pageDelayedSince.delete(key);
         writtenPages.add(key);
       }
     }
@@ -55,31 +56,35 @@
     return changedMachines;
   }
 
-  /** To be called before the commit: the next round's transfers go to pages with new names. */
-  nextPageNames(): void {
+  /**
+   * Must be called before each commit, so that transfers of the next round go to pages with names
+   * that were not used before.
+   */
+  advancePageNames(): void {
     this.#pageNameCounter++;
   }
 
-  /** Needed changes of these machines and of those that are unwritten, by page. */
+  /** The changes that these machines and the unwritten ones need, by page. */
   #changesByPage(
     round: ShardRound,
     machines: Iterable<MachineId>,
   ): ReadonlyMap<string, PageChanges> {
     const { replica } = this.state.ctx;
     const byPage = new Map<string, Map<MachineId, MachineRecordChange>>();
-    for (const id of new Set([...machines, ...this.#unwritten])) {
+    for (const id of new Set([...machines, ...this.#unwrittenMachines])) {
       const record = replica.machines.get(id);
-      // Unwritten ones of another shard are examined in that shard's part of the round.
+      // Unwritten machines of another shard are handled when the round reaches that shard.
       if (record !== undefined && record.shard !== round.shard) continue;
       const key = replica.machinePageOf(id);
       const change =
         record === undefined ? undefined : machineRecordChange(this.state, round, id, record);
       if (change === undefined || key === undefined) {
-        this.#unwritten.delete(id);
+        this.#unwrittenMachines.delete(id);
         continue;
       }
-      // Until a round in which it needs no change any more: the commit may fail, or have to wait.
-      this.#unwritten.add(id);
+      // The commit may fail or be delayed, so the machine stays in the set until a later round
+      // finds that it needs no change.
+      this.#unwrittenMachines.add(id);
       const changes = byPage.get(key);
       if (changes === undefined) byPage.set(key, new Map([[id, change]]));
       else changes.set(id, change);
@@ -87,18 +92,18 @@
     return byPage;
   }
 
-  /** Whether all changes of the page can wait for others; remembers since when they do. */
-  #mayWait(key: string, changes: PageChanges, { now }: ShardRound): boolean {
+  /** Whether all changes to the page can be delayed; remembers when the delay began. */
+  #mayBeDelayed(key: string, changes: PageChanges, { now }: ShardRound): boolean {
     let maxDelayMs = Number.POSITIVE_INFINITY;
     for (const change of changes.values())
       maxDelayMs = Math.min(maxDelayMs, change.kind === "update" ? change.maxDelayMs : 0);
     if (maxDelayMs <= 0) return false;
-    const since = this.#delayedSince.get(key) ?? now;
-    this.#delayedSince.set(key, since);
+    const since = this.#pageDelayedSince.get(key) ?? now;
+    this.#pageDelayedSince.set(key, since);
     return now - since < maxDelayMs;
   }
 
-  /** Adds the changes to the batch. Returns false if it has no room for the page. */
+  /** Adds the changes of one page to the batch. Returns false if the page does not fit. */
   #writePage(
     key: string,
     changes: PageChanges,
@@ -121,13 +126,13 @@
           if (change.maxDelayMs === 0 || change.record.tokenFloor !== records.get(id)?.tokenFloor)
             changedMachines.add(id);
           records.set(id, change.record);
-          this.#recordUpdate(id, change.record, round);
+          this.#onRecordUpdated(id, change.record, round);
           break;
       }
     return true;
   }
 
-  /** Adds the machine to a new page of its next shard. Returns false if the batch has no room. */
+  /** Adds the machine to a new page of its next shard. Returns false if the page does not fit. */
   #writeTransfer(id: MachineId, record: MachineRecord, round: ShardRound): boolean {
     const ownedSince = this.state.ctx.replica.shardOwners.get(round.shard)?.rev;
     const pageName = `${ownedSince}-${this.#pageNameCounter}`;
@@ -136,8 +141,11 @@
     return page !== undefined;
   }
 
-  /** Clears in the soft state what the new record satisfies. */
-  #recordUpdate(id: MachineId, record: MachineRecord, round: ShardRound): void {
+  /**
+   * Clears the requests in the machine's soft state that the new record satisfies. A machine that
+   * is not retiring is called after the commit.
+   */
+  #onRecordUpdated(id: MachineId, record: MachineRecord, round: ShardRound): void {
     const { tokenRaise, departure } = this.state.machineState(id);
     tokenRaise.clear();
     if (record.phase === "up") round.machinesToCall.add(id);
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -1,12 +1,12 @@
 /**
- * One round of an owner, its scheduling cycle, as a sequence of named phases: sync sessions, detect
+ * One round, the scheduling cycle of an owner, as a sequence of phases: sync sessions, detect
  * failures, evict, swarm, terminate attempts, reconcile machine records, place (with preemption),
  * commit, dispatch.
  *
- * Owns what goes on from round to round: the order of shards, the machine sweep, the time of the last
- * swarm period, and since when finished tasks wait to be committed together. A command is sent only
- * once the records that it follows from are committed. At most one round runs at a time; the caller
- * sees to that.
+ * Owns the state that is kept from round to round: the order of shards, the machine sweep, the time
+ * of the last swarm phase, and the time since which terminations have been held back for a common
+ * commit. A command is sent only after the records that it follows from are committed. The caller
+ * ensures that at most one round runs at a time.
  */
 import type { MachineId, MonotonicMs, ShardId } from "@umberfold/ids";
 import { TransactionBatch } from "../../storage/transaction-batch.js";
@@ -22,39 +22,43 @@
 import { newShardRound, type ShardRound } from "./shard-round.js";
 import { runSwarmPhase } from "./swarm-phase.js";
 
-/** How long terminated attempts may wait to be committed together, if nothing else is written. */
-const COALESCE_MS = 700;
+/** How long terminations are held back for a common commit while there is no urgent change. */
+const COALESCE_MAX_DELAY_MS = 700;
 /**
- * A round is decided once the write budget allows this many operations; a larger transaction is paid
- * off afterwards.
+ * A round begins once the write budget allows this many operations. A larger transaction puts the
+ * budget into debt, which delays the next round.
  */
-const MIN_ROUND_WRITES = 2;
-/** How soon to look again whether the watch has delivered what was read ahead of it. */
-const CATCH_UP_MS = 25;
-/** Transactions with final records alone that may follow a round. */
-const MAX_FINISH_TRANSACTIONS = 3;
+const MIN_WRITE_BUDGET_OPS = 2;
+/** Pause before checking again whether the watch has delivered what was read ahead of it. */
+const REPLICA_CATCH_UP_PAUSE_MS = 25;
+/** The most transactions with nothing but final records that may follow a round. */
+const MAX_FINISH_TRANSACTIONS_PER_ROUND = 3;
 
-/** What to do after a round: another at once, one after a pause, or one when something happens. */
+/**
+ * When to run the next round: at once (`again`), after a pause, or when an event asks for it
+ * (`idle`).
+ */
 export type RoundOutcome = "again" | "idle" | { readonly pauseMs: number };
 
-/** What a round has decided for all owned shards, before it is committed. */
+/** The decisions of a round for all owned shards, before they are committed. */
 interface RoundDecision {
   readonly batch: TransactionBatch;
-  /** Machines that get a command call. */
+  /** Machines that are called with commands after the commit. */
   readonly machinesToCall: Set<MachineId>;
   /** Keys of the attempts that the batch terminates. */
-  readonly terminatedKeys: string[];
-  /** Machines that were dirty: they are again if the decision is not committed. */
+  readonly terminatedAttemptKeys: string[];
+  /** Machines that were dirty; marked dirty again if the decision is not committed. */
   readonly examinedMachines: ReadonlySet<MachineId>;
 }
 
-/** The rounds of one owner. */
+/** Runs the rounds of one owner. */
 export class RoundCycle {
   readonly #machineRecords: MachineRecordPhase;
   readonly #sweep = new MachineSweep();
   #lastSwarmAt: MonotonicMs = monotonicNow();
-  /** Rotates the order of shards. */
-  #firstShard = 0;
+  /** Index of the shard that the round handles first; advances with each round. */
+  #firstShardIndex = 0;
+  /** When the current delay of terminations began; undefined while none are held back. */
   #coalescingSince: MonotonicMs | undefined;
 
   constructor(
@@ -74,11 +78,12 @@
     this.channel.detectFailures(now);
     const shards = state.membership.ownedShards();
     if (shards.length === 0) return "idle";
-    if (this.commit.isReplicaBehind) return { pauseMs: CATCH_UP_MS };
-    const writeWaitMs = store.writeWaitMs(MIN_ROUND_WRITES);
+    if (this.commit.isReplicaBehind) return { pauseMs: REPLICA_CATCH_UP_PAUSE_MS };
+    const writeWaitMs = store.writeWaitMs(MIN_WRITE_BUDGET_OPS);
     if (writeWaitMs > 0) return { pauseMs: writeWaitMs };
     state.reservations.expire(now);
-    // A task that is stopped to make room could not be started again while nothing can be written.
+    // While the state store fails, no task is stopped to free capacity or to be moved: its next
+    // start could not be committed.
     const canWrite = !store.isFailing();
     this.#evict(now, canWrite);
     if (canWrite) this.#swarm(shards, now);
@@ -87,43 +92,46 @@
       this.#dispatch(decision);
       return "idle";
     }
-    const coalesceMs = this.#coalesceMs(decision.batch, now);
-    if (coalesceMs > 0) {
-      this.#abandon(decision);
+    const coalesceDelayMs = this.#coalesceDelayMs(decision.batch, now);
+    if (coalesceDelayMs > 0) {
+      this.#discard(decision);
       this.#dispatch(decision);
-      return { pauseMs: coalesceMs };
+      return { pauseMs: coalesceDelayMs };
     }
     const transaction = decision.batch.transaction();
-    if (!store.mayWriteBatch(transaction.ops.length, MIN_ROUND_WRITES)) {
-      this.#abandon(decision);
-      return { pauseMs: store.writeWaitMs(MIN_ROUND_WRITES) };
+    if (!store.mayWriteBatch(transaction.ops.length, MIN_WRITE_BUDGET_OPS)) {
+      this.#discard(decision);
+      return { pauseMs: store.writeWaitMs(MIN_WRITE_BUDGET_OPS) };
     }
-    this.#machineRecords.nextPageNames();
+    this.#machineRecords.advancePageNames();
     if (!(await this.commit.commit(transaction))) {
-      this.#abandon(decision);
+      this.#discard(decision);
       return "again";
     }
-    for (const key of decision.terminatedKeys) state.forgetAttempt(key);
+    for (const key of decision.terminatedAttemptKeys) state.forgetAttempt(key);
     state.syncSessions(monotonicNow());
     this.#dispatch(decision);
     await this.#finishJobs();
     return "again";
   }
 
-  /** Requests the stops that clear machines: for spot notices, and for transfers with a drain. */
+  /** Handles preemption notices, and drains machines whose requested transfer needs a drain. */
   #evict(now: MonotonicMs, canWrite: boolean): void {
     handleSpotNotices(this.state, now);
     if (canWrite) drainRequestedMachines(this.state, now);
   }
 
-  /** Runs the swarm in each shard once a period. */
+  /** Runs the swarm phase in each shard, once per swarm period. */
   #swarm(shards: readonly ShardId[], now: MonotonicMs): void {
     if (now - this.#lastSwarmAt < this.state.ctx.operators.swarmPeriodS * 1000) return;
     this.#lastSwarmAt = now;
     for (const shard of shards) runSwarmPhase(this.state, shard, now);
   }
 
-  /** Decides on what is dirty and what waits, shard by shard: terminate, reconcile, place. */
+  /**
+   * Examines the dirty machines and the waiting tasks of each shard: terminates attempts,
+   * reconciles machine records and places tasks.
+   */
   #decide(shards: readonly ShardId[], now: MonotonicMs): RoundDecision {
     const { state } = this;
     const { replica } = state.ctx;
@@ -135,16 +143,16 @@
     const decision = {
       batch,
       machinesToCall: new Set<MachineId>(),
-      terminatedKeys: [],
+      terminatedAttemptKeys: [],
       examinedMachines,
     };
-    // Each shard is the first one in its turn, for the batch may be full before the last.
-    this.#firstShard = (this.#firstShard + 1) % shards.length;
+    // Each round begins with another shard, because the batch may be full before the last shard.
+    this.#firstShardIndex = (this.#firstShardIndex + 1) % shards.length;
     for (let i = 0; i < shards.length; i++) {
-      const shard = shards[(i + this.#firstShard) % shards.length];
+      const shard = shards[(i + this.#firstShardIndex) % shards.length];
       if (shard === undefined) continue;
-      const { machinesToCall, terminatedKeys } = decision;
-      const round = { ...newShardRound(shard, batch, now), machinesToCall, terminatedKeys };
+      const { machinesToCall, terminatedAttemptKeys } = decision;
+      const round = { ...newShardRound(shard, batch, now), machinesToCall, terminatedAttemptKeys };
       const machines = [...examinedMachines].filter(
         (id) => replica.machines.get(id)?.shard === shard,
       );
@@ -154,8 +162,8 @@
   }
 
   /**
-   * Terminates attempts, reconciles machine records and places tasks: what frees resources and
-   * finishes jobs gets room in the batch first, then machine records, then starts.
+   * Runs the deciding phases for one shard. Their order sets their priority in the batch: first
+   * terminations and finished jobs, which free resources, then machine records, then starts.
    */
   #decideShard(round: ShardRound, machines: readonly MachineId[]): void {
     const { state } = this;
@@ -166,46 +174,48 @@
   }
 
   /**
-   * How long a round with nothing urgent waits for more to write: nobody waits for terminations
-   * alone, so they gather until a start or a job's end joins them, or the time is over. 0: no wait.
+   * How long to delay the commit of a batch without urgent changes; 0 to commit now. Such a batch
+   * has only terminations that nobody waits for, so they are collected until a start, a finished
+   * job or a machine record is written with them, or the delay is over.
    */
-  #coalesceMs(batch: TransactionBatch, now: MonotonicMs): number {
+  #coalesceDelayMs(batch: TransactionBatch, now: MonotonicMs): number {
     if (!batch.urgent) {
       this.#coalescingSince ??= now;
-      const waitMs = COALESCE_MS - (now - this.#coalescingSince);
-      if (waitMs > 0) return waitMs;
+      const remainingMs = COALESCE_MAX_DELAY_MS - (now - this.#coalescingSince);
+      if (remainingMs > 0) return remainingMs;
     }
     this.#coalescingSince = undefined;
     return 0;
   }
 
-  /** The decision is not committed: the next round examines the same machines. */
-  #abandon({ examinedMachines }: RoundDecision): void {
+  /** Drops a decision that is not committed: the next round examines the same machines again. */
+  #discard({ examinedMachines }: RoundDecision): void {
     for (const id of examinedMachines) this.state.dirtyMachines.add(id);
   }
 
-  /** Calls the machines that have commands to carry out. */
+  /** Calls the machines for which the decision has commands. */
   #dispatch({ machinesToCall }: RoundDecision): void {
     for (const id of machinesToCall) this.channel.callMachine(id, true);
   }
 
   /**
-   * Final records of jobs that had no room in the round, in transactions of their own: these need no
-   * look at machines, so in a flood of small jobs they are written faster than rounds are.
+   * Writes, in separate transactions, the final records that did not fit in the round's batch.
+   * These transactions examine no machines, so under a burst of small jobs they clear the backlog
+   * of final records faster than further rounds would.
    */
   async #finishJobs(): Promise<void> {
     const { state } = this;
     const { membership } = state;
     const { store } = state.ctx;
-    for (let n = 0; n < MAX_FINISH_TRANSACTIONS && !state.ctx.stopping; n++) {
+    for (let n = 0; n < MAX_FINISH_TRANSACTIONS_PER_ROUND && !state.ctx.stopping; n++) {
       if (this.commit.isReplicaBehind || !membership.holdsValidLease()) return;
       const batch = this.#newBatch();
-      // Asked each time: a shard may have got another owner during the last write.
+      // Read again for each transaction: a shard may have changed its owner during the last write.
       for (const shard of membership.ownedShards())
         finishCompletedJobs(state, newShardRound(shard, batch, monotonicNow()));
       if (batch.empty) return;
       const transaction = batch.transaction();
-      if (!store.mayWriteBatch(transaction.ops.length, MIN_ROUND_WRITES)) return;
+      if (!store.mayWriteBatch(transaction.ops.length, MIN_WRITE_BUDGET_OPS)) return;
       if (!(await this.commit.commit(transaction))) return;
     }
   }
--- a/src/coordination/rounds/shard-round.ts
+++ b/src/coordination/rounds/shard-round.ts
@@ -1,30 +1,30 @@
 /**
- * The data that the phases of one round pass on to each other for one shard: decisions taken so far
- * and not yet written. It is created for each round and thrown away after the commit.
+ * The data that the phases of one round pass to each other for one shard: the decisions taken so
+ * far, not yet written. Created for each round and discarded after the commit.
  */
 import type { JobId, MachineId, MonotonicMs, ShardId, TaskId } from "@umberfold/ids";
 import type { LiveJob } from "../../storage/records.js";
 import type { TransactionBatch } from "../../storage/transaction-batch.js";
 
-/** What a round has decided of one shard so far. */
+/** The decisions of a round for one shard so far. */
 export interface ShardRound {
-  /** The shard that is decided on. */
+  /** The shard that the decisions concern. */
   readonly shard: ShardId;
   /** The transaction under construction, shared by all shards of the round. */
   readonly batch: TransactionBatch;
   /** When the round began. */
   readonly now: MonotonicMs;
-  /** Jobs as this round will write them. */
+  /** The jobs that this round changes, as it will write them. */
   readonly drafts: Map<JobId, LiveJob>;
-  /** Machines that get a command call once this round is written. */
+  /** Machines to call with commands after the commit. */
   readonly machinesToCall: Set<MachineId>;
   /** Tasks whose attempts the batch terminates, by machine. */
   readonly terminatedByMachine: Map<MachineId, Set<TaskId>>;
-  /** Keys of these attempts: their soft state goes once the batch is written. */
-  readonly terminatedKeys: string[];
+  /** Keys of the terminated attempts; their soft state is deleted after the commit. */
+  readonly terminatedAttemptKeys: string[];
 }
 
-/** A round of one shard in which nothing is decided yet. */
+/** A round of one shard without decisions. */
 export const newShardRound = (
   shard: ShardId,
   batch: TransactionBatch,
@@ -36,5 +36,5 @@
   drafts: new Map(),
   machinesToCall: new Set(),
   terminatedByMachine: new Map(),
-  terminatedKeys: [],
+  terminatedAttemptKeys: [],
 });
--- a/src/coordination/rounds/termination-evidence.ts
+++ b/src/coordination/rounds/termination-evidence.ts
@@ -1,10 +1,12 @@
 /**
- * What proves that an open attempt is gone, so that its record may be closed and its task be started
+ * Evidence that an open attempt is gone, so that its record may be closed and its task started
  * elsewhere.
  *
- * Safety rests on this module: an attempt that is taken for gone while it may still run, or be started
- * by a command in flight, would run twice. Evidence is an ended status, absence behind a fencing token,
- * or the cloud's word that the machine is gone.
+ * This module is critical for safety: if an attempt were declared gone while it may still run, or
+ * be started by a command in flight, its task would run twice. An attempt is gone if its worker
+ * reports that it ended; if a worker that has seen the current fencing token does not list it, and
+ * no start command for it is in flight or may still be sent; or if the cloud reports that its
+ * machine is gone.
  */
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { TaskStatus } from "../../protocol/workers.js";
@@ -15,30 +17,33 @@
 import type { WorkerSession } from "../ownership/worker-session.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** How soon a machine is called again on which an attempt is to stop. */
-const REPEAT_STOP_MS = 400;
+/** How long after the last call to a machine a stop command is sent to it again. */
+const STOP_RETRY_INTERVAL_MS = 400;
 
-/** A machine as a round examines its open attempts. */
+/** What is known of a machine when a round examines its open attempts. */
 export type ExaminedMachine =
-  /** The cloud says that it is gone, and so is everything on it. */
+  /** The cloud reports that it is gone, so all its attempts are gone too. */
   | { readonly kind: "gone" }
-  /** Its worker's statuses count. */
+  /** It has a record and a worker session, whose status is the evidence. */
   | { readonly kind: "observed"; readonly record: MachineRecord; readonly session: WorkerSession };
 
-/** Whether an attempt is proved gone. */
+/** Whether an attempt is proved gone, and how. */
 export type TerminationEvidence =
-  /** It may still run, or be started. */
+  /** Not proved gone: it may still run, or be started. */
   | { readonly kind: "none" }
-  /** Its worker says that it ended, and how. */
+  /** Its worker reports that it ended, with the cause. */
   | { readonly kind: "ended"; readonly status: TaskStatus }
-  /** It is gone without a status: absent from its worker, or gone with its machine. */
+  /** It is gone without an end status: its worker does not list it, or its machine is gone. */
   | { readonly kind: "lost" };
 
 const NO_EVIDENCE: TerminationEvidence = { kind: "none" };
 const LOST: TerminationEvidence = { kind: "lost" };
 
-/** The attempt still runs: if it should stop, its machine gets the command again after a while. */
-const repeatStop = (
+/**
+ * Repeats the stop command for an attempt that still runs although it should stop. If the last call
+ * to its machine was too recent, marks the machine dirty instead, for the next round.
+ */
+const retryStop = (
   state: ShardState,
   round: ShardRound,
   id: MachineId,
@@ -46,16 +51,18 @@
 ): void => {
   const { lastCallAt } = state.machineState(id).call;
   if (!isStopping) return;
-  // It may need time to save, and its next heartbeat is answered with the same command.
-  if (round.now - lastCallAt < REPEAT_STOP_MS) state.dirtyMachines.add(id);
+  // The attempt may need time to save its checkpoint, and the answer to the worker's next heartbeat
+  // repeats the command anyway.
+  if (round.now - lastCallAt < STOP_RETRY_INTERVAL_MS) state.dirtyMachines.add(id);
   else round.machinesToCall.add(id);
 };
 
-/** What is known of a machine; undefined if nothing can be proved of its attempts. */
+/** Collects what is known of a machine; undefined if it proves nothing about its attempts. */
 export const examineMachine = (state: ShardState, id: MachineId): ExaminedMachine | undefined => {
   const { replica } = state.ctx;
   const record = replica.machines.get(id);
-  // A machine leaves the records only after its attempts: one that is missing proves nothing.
+  // A machine's record is deleted only after all its attempts are closed. A missing record
+  // therefore means that the replica is incomplete, and proves nothing.
   if (record === undefined) return undefined;
   if (replica.isGone(id)) return { kind: "gone" };
   const session = state.sessions.get(id);
@@ -63,10 +70,10 @@
 };
 
 /**
- * Looks for evidence that an open attempt is gone. Where it runs and should stop, its machine is
- * called or examined again.
+ * Looks for evidence that an open attempt is gone. If it still runs and should stop, its machine is
+ * called again, or marked dirty for the next round.
  *
- * @param job undefined if it is not live any more
+ * @param job undefined if the job is no longer live
  */
 export const terminationEvidence = (
   state: ShardState,
@@ -85,11 +92,12 @@
   if (observation.kind === "present") {
     const { report: status } = observation;
     if (status.phase === "ended") return { kind: "ended", status };
-    repeatStop(state, round, id, isStopping);
+    retryStop(state, round, id, isStopping);
     return NO_EVIDENCE;
   }
   if (observation.kind !== "absent") return NO_EVIDENCE;
-  // Absent, but it may be started there (again) unless it or its machine is on the way out.
+  // An absent attempt may yet be started there, unless it should stop, its machine is being
+  // decommissioned, or the machine gets no starts because its heartbeat is overdue.
   const mayNotStart =
     isStopping || machine.record.phase !== "up" || state.heartbeatOverdue(id, round.now);
   return mayNotStart ? LOST : NO_EVIDENCE;
