--- a/src/coordination/rounds/machine-page-compaction.ts
+++ b/src/coordination/rounds/machine-page-compaction.ts
@@ -1,7 +1,7 @@
 /**
- * Joins small pages of machine records, as scale-outs and transfers leave them, into one that is
- * written anyway: each costs one delete now, and saves one put in every later round that changes its
- * machines. Owns no state.
+ * Merges small pages of machine records, which scale-outs and transfers leave behind, into a page
+ * that is written anyway. Merging a page costs one delete operation now, and saves one put
+ * operation in each later round that changes machines of that page. Owns no state.
  */
 import type { MachineId } from "@umberfold/ids";
 import type { MachinePage } from "../../storage/fleet-index.js";
@@ -14,69 +14,73 @@
 /** A page of machine records with its key. */
 export type KeyedMachinePage = readonly [key: string, page: MachinePage];
 
-/** Pages are joined while together they take at most this part of what one may. */
-const MAX_JOINED_PAGE_FRACTION = 0.7;
-/** Pages that are joined in one round though they are not written otherwise. */
-const MAX_JOINS_PER_ROUND = 3;
-/** How full the write budget must be to write a page for its compaction alone. */
-const MIN_WRITE_LEVEL = 0.6;
+/** A merged page takes at most this fraction of the largest page size allowed. */
+const MAX_MERGED_PAGE_FRACTION = 0.7;
+/** Pages merged in one round that the round would not write otherwise; each is one more delete. */
+const MAX_EXTRA_DELETES_PER_ROUND = 3;
+/** How full the write budget must be for a round to write pages for compaction alone. */
+const MIN_WRITE_BUDGET_FRACTION = 0.6;
 /** A shard with fewer pages is not compacted. */
-const MIN_PAGES = 3;
+const MIN_PAGES_TO_COMPACT = 3;
 
-/** The fullest page that takes the smallest one in, of those that are written if there are any. */
+/**
+ * The key of the page to merge into: the one with the most machines that can still hold those of
+ * the smallest page. If the round writes pages anyway, only these are considered.
+ */
 const compactionTarget = (
-  bySize: readonly KeyedMachinePage[],
-  written: ReadonlySet<string>,
-  maxMachines: number,
+  pagesBySize: readonly KeyedMachinePage[],
+  writtenKeys: ReadonlySet<string>,
+  maxMachinesPerPage: number,
 ): string | undefined => {
-  const minSize = bySize[0]?.[1].machines.size ?? 0;
-  const target = bySize
+  const minMachineCount = pagesBySize[0]?.[1].machines.size ?? 0;
+  const target = pagesBySize
     .slice(1)
-    .filter(([, page]) => page.machines.size + minSize <= maxMachines)
-    .filter(([key]) => written.size === 0 || written.has(key))
+    .filter(([, page]) => page.machines.size + minMachineCount <= maxMachinesPerPage)
+    .filter(([key]) => writtenKeys.size === 0 || writtenKeys.has(key))
     .pop();
   return target?.[0];
 };
 
-/** Moves the machines of the smallest pages into the target. */
-const joinInto = (
+/** Moves machines into the target page, from the smallest other pages first. */
+const mergeInto = (
   targetKey: string,
   target: Map<MachineId, MachineRecord>,
-  bySize: readonly KeyedMachinePage[],
-  written: ReadonlySet<string>,
-  maxMachines: number,
+  pagesBySize: readonly KeyedMachinePage[],
+  writtenKeys: ReadonlySet<string>,
+  maxMachinesPerPage: number,
   round: ShardRound,
 ): void => {
-  let joins = 0;
-  for (const [key, page] of bySize) {
-    if (joins >= MAX_JOINS_PER_ROUND) return;
-    if (key === targetKey || target.size + page.machines.size > maxMachines) continue;
+  let extraDeletes = 0;
+  for (const [key, page] of pagesBySize) {
+    if (extraDeletes >= MAX_EXTRA_DELETES_PER_ROUND) return;
+    if (key === targetKey || target.size + page.machines.size > maxMachinesPerPage) continue;
     const source = round.batch.editMachinePage(key);
     if (source === undefined) return;
     for (const [id, record] of source) target.set(id, record);
     source.clear();
-    if (!written.has(key)) joins++;
+    if (!writtenKeys.has(key)) extraDeletes++;
   }
 };
 
 /**
- * Compacts the pages of the round's shard.
+ * Compacts the pages of machine records of the round's shard.
  *
- * @param written keys of the pages that the round writes anyway
+ * @param writtenKeys keys of the pages that the round writes anyway
  */
 export const compactMachinePages = (
   { settings, store }: ControllerContext,
   round: ShardRound,
   pages: readonly KeyedMachinePage[],
-  written: ReadonlySet<string>,
+  writtenKeys: ReadonlySet<string>,
 ): void => {
-  if (pages.length < MIN_PAGES) return;
-  if (written.size === 0 && store.writeLevel() < MIN_WRITE_LEVEL) return;
+  if (pages.length < MIN_PAGES_TO_COMPACT) return;
+  if (writtenKeys.size === 0 && store.writeLevel() < MIN_WRITE_BUDGET_FRACTION) return;
   const pageBytes = maxPageBytes({ ...settings.state, shardCount: settings.shardCount });
-  const maxMachines = (pageBytes * MAX_JOINED_PAGE_FRACTION) / MACHINE_BYTES;
-  const bySize = [...pages].sort((a, b) => a[1].machines.size - b[1].machines.size);
-  const targetKey = compactionTarget(bySize, written, maxMachines);
+  const maxMachinesPerPage = (pageBytes * MAX_MERGED_PAGE_FRACTION) / MACHINE_BYTES;
+  const pagesBySize = [...pages].sort((a, b) => a[1].machines.size - b[1].machines.size);
+  const targetKey = compactionTarget(pagesBySize, writtenKeys, maxMachinesPerPage);
   if (targetKey === undefined) return;
   const target = round.batch.editMachinePage(targetKey);
-  if (target !== undefined) joinInto(targetKey, target, bySize, written, maxMachines, round);
+  if (target !== undefined)
+    mergeInto(targetKey, target, pagesBySize, writtenKeys, maxMachinesPerPage, round);
 };
--- a/src/coordination/rounds/machine-record-changes.ts
+++ b/src/coordination/rounds/machine-record-changes.ts
@@ -1,6 +1,7 @@
 /**
- * What is to become of one machine's record: removal, decommission, transfer, a higher token floor or
- * a new endpoint. Owns no state; clears what the machine's soft state asked for once it is decided.
+ * Decides how one machine's record has to change: removal, decommission, transfer, a higher token
+ * floor or a new endpoint. Owns no state; it ends transfer requests and clears token raise requests
+ * in the machine's soft state once they are decided.
  */
 import type { MachineId, Revision } from "@umberfold/ids";
 import type { MachineRecord } from "../../storage/records.js";
@@ -12,30 +13,33 @@
 
 /** How a machine's record is to change. */
 export type MachineRecordChange =
-  /** The machine is gone, and so are its attempts. */
+  /** The machine is gone and has no open attempts: its record is deleted. */
   | { readonly kind: "remove" }
-  /** It goes to the shard of the new record. */
+  /** The machine moves to the shard named in the new record. */
   | { readonly kind: "transfer"; readonly record: MachineRecord }
   /**
-   * It stays in its shard. Written once its page is written anyway, or after this delay at the latest;
-   * 0: in this round.
+   * The machine stays in its shard. The change is written when its page is written anyway, or after
+   * `maxDelayMs` at the latest; 0 means in this round.
    */
   | { readonly kind: "update"; readonly record: MachineRecord; readonly maxDelayMs: number };
 
-/** How long a changed endpoint may wait for other changes of its page. */
-const ENDPOINT_MAX_DELAY_MS = 1500;
-/** The same for a token that should rise so that ended attempts can be forgotten. */
+/** How long a changed endpoint may wait for another change to the same page. */
+const ENDPOINT_UPDATE_MAX_DELAY_MS = 1500;
+/**
+ * The same for a token raise that is not urgent: one that only lets the worker forget ended
+ * attempts.
+ */
 const TOKEN_RAISE_MAX_DELAY_MS = 6000;
 
-/** A machine as its record is reconciled. */
+/** A machine whose record is being reconciled. */
 interface ReconciledMachine {
   readonly id: MachineId;
-  /** With the endpoint that its worker last gave. */
+  /** The stored record, with the endpoint that the worker last reported. */
   readonly record: MachineRecord;
   readonly session: WorkerSession;
 }
 
-/** The change that a machine's record needs now; undefined if it may stay as it is. */
+/** Decides which change a machine's record needs now; undefined if it needs none. */
 export const machineRecordChange = (
   state: ShardState,
   round: ShardRound,
@@ -61,10 +65,13 @@
   const tokenRaise = tokenRaiseChange(state, round, machine);
   if (transfer !== undefined || tokenRaise !== undefined) return transfer ?? tokenRaise;
   if (endpoint === record.endpoint) return undefined;
-  return { kind: "update", record: machine.record, maxDelayMs: ENDPOINT_MAX_DELAY_MS };
+  return { kind: "update", record: machine.record, maxDelayMs: ENDPOINT_UPDATE_MAX_DELAY_MS };
 };
 
-/** The transfer that the leader asked for, once the machine is proved empty. */
+/**
+ * The transfer that the leader requested, once the machine is proved empty. The request ends then;
+ * a request with neither `drain` nor `whenEmpty` ends at once.
+ */
 const transferChange = (
   state: ShardState,
   { id, record, session }: ReconciledMachine,
@@ -73,17 +80,23 @@
   if (departure.transfer === null) return undefined;
   const { to, drain, whenEmpty } = departure.transfer;
   const hasNoOpenAttempts = state.ctx.replica.shardJobs(record.shard).openAttemptsOn(id).size === 0;
-  // Attempts that have ended there are forgotten by the next owner, under its higher token.
+  // Ended attempts are no obstacle: the next owner has them forgotten under its higher token.
   const isIdle = [...session.tasks.values()].every((task) => task.phase === "ended");
-  const isKnown = session.state === "ready" || session.status === undefined;
-  const isProvedEmpty = hasNoOpenAttempts && isIdle && isKnown;
+  // The status shows all tasks only in a ready session: otherwise commands of an earlier owner may
+  // still be executed. A worker that has sent this owner no status counts as empty.
+  const isReadyOrWithoutStatus = session.state === "ready" || session.status === undefined;
+  const isProvedEmpty = hasNoOpenAttempts && isIdle && isReadyOrWithoutStatus;
   if (isProvedEmpty || !(drain || whenEmpty)) departure.step({ kind: "transfer_ended" });
   const tokenFloor = raisedTokenFloor(state, record);
   if (!isProvedEmpty || to === record.shard || tokenFloor === undefined) return undefined;
   return { kind: "transfer", record: { ...record, shard: to, tokenFloor } };
 };
 
-/** A higher token floor, where a lost start or an ended attempt that can't be forgotten needs one. */
+/**
+ * A higher token floor, if one is needed. It is urgent after a start command was lost, and when a
+ * task cannot start because an ended attempt cannot be forgotten under the current token. It is not
+ * urgent when it only lets the worker forget a large number of ended attempts.
+ */
 const tokenRaiseChange = (
   state: ShardState,
   round: ShardRound,
@@ -91,11 +104,11 @@
 ): MachineRecordChange | undefined => {
   const { tokenRaise } = state.machineState(id);
   const isReady = session.state === "ready";
-  const hasDeliveries = session.startDeliveries.size > 0 && isReady;
-  if (!hasDeliveries) tokenRaise.clear();
+  const isReadyWithDeliveries = session.startDeliveries.size > 0 && isReady;
+  if (!isReadyWithDeliveries) tokenRaise.clear();
   const isUrgent =
     mustRaiseToken(session) ||
-    (hasDeliveries && (tokenRaise.pending || hasBlockedTask(state, round, id, session)));
+    (isReadyWithDeliveries && (tokenRaise.pending || hasBlockedTask(state, round, id, session)));
   if (!isUrgent && !(shouldRaiseToken(session) && isReady)) return undefined;
   const tokenFloor = raisedTokenFloor(state, record);
   if (tokenFloor === undefined) return undefined;
@@ -103,7 +116,10 @@
   return { kind: "update", record: { ...record, tokenFloor }, maxDelayMs };
 };
 
-/** Whether a task that is open on the machine can't start for an earlier attempt of its own. */
+/**
+ * Whether an open attempt on the machine cannot start, because the worker still lists an earlier
+ * attempt of the same task that cannot be forgotten under the current token.
+ */
 const hasBlockedTask = (
   state: ShardState,
   round: ShardRound,
@@ -116,8 +132,9 @@
 };
 
 /**
- * A revision above the fencing token in force: commands under it, and those of whoever owns the shard
- * later, can't be taken for earlier ones. Undefined if no such revision was seen yet.
+ * A revision above the machine's current fencing token, for use as its new token floor. Commands
+ * sent under it, and those of any later owner of the shard, then carry a higher token than all
+ * commands sent before. Undefined if the replica has seen no such revision yet.
  */
 const raisedTokenFloor = (state: ShardState, record: MachineRecord): Revision | undefined => {
   const { latestSeenRevision } = state.ctx.replica;
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -1,9 +1,9 @@
 /**
- * An owner: all that one controller does for the shards that it owns. Heartbeats, requests of the
- * leader, process pauses and rounds enter here.
+ * The entry point for all that one controller does as the owner of its shards: handling heartbeats,
+ * requests of the leader and process pauses, and running rounds.
  *
- * Owns the shard state, the worker channel and the rule that at most one transaction of the owned
- * shards is in flight. Nothing is written without a valid lease.
+ * Owns the shard state and the worker channel, and ensures that at most one transaction of the
+ * owned shards is in flight. Nothing is written without a valid lease.
  */
 import { type MachineId, monotonicMs } from "@umberfold/ids";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
@@ -21,8 +21,8 @@
 
 export type { RoundOutcome } from "./round-cycle.js";
 
-/** How long the leader's request for a transfer is valid. */
-const TRANSFER_REQUEST_MS = 10_000;
+/** How long a transfer request of the leader stays valid. */
+const TRANSFER_REQUEST_TTL_MS = 10_000;
 
 /** Runs the shards that this controller owns. */
 export class ShardOwner {
@@ -32,12 +32,12 @@
   readonly channel: WorkerChannel;
   readonly #commit: RoundCommit;
   readonly #cycle: RoundCycle;
-  /** Heartbeats by their outcome, for the logs. */
+  /** Number of heartbeats by outcome, for `stats`. */
   readonly #heartbeatCounts = { accepted: 0, redirected: 0, refused: 0 };
-  /** A transaction of the owned shards is being decided on or written. */
+  /** Whether a transaction of the owned shards is being prepared or written. */
   #isCommitting = false;
 
-  /** @param wake has a round run soon */
+  /** @param wake requests that a round runs soon */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
@@ -51,13 +51,13 @@
   }
 
   /**
-   * Takes a worker's heartbeat and answers it with commands.
+   * Handles a worker's heartbeat and answers it with commands.
    *
-   * @param adopt called on the leader with the status of a machine that the records don't know
+   * @param adoptUnknown called on the leader with the status of a machine that has no record
    */
-  handleHeartbeat(body: unknown, adopt: (status: WorkerStatus) => void): HttpResponse {
+  handleHeartbeat(body: unknown, adoptUnknown: (status: WorkerStatus) => void): HttpResponse {
     this.detectPause();
-    const answer = this.channel.handleHeartbeat(body, adopt);
+    const answer = this.channel.handleHeartbeat(body, adoptUnknown);
     this.#countHeartbeat(answer.status);
     return answer;
   }
@@ -69,9 +69,9 @@
   }
 
   /**
-   * To be called first wherever this controller begins to act. After a process pause no machine's
-   * silence counts against it, and nothing is done until a read of the state store has shown which
-   * shards are still owned.
+   * Checks whether this process was paused. Must be called before each activity of this controller.
+   * Heartbeats missed during a pause do not count as failures of their machines, and the controller
+   * does nothing until a read of the state store has shown which shards it still owns.
    */
   detectPause(): void {
     const now = monotonicNow();
@@ -82,10 +82,13 @@
     this.channel.resetTimers(now);
   }
 
-  /** The leader wants a machine for another shard. Ignored for machines that are not owned here. */
+  /**
+   * Requests the transfer of a machine to another shard, on behalf of the leader. Ignored for
+   * machines that are not owned here.
+   */
   requestTransfer({ machine, to, drain, whenEmpty = false }: MachineTransferRequest): void {
     if (!this.state.sessions.has(machine)) return;
-    const until = monotonicMs(monotonicNow() + TRANSFER_REQUEST_MS);
+    const until = monotonicMs(monotonicNow() + TRANSFER_REQUEST_TTL_MS);
     const transfer = { to, drain, whenEmpty, until };
     this.state.machineState(machine).departure.step({ kind: "transfer_requested", transfer });
     this.state.dirtyMachines.add(machine);
@@ -93,8 +96,9 @@
   }
 
   /**
-   * Has a machine decommissioned. Without a reason it is surplus and returned once it is empty; with
-   * one it is lost and returned at once. Ignored for machines that are not owned here.
+   * Requests the decommission of a machine. With a reason the decommission is forced: the machine
+   * is treated as lost and returned at once. Without one the machine is surplus and is returned
+   * when it has no open attempts. Ignored for machines that are not owned here.
    */
   requestDecommission(id: MachineId, reason?: string): void {
     if (!this.state.sessions.has(id)) return;
@@ -105,7 +109,7 @@
     this.state.wake();
   }
 
-  /** Runs one round, unless another transaction is in flight or the lease is not valid. */
+  /** Runs one round, unless a transaction is in flight or the lease is not valid. */
   async runRound(): Promise<RoundOutcome> {
     this.detectPause();
     if (!this.#mayCommit()) return "idle";
@@ -119,14 +123,17 @@
   }
 
   /**
-   * Writes a transaction of the owned shards while no round is in flight, so that the records show
-   * all open attempts. Returns false if it has to wait, or if nothing was written.
+   * Writes a transaction of the owned shards while no round runs, so that the records already show
+   * all open attempts.
    *
-   * @param decide called once it may be written; undefined if there is nothing to write
+   * @param buildTransaction called once a transaction may be written; returns undefined if there is
+   *   nothing to write
+   * @returns true if the transaction was applied; false if there was none, if it may not be written
+   *   yet, or if it conflicted
    */
-  async writeBetweenRounds(decide: () => Transaction | undefined): Promise<boolean> {
+  async writeBetweenRounds(buildTransaction: () => Transaction | undefined): Promise<boolean> {
     if (!this.#mayCommit() || this.#commit.isReplicaBehind) return false;
-    const transaction = decide();
+    const transaction = buildTransaction();
     if (transaction === undefined) return false;
     const operations = transaction.ops.length;
     if (!this.ctx.store.mayWriteBatch(operations, operations)) return false;
@@ -143,7 +150,7 @@
     return !this.#isCommitting && this.ctx.synced && this.membership.holdsValidLease();
   }
 
-  /** Counters for the logs. */
+  /** Counters for the `stats` log event. */
   stats(): Readonly<Record<string, unknown>> {
     return { ...this.state.stats(), heartbeats: this.#heartbeatCounts };
   }
