--- a/test/coordination/rounds/machine-page-compaction.test.ts
+++ b/test/coordination/rounds/machine-page-compaction.test.ts
@@ -24,8 +24,11 @@
 
 const pageKey = (name: string): string => keys.fleet(SHARD, name);
 
-/** The pages of a shard by name, as sizes, after a compaction; those it leaves alone are absent. */
-const compact = (
+/**
+ * Compacts pages of these sizes. Returns the new sizes of the pages that the compaction changes, by
+ * name: the number of machines, 0 for a page that is deleted.
+ */
+const changedPageSizes = (
   sizes: Readonly<Record<string, number>>,
   written: readonly string[],
   writeLevel: number,
@@ -61,33 +64,45 @@
   writeLevel: number,
   edited: Readonly<Record<string, number>>,
 ])[] = [
-  ["two pages stay", { a: 1, b: 2 }, ["a"], 1, {}],
+  ["a shard with two pages is not compacted", { a: 1, b: 2 }, ["a"], 1, {}],
   [
-    "small pages join the one that is written",
+    "small pages are merged into the page that the round writes",
     { a: 1, b: 2, c: 3 },
     ["b"],
     0,
     { a: 0, b: 6, c: 0 },
   ],
-  ["nothing is written for it alone while writes are scarce", { a: 1, b: 2, c: 3 }, [], 0.5, {}],
   [
-    "all join the fullest if writes are plentiful",
+    "no page is written for compaction alone while the write budget is low",
+    { a: 1, b: 2, c: 3 },
+    [],
+    0.5,
+    {},
+  ],
+  [
+    "all pages are merged into the largest while the write budget is full",
     { a: 1, b: 2, c: 3 },
     [],
     1,
     { a: 0, b: 0, c: 6 },
   ],
   [
-    "three pages join in one round, the smallest first",
+    "at most three pages are merged in one round, the smallest first",
     { a: 1, b: 2, c: 3, d: 4, e: 5 },
     ["e"],
     0,
     { a: 0, b: 0, c: 0, e: 11 },
   ],
-  ["a full page takes no more", { a: 20, b: 400, c: 400 }, ["b", "c"], 1, {}],
-  ["the smallest page is no target", { a: 1, b: 2, c: 3 }, ["a"], 1, {}],
+  [
+    "no page is merged into pages that have no space left",
+    { a: 20, b: 400, c: 400 },
+    ["b", "c"],
+    1,
+    {},
+  ],
+  ["the smallest page is never the target of a merge", { a: 1, b: 2, c: 3 }, ["a"], 1, {}],
 ];
 for (const [name, sizes, written, writeLevel, edited] of cases)
   test(`machine page compaction: ${name}`, () => {
-    assert.deepEqual(compact(sizes, written, writeLevel), edited);
+    assert.deepEqual(changedPageSizes(sizes, written, writeLevel), edited);
   });
--- a/test/coordination/rounds/machine-record-changes.test.ts
+++ b/test/coordination/rounds/machine-record-changes.test.ts
@@ -30,8 +30,8 @@
   tokenFloor: revision(5),
 };
 
-/** An owner of one machine without tasks, whose worker gave this endpoint. */
-const ownerOf = (record: MachineRecord, endpoint = "m:1"): ShardState => {
+/** The state of an owner of one machine without tasks, whose worker reported this endpoint. */
+const ownerState = (record: MachineRecord, endpoint = "m:1"): ShardState => {
   const replica = new Replica();
   const ctx = { replica, log: { info: () => undefined } } as unknown as ControllerContext;
   const membership = { ownedShards: () => [SHARD] } as unknown as Membership;
@@ -47,7 +47,7 @@
   return state;
 };
 
-const changeIn = (state: ShardState, record: MachineRecord): MachineRecordChange | undefined => {
+const changeFor = (state: ShardState, record: MachineRecord): MachineRecordChange | undefined => {
   const round = newShardRound(SHARD, {} as TransactionBatch, NOW);
   return machineRecordChange(state, round, MACHINE, record);
 };
@@ -58,77 +58,77 @@
     transfer: { to, drain: false, whenEmpty: true, until: monotonicMs(9000) },
   });
 
-const RETIRING: MachineRecordChange = {
+const RETIRE: MachineRecordChange = {
   kind: "update",
   record: { ...RECORD, phase: "retiring" },
   maxDelayMs: 0,
 };
 
-test("machine record: one that is as it should be needs no change", () => {
-  assert.equal(changeIn(ownerOf(RECORD), RECORD), undefined);
+test("machine record: a record that is up to date needs no change", () => {
+  assert.equal(changeFor(ownerState(RECORD), RECORD), undefined);
 });
 
-test("machine record: a machine that is gone with its attempts is removed", () => {
-  const state = ownerOf(RECORD);
+test("machine record: removed if the machine is gone and has no open attempts", () => {
+  const state = ownerState(RECORD);
   state.ctx.replica.isGone = () => true;
-  assert.deepEqual(changeIn(state, RECORD), { kind: "remove" });
+  assert.deepEqual(changeFor(state, RECORD), { kind: "remove" });
 });
 
-test("machine record: an empty machine is decommissioned at once, forced or not", () => {
+test("machine record: a machine without open attempts is retired at once, forced or not", () => {
   for (const kind of ["decommission_requested", "decommission_forced"] as const) {
-    const state = ownerOf(RECORD);
+    const state = ownerState(RECORD);
     state.machineState(MACHINE).departure.step({ kind, reason: "surplus" });
-    assert.deepEqual(changeIn(state, RECORD), RETIRING);
+    assert.deepEqual(changeFor(state, RECORD), RETIRE);
   }
 });
 
-test("machine record: one that is retiring already needs no change", () => {
+test("machine record: a machine that is already retiring needs no change", () => {
   const retiring: MachineRecord = { ...RECORD, phase: "retiring" };
-  const state = ownerOf(retiring);
+  const state = ownerState(retiring);
   state.machineState(MACHINE).departure.step({ kind: "decommission_forced", reason: "lost" });
-  assert.equal(changeIn(state, retiring), undefined);
+  assert.equal(changeFor(state, retiring), undefined);
 });
 
 test("machine record: a transfer raises the token floor and ends the request", () => {
-  const state = ownerOf(RECORD);
+  const state = ownerState(RECORD);
   requestTransfer(state);
-  assert.deepEqual(changeIn(state, RECORD), {
+  assert.deepEqual(changeFor(state, RECORD), {
     kind: "transfer",
     record: { ...RECORD, shard: OTHER_SHARD, tokenFloor: LATEST },
   });
   assert.equal(state.machineState(MACHINE).departure.isPending, false);
 });
 
-test("machine record: a transfer to its own shard changes nothing", () => {
-  const state = ownerOf(RECORD);
+test("machine record: a transfer to the machine's own shard changes nothing", () => {
+  const state = ownerState(RECORD);
   requestTransfer(state, SHARD);
-  assert.equal(changeIn(state, RECORD), undefined);
+  assert.equal(changeFor(state, RECORD), undefined);
 });
 
-test("machine record: a transfer waits until a revision above its token was seen", () => {
+test("machine record: no transfer before a revision above the fencing token has been seen", () => {
   const record: MachineRecord = { ...RECORD, tokenFloor: LATEST };
-  const state = ownerOf(record);
+  const state = ownerState(record);
   requestTransfer(state);
-  assert.equal(changeIn(state, record), undefined);
+  assert.equal(changeFor(state, record), undefined);
 });
 
-test("machine record: a new endpoint may wait for other changes of its page", () => {
-  const state = ownerOf(RECORD, "m:2");
+test("machine record: a changed endpoint may wait until its page is written anyway", () => {
+  const state = ownerState(RECORD, "m:2");
   const record = { ...RECORD, endpoint: "m:2" };
-  assert.deepEqual(changeIn(state, RECORD), { kind: "update", record, maxDelayMs: 1500 });
+  assert.deepEqual(changeFor(state, RECORD), { kind: "update", record, maxDelayMs: 1500 });
 });
 
 test("machine record: a lost start command raises the token floor at once", () => {
-  const state = ownerOf(RECORD);
+  const state = ownerState(RECORD);
   state.stepSession(MACHINE, { kind: "command_sent", starts: ["wk-1/0/1"] });
   state.stepSession(MACHINE, { kind: "command_lost", starts: ["wk-1/0/1"] });
   const record = { ...RECORD, tokenFloor: LATEST };
-  assert.deepEqual(changeIn(state, RECORD), { kind: "update", record, maxDelayMs: 0 });
+  assert.deepEqual(changeFor(state, RECORD), { kind: "update", record, maxDelayMs: 0 });
 });
 
-test("machine record: a requested token raise is dropped if no start command is remembered", () => {
-  const state = ownerOf(RECORD);
+test("machine record: a requested token raise is dropped if no start command is tracked", () => {
+  const state = ownerState(RECORD);
   state.machineState(MACHINE).tokenRaise.request();
-  assert.equal(changeIn(state, RECORD), undefined);
+  assert.equal(changeFor(state, RECORD), undefined);
   assert.equal(state.machineState(MACHINE).tokenRaise.pending, false);
 });
--- a/test/coordination/rounds/termination-evidence.test.ts
+++ b/test/coordination/rounds/termination-evidence.test.ts
@@ -43,18 +43,18 @@
 const CANCELLED_JOB: LiveJob = { ...LIVE_JOB, cancelledAt: wallClockMs(1) };
 
 interface Situation {
-  /** The worker's status: the tasks that it knows, or undefined if nothing was heard. */
+  /** The tasks in the worker's status, or undefined if none has been received. */
   readonly tasks?: readonly TaskStatus[];
   /** The highest fencing token that the worker has seen. */
   readonly token?: number;
   readonly phase?: "up" | "retiring";
   readonly job?: LiveJob;
-  /** A start command of the attempt has no answer yet. */
+  /** A start command for the attempt was sent and has not been answered. */
   readonly startInFlight?: boolean;
   readonly stopRequested?: boolean;
 }
 
-const stateIn = (situation: Situation): ShardState => {
+const stateOf = (situation: Situation): ShardState => {
   const { tasks, token = TOKEN_FLOOR, phase = "up" } = situation;
   const replica = new Replica();
   const ctx = { replica, settings: { workers: { leaseS: 20 } }, loopLag: new EventLoopLag() };
@@ -82,26 +82,34 @@
 const LOST: TerminationEvidence = { kind: "lost" };
 
 const cases: readonly (readonly [string, Situation, TerminationEvidence])[] = [
-  ["no status yet: none", {}, NONE],
-  ["no status yet, though it should stop: none", { stopRequested: true }, NONE],
-  ["it runs: none", { tasks: [RUNNING] }, NONE],
-  ["it runs and should stop: none", { tasks: [RUNNING], stopRequested: true }, NONE],
-  ["it ended: its status", { tasks: [ENDED] }, { kind: "ended", status: ENDED }],
-  ["it ended, below the token: none", { tasks: [ENDED], token: 4 }, NONE],
-  ["absent, but it may be started: none", { tasks: [] }, NONE],
-  ["absent and should stop: lost", { tasks: [], stopRequested: true }, LOST],
-  ["absent, its job cancelled: lost", { tasks: [], job: CANCELLED_JOB }, LOST],
-  ["absent, its machine retiring: lost", { tasks: [], phase: "retiring" }, LOST],
-  ["absent below the token: none", { tasks: [], token: 4, stopRequested: true }, NONE],
+  ["no status received: none", {}, NONE],
+  ["no status received, stop requested: none", { stopRequested: true }, NONE],
+  ["attempt is running: none", { tasks: [RUNNING] }, NONE],
+  ["attempt is running, stop requested: none", { tasks: [RUNNING], stopRequested: true }, NONE],
+  ["attempt has ended: its status", { tasks: [ENDED] }, { kind: "ended", status: ENDED }],
   [
-    "absent, its start in flight: none",
+    "attempt has ended, but the worker has not seen the token: none",
+    { tasks: [ENDED], token: 4 },
+    NONE,
+  ],
+  ["attempt is absent, but may still be started: none", { tasks: [] }, NONE],
+  ["attempt is absent, stop requested: lost", { tasks: [], stopRequested: true }, LOST],
+  ["attempt is absent, its job is cancelled: lost", { tasks: [], job: CANCELLED_JOB }, LOST],
+  ["attempt is absent, its machine is retiring: lost", { tasks: [], phase: "retiring" }, LOST],
+  [
+    "attempt is absent, but the worker has not seen the token: none",
+    { tasks: [], token: 4, stopRequested: true },
+    NONE,
+  ],
+  [
+    "attempt is absent, but its start is in flight: none",
     { tasks: [], startInFlight: true, stopRequested: true },
     NONE,
   ],
 ];
 for (const [name, situation, expected] of cases)
   test(`termination evidence: ${name}`, () => {
-    const state = stateIn(situation);
+    const state = stateOf(situation);
     const machine = examineMachine(state, MACHINE);
     assert.ok(machine !== undefined);
     const round = newShardRound(SHARD, {} as TransactionBatch, NOW);
@@ -111,20 +119,20 @@
     assert.deepEqual(evidence, expected);
   });
 
-test("termination evidence: a machine that the records lack proves nothing", () => {
-  const state = stateIn({ tasks: [] });
+test("termination evidence: a machine without a record proves nothing", () => {
+  const state = stateOf({ tasks: [] });
   assert.equal(examineMachine(state, machineId("m-2")), undefined);
 });
 
-test("termination evidence: everything on a machine that the cloud calls gone is lost", () => {
-  const state = stateIn({ tasks: [RUNNING] });
+test("termination evidence: a machine that the cloud reports as gone needs no status", () => {
+  const state = stateOf({ tasks: [RUNNING] });
   state.ctx.replica.isGone = () => true;
   const machine = examineMachine(state, MACHINE);
   assert.deepEqual(machine, { kind: "gone" });
 });
 
-test("termination evidence: a machine with an attempt to stop is called, once in a while", () => {
-  const state = stateIn({ tasks: [RUNNING], stopRequested: true });
+test("termination evidence: a machine with an attempt to stop is called after a delay", () => {
+  const state = stateOf({ tasks: [RUNNING], stopRequested: true });
   const machine = examineMachine(state, MACHINE);
   assert.ok(machine !== undefined);
   const examineAt = (now: number): { readonly called: boolean; readonly dirty: boolean } => {
