--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -143,8 +143,8 @@
 };
 
 /**
- * Finishes the job if it has completed or was cancelled, or else writes its progress. Returns false
- * if the batch is full.
+ * Finishes the job if it has completed, or if it was cancelled and has no open attempts left; if
+ * not, writes its progress. Returns false if nothing could be added to the batch.
  */
 const writeProgress = (
   state: ShardState,
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Checks whether this process was paused. Must be called before each activity of this controller.
+   * Checks whether this process was paused. Must be called first in each activity.
    * Heartbeats missed during a pause do not count as failures of their machines, and the controller
    * does nothing until a read of the state store has shown which shards it still owns.
    */
--- a/src/coordination/rounds/termination-evidence.ts
+++ b/src/coordination/rounds/termination-evidence.ts
@@ -17,7 +17,7 @@
 import type { WorkerSession } from "../ownership/worker-session.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** How long after the last call to a machine a stop command is sent to it again. */
+/** Minimum time between the last call to a machine and a repeated stop command. */
 const STOP_RETRY_INTERVAL_MS = 400;
 
 /** What is known of a machine when a round examines its open attempts. */
@@ -61,8 +61,8 @@
 export const examineMachine = (state: ShardState, id: MachineId): ExaminedMachine | undefined => {
   const { replica } = state.ctx;
   const record = replica.machines.get(id);
-  // A machine's record is deleted only after all its attempts are closed. A missing record
-  // therefore means that the replica is incomplete, and proves nothing.
+  // A machine's record is deleted only after all its attempts are closed, so a missing record is no
+  // proof that an open attempt is gone.
   if (record === undefined) return undefined;
   if (replica.isGone(id)) return { kind: "gone" };
   const session = state.sessions.get(id);
