--- a/src/coordination/rounds/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -1,9 +1,9 @@
 /**
- * Divides the room beyond guarantees fairly between teams: takes the ordered queue of a round and
- * returns the order and the number of tasks with which jobs are placed.
+ * Divides the capacity beyond the teams' guarantees fairly between teams: reorders the queue of a
+ * round and limits how many tasks of a job may start before other teams' jobs are considered.
  *
- * Owns no state. Only jobs that are equal in every rule but fairness change places: the order given
- * by overdue jobs, guarantees and priorities holds.
+ * Owns no state. Only jobs with the same precedence are reordered: overdue jobs, jobs within a
+ * guarantee and jobs of higher priority keep their places.
  */
 import type { TeamName } from "@umberfold/ids";
 import type { FairTurn, FairTurnInput } from "@umberfold/load-spread";
@@ -13,23 +13,23 @@
 import { add, NO_RESOURCES } from "../../scheduling/resources.js";
 import { waitingTaskCount } from "../../storage/records.js";
 
-/** One visit to a job in a round, with the number of tasks that may start during it. */
+/** One step of the queue: a job, and how many of its tasks may start in this step. */
 export interface QueueStep extends QueuedJob {
-  /** No limit if absent. */
+  /** The maximum number of tasks to start; unlimited if absent. */
   readonly maxStarts?: number;
 }
 
 /**
- * A team that spans several shards is judged by what it uses in all of them, estimated as its use in
- * this shard divided by the part of its quota that is in this shard. (Judged by this shard alone, a
- * burst that had just come to a shard went before the team whose home is there.) Smaller parts are
- * raised to this one.
+ * Lower bound of the quota fraction by which a team's use in this shard is divided. The quotient
+ * estimates the use of a team that spans several shards in all of them. (When only the use in this
+ * shard counted, a team whose burst had just reached the shard was served before the team whose home
+ * shard it is.)
  */
 const MIN_QUOTA_FRACTION = 0.01;
-/** Tasks that fair turns are computed for: of the order of what one transaction can start. */
-const MAX_FAIR_TASKS = 256;
+/** Fair turns are computed for at most this many tasks: about as many as one transaction can start. */
+const MAX_FAIR_TURN_TASKS = 256;
 
-/** The largest fraction of the capacity that these resources take: processors, devices or memory. */
+/** The dominant share: the largest fraction of the capacity used among CPUs, GPUs and memory. */
 const dominantShare = (resources: Resources, capacity: Resources): number =>
   Math.max(
     capacity.cpus > 0 ? resources.cpus / capacity.cpus : 0,
@@ -37,75 +37,78 @@
     capacity.ramGb > 0 ? resources.ramGb / capacity.ramGb : 0,
   );
 
-/** Jobs between which only fairness decides: guarantees, priorities and overdue jobs come first. */
+/**
+ * Whether two jobs have the same precedence: the same priority, both or neither overdue, and both or
+ * neither within a guarantee. Only such jobs may be reordered.
+ */
 const haveSamePrecedence = (a: QueuedJob, b: QueuedJob): boolean =>
   a.overdue === b.overdue &&
   a.withinGuarantee === b.withinGuarantee &&
   priorityOrder(a.job.spec.priority) === priorityOrder(b.job.spec.priority);
 
-/** The queue cut into runs of neighbours that have the same precedence. */
-function* runsOfSamePrecedence(queue: readonly QueuedJob[]): Iterable<readonly QueuedJob[]> {
-  let begin = 0;
+/** Splits the queue into segments of consecutive jobs with the same precedence. */
+function* segmentsOfSamePrecedence(queue: readonly QueuedJob[]): Iterable<readonly QueuedJob[]> {
+  let start = 0;
   for (let i = 1; i <= queue.length; i++) {
-    const first = queue[begin];
+    const first = queue[start];
     const next = queue[i];
     if (first !== undefined && next !== undefined && haveSamePrecedence(first, next)) continue;
-    yield queue.slice(begin, i);
-    begin = i;
+    yield queue.slice(start, i);
+    start = i;
   }
 }
 
-const hasSeveralTeams = (run: readonly QueuedJob[]): boolean =>
-  run.some((queued) => queued.job.spec.team !== run[0]?.job.spec.team);
+const hasSeveralTeams = (segment: readonly QueuedJob[]): boolean =>
+  segment.some((queued) => queued.job.spec.team !== segment[0]?.job.spec.team);
 
-/** The load-spread package's division of tasks between teams. */
+/** The function of the load-spread package that divides tasks between teams. */
 type FairTurns = (input: FairTurnInput) => readonly FairTurn[];
 
-/** What fairness is measured against. */
-interface FairnessBasis {
-  /** Of all candidate machines together. */
+/** The dominant shares of the teams, and the capacity to which they relate. */
+interface DominantShares {
+  /** The total capacity of all candidate machines. */
   readonly capacity: Resources;
-  /** Each team's dominant share of it. */
+  /** Each team's dominant share of `capacity`, estimated for its use in all shards. */
   readonly shares: ReadonlyMap<TeamName, number>;
 }
 
-/** The jobs of one class in fair order, consumed task by task. */
+/** The jobs of one job class in fair order, with the number of tasks left in each turn. */
 class FairClassQueue {
   readonly #remaining: { readonly queued: QueuedJob; tasks: number }[] = [];
 
-  constructor(run: readonly QueuedJob[], fairTurns: FairTurns, basis: FairnessBasis) {
-    const { capacity, shares } = basis;
-    const byId = new Map(run.map((queued) => [queued.id, queued]));
-    const jobs = run.map((queued) => ({
+  constructor(segment: readonly QueuedJob[], fairTurns: FairTurns, dominantShares: DominantShares) {
+    const { capacity, shares } = dominantShares;
+    const byId = new Map(segment.map((queued) => [queued.id, queued]));
+    const jobs = segment.map((queued) => ({
       id: queued.id,
       team: queued.job.spec.team,
       tasks: waitingTaskCount(queued.job),
       dominant: dominantShare(queued.job.spec.resources, capacity),
     }));
-    for (const { id, tasks } of fairTurns({ jobs, shares, mostTasks: MAX_FAIR_TASKS })) {
+    for (const { id, tasks } of fairTurns({ jobs, shares, mostTasks: MAX_FAIR_TURN_TASKS })) {
       const queued = byId.get(id);
       if (queued !== undefined) this.#remaining.push({ queued, tasks });
     }
   }
 
-  /** The next steps, with this many tasks altogether. */
-  *take(tasks: number): Iterable<QueueStep> {
-    let untaken = tasks;
-    while (untaken > 0) {
+  /** Removes and returns the next steps, which add up to at most this many tasks. */
+  *takeSteps(taskCount: number): Iterable<QueueStep> {
+    let remainingTasks = taskCount;
+    while (remainingTasks > 0) {
       const [next] = this.#remaining;
       if (next === undefined) return;
-      const maxStarts = Math.min(untaken, next.tasks);
+      const maxStarts = Math.min(remainingTasks, next.tasks);
       yield { ...next.queued, maxStarts };
       next.tasks -= maxStarts;
-      untaken -= maxStarts;
+      remainingTasks -= maxStarts;
       if (next.tasks === 0) this.#remaining.shift();
     }
   }
 }
 
-const groupByClass = (run: readonly QueuedJob[]): ReadonlyMap<string, readonly QueuedJob[]> => {
+const groupByClass = (segment: readonly QueuedJob[]): ReadonlyMap<string, readonly QueuedJob[]> => {
   const byClass = new Map<string, QueuedJob[]>();
-  for (const queued of run) {
+  for (const queued of segment) {
     const { jobClass } = queued.job.spec;
     const jobs = byClass.get(jobClass) ?? [];
     byClass.set(jobClass, jobs);
@@ -114,32 +117,38 @@
   return byClass;
 };
 
-/** Keeps a run's order of slack between classes, and divides the steps within a class fairly. */
-function* fairRun(
-  run: readonly QueuedJob[],
+/**
+ * The steps for a segment of the queue: the order by slack between job classes is kept, and the
+ * places of each class are divided fairly between its teams.
+ */
+function* fairSteps(
+  segment: readonly QueuedJob[],
   fairTurns: FairTurns,
-  basis: FairnessBasis,
+  dominantShares: DominantShares,
 ): Iterable<QueueStep> {
   const classes = new Map<string, FairClassQueue>();
-  for (const [jobClass, jobs] of groupByClass(run))
-    if (hasSeveralTeams(jobs)) classes.set(jobClass, new FairClassQueue(jobs, fairTurns, basis));
-  for (const queued of run) {
+  for (const [jobClass, jobs] of groupByClass(segment))
+    if (hasSeveralTeams(jobs))
+      classes.set(jobClass, new FairClassQueue(jobs, fairTurns, dominantShares));
+  for (const queued of segment) {
     const fairClass = classes.get(queued.job.spec.jobClass);
     if (fairClass === undefined) yield queued;
-    else yield* fairClass.take(waitingTaskCount(queued.job));
+    else yield* fairClass.takeSteps(waitingTaskCount(queued.job));
   }
-  // Room that the other teams can't use is not left idle: each job is visited again without a limit.
-  for (const queued of run) if (classes.has(queued.job.spec.jobClass)) yield queued;
+  // Each job of these classes gets a second step without a limit, so that capacity that the other
+  // teams can't use does not stay idle.
+  for (const queued of segment) if (classes.has(queued.job.spec.jobClass)) yield queued;
 }
 
 /**
- * The queue in which the room beyond guarantees is divided fairly between the teams that wait with
- * jobs of one class. Between classes slack decides, since their objectives and so their costs of
- * waiting differ. Without `fairTurns` (the load-spread package is off) the queue stays as it is.
+ * Reorders the queue so that the capacity beyond guarantees is divided fairly between teams with
+ * waiting jobs of the same job class. Jobs of different classes stay in the order of their slack,
+ * because classes have different objectives and therefore different costs of waiting. Without
+ * `fairTurns` (fair shares are disabled, or the load-spread package is) the queue is unchanged.
  *
- * @param teamUse what each team's open attempts take in this shard
- * @param quotaFractionOf the part of a team's quota that this shard may use, 0 to 1
- * @param candidates the machines whose capacity is divided
+ * @param teamUse the resources that each team's open attempts use in this shard
+ * @param quotaFractionOf the fraction of a team's quota that this shard may use, from 0 to 1
+ * @param candidates the machines whose total capacity is divided
  */
 export const fairQueue = (
   queue: readonly QueuedJob[],
@@ -158,11 +167,11 @@
     }),
   );
   const steps: QueueStep[] = [];
-  for (const run of runsOfSamePrecedence(queue)) {
-    const [first] = run;
+  for (const segment of segmentsOfSamePrecedence(queue)) {
+    const [first] = segment;
     if (first === undefined) continue;
-    if (first.withinGuarantee || first.overdue) steps.push(...run);
-    else steps.push(...fairRun(run, fairTurns, { capacity, shares }));
+    if (first.withinGuarantee || first.overdue) steps.push(...segment);
+    else steps.push(...fairSteps(segment, fairTurns, { capacity, shares }));
   }
   return steps;
 };
