--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -1,8 +1,9 @@
 /**
- * The attempts that one round opens for one job, from their choice to the job's new record.
+ * The attempts that one round opens for one job, and the job record that lists them.
  *
- * Owns the reserve step of placement: each chosen attempt is counted in its machine's use at once, so
- * that later choices see it, and all of them are taken back if the record can't be written.
+ * Owns the reserve step of placement: each attempt is added to its machine's use at once, so that
+ * later choices in the round take it into account. If the job record doesn't fit into the round's
+ * transaction, `undo` restores the use of all these machines.
  */
 import { attemptNumber, type MachineId } from "@umberfold/ids";
 import type { Settings } from "../../config/settings.js";
@@ -11,39 +12,42 @@
 import type { LiveJob, OpenAttempt } from "../../storage/records.js";
 import { maxPageBytes } from "../../storage/transaction-batch.js";
 
-/** How much of a page the open attempts of one job may fill. */
+/** The largest fraction of a page that the record of one job may fill. */
 const MAX_PAGE_FRACTION = 0.9;
 
-/** Attempts to open for one job. */
+/** Collects the attempts that a round opens for one job. */
 export class JobStarts {
-  /** The attempts chosen so far, in the order of their numbers. */
+  /** The attempts added so far, in the order of their attempt numbers. */
   readonly attempts: OpenAttempt[] = [];
-  readonly #maxBytes: number;
-  /** Machines that the job's record names already: their names take no more room in it. */
+  readonly #maxRecordBytes: number;
+  /** Machines whose names the job's record contains already: a name is stored only once. */
   readonly #namedMachines: Set<MachineId>;
+  /** One function for each attempt, which restores the machine's use from before the attempt. */
   readonly #restoreUse: (() => void)[] = [];
-  #bytes: number;
+  /** The size of the job's record with the attempts added so far. */
+  #recordBytes: number;
   #nextAttempt: number;
 
   constructor(
     private readonly job: LiveJob,
     { state, shardCount }: Pick<Settings, "state" | "shardCount">,
   ) {
-    this.#maxBytes = maxPageBytes({ ...state, shardCount }) * MAX_PAGE_FRACTION;
+    this.#maxRecordBytes = maxPageBytes({ ...state, shardCount }) * MAX_PAGE_FRACTION;
     this.#namedMachines = new Set(job.open.map((attempt) => attempt.machine));
-    this.#bytes = progressBytes(job);
+    this.#recordBytes = progressBytes(job);
     this.#nextAttempt = job.nextAttempt;
   }
 
   /**
-   * Opens an attempt of the task with this index on the machine. Returns false, and takes no more,
-   * once the job's open attempts fill its page: a job array too large for one page runs in parts.
+   * Opens an attempt of the task with this index on the machine. Returns false, and adds nothing from
+   * then on, once the job's record would exceed its part of a page; the remaining tasks of such a
+   * large job array start in later rounds, after some of its open attempts have ended.
    */
   tryAdd(index: number, machine: CandidateMachine): boolean {
     const attempt = attemptNumber(this.#nextAttempt);
-    this.#bytes += openAttemptBytes({ index, attempt });
-    if (!this.#namedMachines.has(machine.id)) this.#bytes += machineNameBytes(machine.id);
-    if (this.#bytes > this.#maxBytes) return false;
+    this.#recordBytes += openAttemptBytes({ index, attempt });
+    if (!this.#namedMachines.has(machine.id)) this.#recordBytes += machineNameBytes(machine.id);
+    if (this.#recordBytes > this.#maxRecordBytes) return false;
     this.#nextAttempt++;
     this.#namedMachines.add(machine.id);
     this.attempts.push({ index, attempt, machine: machine.id });
@@ -56,13 +60,13 @@
     return true;
   }
 
-  /** The job with these attempts open. */
+  /** The job with these attempts added to its open attempts. */
   draft(): LiveJob {
     const open = [...this.job.open, ...this.attempts];
     return { ...this.job, open, nextAttempt: this.#nextAttempt };
   }
 
-  /** Takes the attempts out of their machines' use again. */
+  /** Removes the attempts from their machines' use, the last one first. */
   undo(): void {
     for (const restore of this.#restoreUse.reverse()) restore();
   }
