--- a/src/coordination/rounds/placement-queue.ts
+++ b/src/coordination/rounds/placement-queue.ts
@@ -1,6 +1,6 @@
 /**
- * The queue step of placement: which jobs of a shard have waiting tasks, and in which order they are
- * placed. Owns no state beyond one call.
+ * The queue step of placement: finds the jobs of a shard with waiting tasks and orders them. Keeps no
+ * state between calls.
  */
 import type { JobId, MachineId } from "@umberfold/ids";
 import type { CandidateMachine } from "../../scheduling/placement.js";
@@ -10,7 +10,7 @@
 import type { ShardState } from "../ownership/shard-state.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** Jobs of the shard with waiting tasks, as this round will write them. */
+/** The jobs of the shard with waiting tasks, including the changes that this round has made. */
 export function* waitingJobs(
   state: ShardState,
   round: ShardRound,
@@ -20,9 +20,9 @@
   for (const [id, job] of round.drafts) if (waitingTaskCount(job) > 0) yield [id, job];
 }
 
-/** Image fetch times as a round reckons with them. */
+/** Estimates how long a start is delayed by fetching the container image. */
 class ImageFetchEstimate {
-  readonly #isMostlyCached = new Map<string, boolean>();
+  readonly #mostlyCachedByImage = new Map<string, boolean>();
   readonly #meanGbPerS: number;
 
   constructor(
@@ -33,27 +33,30 @@
     this.#meanGbPerS = sum / Math.max(1, fetchGbPerS.length);
   }
 
-  /** Seconds to fetch the image, at the mean rate of all machine types. */
+  /**
+   * The expected fetch time of an image in seconds, at the mean rate of all machine types; 0 if most
+   * candidates have it in their cache.
+   */
   fetchS(image: string, imageGb: number): number {
-    return this.#meanGbPerS > 0 && !this.#mostlyCached(image) ? imageGb / this.#meanGbPerS : 0;
+    return this.#meanGbPerS > 0 && !this.#isMostlyCached(image) ? imageGb / this.#meanGbPerS : 0;
   }
 
-  /** Whether most candidates have the image, so that no fetch is expected. */
-  #mostlyCached(image: string): boolean {
-    const known = this.#isMostlyCached.get(image);
-    if (known !== undefined) return known;
+  /** Whether more than half of the candidates have the image in their cache. */
+  #isMostlyCached(image: string): boolean {
+    const cached = this.#mostlyCachedByImage.get(image);
+    if (cached !== undefined) return cached;
     let machinesWithImage = 0;
     for (const { images } of this.candidates.values()) if (images.has(image)) machinesWithImage++;
     const isMostlyCached = 2 * machinesWithImage > this.candidates.size;
-    this.#isMostlyCached.set(image, isMostlyCached);
+    this.#mostlyCachedByImage.set(image, isMostlyCached);
     return isMostlyCached;
   }
 }
 
 /**
- * The waiting jobs of the shard that are not backed off, in the order in which they are placed.
+ * The jobs of the shard with waiting tasks and no backoff in force, in the order of placement.
  *
- * @param withinGuarantee jobs that their teams' guarantees cover
+ * @param withinGuarantee jobs within their teams' guarantees
  */
 export const placementQueue = (
   state: ShardState,
