--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -1,10 +1,10 @@
 /**
- * The filter step of placement: which machines of a shard may be given tasks in this round, and how
- * much of each is in use.
+ * The filter step of placement: selects the machines of a shard on which tasks may start in this
+ * round, and computes how much of each machine's capacity is in use.
  *
- * Owns a cache of the use of each machine, keyed by the shard's jobs and the version of the machine's
- * open attempts. A candidate's use counts every open attempt that this round does not terminate, and
- * every reservation.
+ * Owns a cache of the resources in use on each machine. An entry is valid as long as the version
+ * number of the machine's open attempts stays the same. A candidate's use includes every open attempt
+ * that this round does not terminate, and every reservation.
  */
 import { type MachineId, type ShardId, splitTask, type TaskId } from "@umberfold/ids";
 import type { Resources } from "../../protocol/jobs.js";
@@ -20,25 +20,25 @@
 import { monotonicNow } from "../../transport/clock.js";
 import type { ShardState } from "../ownership/shard-state.js";
 
-/** How long room is reserved for a task that moves or preempts. */
-export const RESERVATION_MS = 10_000;
+/** How long capacity stays reserved for a task that is moved or that preempted others. */
+export const RESERVATION_TIMEOUT_MS = 10_000;
 
 /**
- * A machine is costly if its price per processor is this many times that of the cheapest type: spot
- * prices vary by a third, so more than this is a different kind of machine.
+ * A machine is costly if its price per processor exceeds the lowest spot price per processor by more
+ * than this factor. Spot prices vary by a third, so a larger ratio means a different kind of machine.
  */
 const COSTLY_PRICE_RATIO = 2;
-/** Calls in a row that a machine may leave unanswered and still be given tasks. */
+/** A machine with more consecutive unanswered command calls than this is given no tasks. */
 const MAX_UNANSWERED_CALLS = 1;
 
 const NO_TASKS: ReadonlySet<TaskId> = new Set();
 
-/** Open attempts of one job by zone. */
+/** The number of one job's open attempts in each zone. */
 export type MutableZoneCounts = Map<string, number>;
 
 /**
- * In which zones a job's open attempts are. Empty for jobs without zone affinity and without spread
- * across zones, for which it is not needed.
+ * Counts a job's open attempts by zone. Returns an empty map for a job without zone rules (zone
+ * affinity or spread across zones), because its placement does not depend on these counts.
  */
 export const zoneCounts = (state: ShardState, job: LiveJob): MutableZoneCounts => {
   const zones: MutableZoneCounts = new Map();
@@ -50,8 +50,12 @@
   return zones;
 };
 
-/** Whether a machine of the shard may be given tasks. */
-const mayTakeTasks = (state: ShardState, id: MachineId, record: MachineRecord): boolean => {
+/**
+ * Whether tasks may start on a machine of the shard: its record says that it is up, its session is
+ * ready, it has no preemption notice, no transfer or decommission is pending, and it answers calls
+ * and sends heartbeats.
+ */
+const isSchedulable = (state: ShardState, id: MachineId, record: MachineRecord): boolean => {
   const session = state.sessions.get(id);
   if (record.phase !== "up" || state.ctx.replica.isGone(id)) return false;
   if (session?.state !== "ready" || session.status?.preemptionNoticeS != null) return false;
@@ -62,22 +66,22 @@
   );
 };
 
-/** What the open attempts on a machine take. */
+/** The resources that the open attempts on a machine use. */
 interface MachineOccupancy {
   readonly use: Resources;
-  /** The smallest demand of each resource among them; unbounded if there are none. */
+  /** The smallest demand for each resource among these attempts; infinite if there are none. */
   readonly smallestDemand: Resources;
 }
 
 interface CachedOccupancy extends MachineOccupancy {
-  /** The version of the machine's open attempts that it was summed up for. */
-  readonly openVersion: number;
+  /** The version of the machine's open attempts from which this entry was computed. */
+  readonly openAttemptsVersion: number;
 }
 
-/** Occupancy at the last look, per shard and machine: summed up again only after a change. */
+/** Cached occupancy by shard and machine, recomputed only after the open attempts change. */
 const occupancyCaches = new WeakMap<ShardJobs, Map<MachineId, CachedOccupancy>>();
 
-/** Occupancy of a machine once the terminations of this round are written. */
+/** The occupancy of a machine without the tasks whose attempts this round terminates. */
 const occupancyOf = (
   shardJobs: ShardJobs,
   id: MachineId,
@@ -87,10 +91,10 @@
     return sumOccupancy(shardJobs, id, terminated);
   const cache = occupancyCaches.get(shardJobs) ?? new Map<MachineId, CachedOccupancy>();
   occupancyCaches.set(shardJobs, cache);
-  const openVersion = shardJobs.openVersionOn(id);
+  const openAttemptsVersion = shardJobs.openVersionOn(id);
   const cached = cache.get(id);
-  if (cached?.openVersion === openVersion) return cached;
-  const occupancy = { ...sumOccupancy(shardJobs, id, NO_TASKS), openVersion };
+  if (cached?.openAttemptsVersion === openAttemptsVersion) return cached;
+  const occupancy = { ...sumOccupancy(shardJobs, id, NO_TASKS), openAttemptsVersion };
   cache.set(id, occupancy);
   return occupancy;
 };
@@ -113,7 +117,7 @@
 
 const pricePerCpu = (price: number, cpus: number): number => price / Math.max(1, cpus);
 
-/** Counts the room that is reserved for tasks that move or preempt as use of its machine. */
+/** Adds each reservation to the use of the machine on which the capacity is reserved. */
 const addReservations = (
   state: ShardState,
   shardJobs: ShardJobs,
@@ -127,10 +131,11 @@
 };
 
 /**
- * Machines of the shard that may be given tasks, with their use once this round is written.
+ * The machines of the shard on which tasks may start, with their use as it will be after this round
+ * is committed.
  *
- * @param terminatedByMachine tasks whose attempts this round terminates
- * @param changedMachines machines whose records this round changes: nothing starts there
+ * @param terminatedByMachine tasks whose attempts this round terminates, by machine
+ * @param changedMachines machines whose records this round changes, and which are therefore excluded
  */
 export const candidateMachines = (
   state: ShardState,
@@ -149,13 +154,15 @@
       { type, competingShapes: countCompetingShapes(type.capacity, shapes) },
     ]),
   );
-  const cheapest = Math.min(...types.map((t) => pricePerCpu(t.spotPrice, t.capacity.cpus)));
+  const lowestPricePerCpu = Math.min(
+    ...types.map((t) => pricePerCpu(t.spotPrice, t.capacity.cpus)),
+  );
   for (const id of state.sessions.keys()) {
     const record = replica.machines.get(id);
     if (record === undefined || record.shard !== shard || changedMachines.has(id)) continue;
-    const known = typesByName.get(record.type);
-    if (known === undefined || !mayTakeTasks(state, id, record)) continue;
-    const { type, competingShapes } = known;
+    const typeEntry = typesByName.get(record.type);
+    if (typeEntry === undefined || !isSchedulable(state, id, record)) continue;
+    const { type, competingShapes } = typeEntry;
     const { use, smallestDemand } = occupancyOf(shardJobs, id, terminatedByMachine.get(id));
     const price = record.spot ? type.spotPrice : type.price;
     candidates.set(id, {
@@ -167,7 +174,7 @@
       use,
       smallestDemand,
       price,
-      isCostly: pricePerCpu(price, type.capacity.cpus) > COSTLY_PRICE_RATIO * cheapest,
+      isCostly: pricePerCpu(price, type.capacity.cpus) > COSTLY_PRICE_RATIO * lowestPricePerCpu,
       fetchGbPerS: type.fetchGbPerS,
       images: state.machineState(id).images,
       competingShapes,
--- a/src/coordination/rounds/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -1,9 +1,9 @@
 /**
- * The evict phase of a round: requests the stops by which machines are emptied that the cloud takes
- * back, or that the leader wants for another shard.
+ * The evict phase of a round: requests stops for the attempts on spot machines that the cloud is about
+ * to preempt, and on machines that the leader wants to transfer to another shard.
  *
- * Owns no state. It changes the soft state of attempts and the departure of machines; what is stopped
- * is terminated and started again by later rounds.
+ * Owns no state. Changes the soft state of attempts and the departure state of machines. Later rounds
+ * terminate the stopped attempts and start their tasks on other machines.
  */
 import type { JobId, MachineId, MonotonicMs } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
@@ -14,25 +14,33 @@
   state.ctx.replica.accepted.get(id)?.value.spec;
 
 /**
- * Whether an attempt ends by itself before its machine goes. The nominal notice may be half of the
- * true one, and estimates are often half wrong.
+ * An attempt is left to complete only if its expected remaining run time, multiplied by this factor,
+ * is below the time that the preemption notice leaves. The announced notice and the actual time may
+ * differ by a factor of 2, and run time estimates are often wrong by half.
  */
-const endsInTime = (
+const NOTICE_SAFETY_FACTOR = 2;
+
+/** Whether a running attempt is expected to complete before its machine is preempted. */
+const completesBeforePreemption = (
   attempt: AttemptSoftState,
   spec: JobSpec,
-  leftS: number,
+  remainingNoticeS: number,
   now: MonotonicMs,
 ): boolean => {
   if (attempt.runningSince === null) return false;
-  const ranS = (now - attempt.runningSince) / 1000;
-  return spec.expectedRunS - ranS < leftS / 2;
+  const elapsedRunS = (now - attempt.runningSince) / 1000;
+  return spec.expectedRunS - elapsedRunS < remainingNoticeS / NOTICE_SAFETY_FACTOR;
 };
 
-/** Stops what can't end before the cloud takes the machine, with time to save if there is enough. */
+/**
+ * Requests a stop of each attempt that is not expected to complete before the machine is preempted,
+ * and of each attempt that saves checkpoints. The grace period covers the saving of a checkpoint; it
+ * is 0 if the notice leaves too little time for that.
+ */
 const evictBeforePreemption = (
   state: ShardState,
   id: MachineId,
-  leftS: number,
+  remainingNoticeS: number,
   now: MonotonicMs,
 ): void => {
   for (const { job, key } of state.ctx.replica.openAttemptsOn(id).values()) {
@@ -40,39 +48,40 @@
     if (spec === undefined) continue;
     const attempt = state.attemptState(key, id);
     const savesCheckpoints = spec.checkpointIntervalS > 0;
-    if (!savesCheckpoints && endsInTime(attempt, spec, leftS, now)) continue;
-    const graceS = spec.checkpointSaveS < leftS ? spec.checkpointSaveS : 0;
+    if (!savesCheckpoints && completesBeforePreemption(attempt, spec, remainingNoticeS, now))
+      continue;
+    const graceS = spec.checkpointSaveS < remainingNoticeS ? spec.checkpointSaveS : 0;
     state.stop(key, id, "notice", graceS);
   }
 };
 
 /**
- * Machines with a preemption notice are evicted and decommissioned: what can't end in time saves its
- * checkpoint, or is started elsewhere at once.
+ * Evicts and decommissions the machines with a preemption notice. Attempts that can't complete in time
+ * save a checkpoint, or are stopped at once so that their tasks can start elsewhere.
  */
-export const handleSpotNotices = (state: ShardState, now: MonotonicMs): void => {
+export const handlePreemptionNotices = (state: ShardState, now: MonotonicMs): void => {
   for (const [id, session] of state.sessions) {
     const preemptionNoticeS = session.status?.preemptionNoticeS ?? null;
     if (preemptionNoticeS === null || session.state !== "ready") continue;
-    const leftS = preemptionNoticeS - (now - session.lastHeardAt) / 1000;
-    evictBeforePreemption(state, id, leftS, now);
+    const remainingNoticeS = preemptionNoticeS - (now - session.lastHeardAt) / 1000;
+    evictBeforePreemption(state, id, remainingNoticeS, now);
     state.machineState(id).departure.step({ kind: "decommission_requested", reason: "notice" });
   }
 };
 
 /**
- * Machines that the leader wants for urgent work of another shard are drained. A request for a
- * transfer that has expired is dropped.
+ * Drains the machines that the leader has requested for urgent work of another shard, and drops
+ * transfer requests that have expired.
  */
-export const drainRequestedMachines = (state: ShardState, now: MonotonicMs): void => {
+export const drainMachinesForTransfer = (state: ShardState, now: MonotonicMs): void => {
   for (const [id, { departure }] of state.machineStates) {
     if (departure.transfer === null) continue;
     if (departure.transfer.until <= now) departure.step({ kind: "transfer_ended" });
-    else if (departure.transfer.drain) drain(state, id);
+    else if (departure.transfer.drain) stopOpenAttempts(state, id);
   }
 };
 
-const drain = (state: ShardState, id: MachineId): void => {
+const stopOpenAttempts = (state: ShardState, id: MachineId): void => {
   for (const { job, key } of state.ctx.replica.openAttemptsOn(id).values()) {
     const isStopping = state.attemptStates.get(key)?.stopRequest != null;
     if (!isStopping) state.counters.preempted++;
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -1,10 +1,10 @@
 /**
- * The choice of a machine for each task: reserved room first, then the best candidate by bin packing,
- * then a machine on which the job failed before, then preemption.
+ * Chooses a machine for each task, in this order: the machine with a reservation for the task, the
+ * best candidate by bin packing, a machine on which the job failed before, and last preemption.
  *
- * Owns the candidate selectors of one round, each of which is shared by all jobs that are alike for
- * placement. Takes up reservations and requests token raises in the shard's soft state; counting a
- * chosen machine's use is the caller's part.
+ * Owns the candidate selectors of one round; all jobs with the same placement rules and resources
+ * share a selector. Consumes reservations and requests token raises in the shard's soft state. The
+ * caller adds the task to the use of the chosen machine.
  */
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
@@ -23,40 +23,40 @@
 import { JobStarts } from "./job-starts.js";
 import type { PreemptionPhase } from "./preemption-phase.js";
 
-/** One job while its tasks are placed. */
+/** The state of one job while its tasks are placed. */
 export interface JobPlacement {
-  /** The job as this round has it by now. */
+  /** The job with the changes that this round has made to it so far. */
   readonly queued: QueuedJob;
-  /** Its open attempts by zone, those just chosen among them. */
+  /** The number of its open attempts in each zone, including the attempts just chosen. */
   readonly zones: MutableZoneCounts;
-  /** Chooses among the machines on which it has not failed. */
+  /** Selects among the candidates on which the job has not failed. */
   readonly selector: CandidateSelector;
-  /** Machines on which it failed. */
+  /** Machines on which attempts of the job failed. */
   readonly failedOn: ReadonlySet<MachineId>;
-  /** Seconds until its tasks should run for its next objective that can still be met. */
+  /** Seconds until a task must run to meet the next start target that can still be met. */
   readonly startSlackS: number;
-  /** What was chosen so far. */
+  /** The attempts chosen so far. */
   readonly starts: JobStarts;
-  /** Its search for room by preemption, once one was needed. */
-  search: PreemptionSearch | undefined;
+  /** The job's search for tasks to preempt; undefined until one is needed. */
+  preemptionSearch: PreemptionSearch | undefined;
 }
 
-/** What becomes of one waiting task in this round. */
+/** The result of placing one waiting task. */
 export type PlacementOutcome =
-  /** It may start on this machine. */
+  /** The task may start on this machine. */
   | { readonly kind: "placed"; readonly machine: CandidateMachine }
-  /** It has to wait for room that is reserved for it; the job's other tasks may still start. */
+  /** The task waits until the capacity reserved for it is free; the job's other tasks may start. */
   | { readonly kind: "awaits_reservation" }
-  /** There is no room for it, and so for none of the job's other tasks. */
-  | { readonly kind: "no_room" };
+  /** No machine has free capacity for the task, nor for the job's other tasks, which are alike. */
+  | { readonly kind: "no_capacity" };
 
 const AWAITS_RESERVATION: PlacementOutcome = { kind: "awaits_reservation" };
-const NO_ROOM: PlacementOutcome = { kind: "no_room" };
+const NO_CAPACITY: PlacementOutcome = { kind: "no_capacity" };
 
 const NO_MACHINES: ReadonlySet<MachineId> = new Set();
 
-/** Chooses machines for the tasks of one round in one shard. */
-export class MachineChoice {
+/** Chooses machines for the tasks that one round places in one shard. */
+export class MachineChooser {
   readonly #selectors = new Map<string, CandidateSelector>();
 
   constructor(
@@ -65,8 +65,8 @@
     private readonly preemption: PreemptionPhase,
   ) {}
 
-  /** Begins to place a job's tasks. */
-  begin(queued: QueuedJob): JobPlacement {
+  /** Prepares the placement of a job's tasks. */
+  beginJob(queued: QueuedJob): JobPlacement {
     const { state } = this;
     const { job, id } = queued;
     const { spec } = job;
@@ -75,21 +75,25 @@
     return {
       queued,
       zones: zoneCounts(state, job),
-      selector: failedOn.size > 0 ? this.#selectorWithout(spec, failedOn) : this.#selector(spec),
+      selector:
+        failedOn.size > 0 ? this.#selectorExcluding(spec, failedOn) : this.#sharedSelector(spec),
       failedOn,
       startSlackS: startSlackS(targets, queued.ageS),
       starts: new JobStarts(job, state.ctx.settings),
-      search: undefined,
+      preemptionSearch: undefined,
     };
   }
 
-  /** Finds room for one task, or makes some for a later round. */
+  /**
+   * Chooses a machine with free capacity for one task. If there is none, tries to preempt other tasks
+   * so that it can start in a later round.
+   */
   choose(task: TaskId, placement: JobPlacement): PlacementOutcome {
     const { selector, zones, startSlackS: slackS } = placement;
-    const preferred = this.#takeReservation(task, placement) ?? selector.choose(zones, slackS);
+    const preferred = this.#claimReservation(task, placement) ?? selector.choose(zones, slackS);
     if (preferred !== null) {
       if (!this.#hasEarlierAttempt(task, preferred)) return { kind: "placed", machine: preferred };
-      // An earlier attempt that ended there and is not forgotten yet: the start would be refused.
+      // The worker still remembers an earlier attempt of the task and would refuse the start.
       const other = selector.choose(zones, slackS, (m) => this.#hasEarlierAttempt(task, m));
       if (other !== null) return { kind: "placed", machine: other };
       this.#requestTokenRaise(preferred);
@@ -101,49 +105,61 @@
     return this.#preempt(task, placement);
   }
 
-  /** Jobs that are alike share a selector, with all that it has computed of the machines. */
-  #selector(spec: JobSpec): CandidateSelector {
+  /**
+   * The selector for all candidates. Jobs with the same placement group share one, so that what it
+   * has computed for each machine is reused.
+   */
+  #sharedSelector(spec: JobSpec): CandidateSelector {
     const key = placementGroupKey(spec);
-    const known = this.#selectors.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#selectors.get(key);
+    if (cached !== undefined) return cached;
     const selector = new CandidateSelector(spec, this.candidates.values());
     this.#selectors.set(key, selector);
     return selector;
   }
 
-  #selectorWithout(spec: JobSpec, failedOn: ReadonlySet<MachineId>): CandidateSelector {
-    const untried = [...this.candidates.values()].filter((m) => !failedOn.has(m.id));
-    return new CandidateSelector(spec, untried);
+  /** A selector for the candidates on which the job has not failed. */
+  #selectorExcluding(spec: JobSpec, failedOn: ReadonlySet<MachineId>): CandidateSelector {
+    const notFailedOn = [...this.candidates.values()].filter((m) => !failedOn.has(m.id));
+    return new CandidateSelector(spec, notFailedOn);
   }
 
   /**
-   * A machine on which the job failed before is better than none, for one task at a time: a job with
-   * a mistake in it fails everywhere, and retrying all of its tasks would occupy the fleet.
+   * Chooses among all candidates, including those on which the job failed before, but only while the
+   * job has no open attempt. A job with an error of its own fails on every machine, and retrying all
+   * of its tasks at once would occupy the fleet.
    */
   #chooseDespiteFailures(placement: JobPlacement): CandidateMachine | null {
     const { job } = placement.queued;
     if (placement.failedOn.size === 0) return null;
     if (job.open.length + placement.starts.attempts.length > 0) return null;
-    return this.#selector(job.spec).choose(placement.zones, placement.startSlackS);
+    return this.#sharedSelector(job.spec).choose(placement.zones, placement.startSlackS);
   }
 
-  /** No machine has room: tasks that may be preempted are stopped, and their room is reserved. */
+  /**
+   * Called when no machine has free capacity: requests stops for tasks that may be preempted and
+   * reserves their capacity for this task.
+   */
   #preempt(task: TaskId, placement: JobPlacement): PlacementOutcome {
     const { state } = this;
     const { ctx } = state;
     const { queued } = placement;
-    if (queued.slackS > ctx.operators.preemptSlackS || ctx.store.isFailing()) return NO_ROOM;
+    if (queued.slackS > ctx.operators.preemptSlackS || ctx.store.isFailing()) return NO_CAPACITY;
     if (state.reservations.has(task)) return AWAITS_RESERVATION;
-    if (this.preemption.exhausted) return NO_ROOM;
-    placement.search ??= this.preemption.search(queued, placement.zones, placement.failedOn);
-    if (placement.search === undefined) return NO_ROOM;
-    const hasRoom = this.preemption.makeRoom(task, queued, placement.search);
-    return hasRoom ? AWAITS_RESERVATION : NO_ROOM;
+    if (this.preemption.isLimitReached) return NO_CAPACITY;
+    placement.preemptionSearch ??= this.preemption.searchFor(
+      queued,
+      placement.zones,
+      placement.failedOn,
+    );
+    if (placement.preemptionSearch === undefined) return NO_CAPACITY;
+    const isReserved = this.preemption.tryPreempt(task, queued, placement.preemptionSearch);
+    return isReserved ? AWAITS_RESERVATION : NO_CAPACITY;
   }
 
   /**
-   * The only machine with room still has an ended attempt of the task that can't be forgotten under
-   * the fencing token in force: the token has to rise.
+   * Requests a higher fencing token for a machine. Called if the only machine with free capacity still
+   * remembers an ended attempt of the task that it can't be told to forget under its present token.
    */
   #requestTokenRaise(machine: CandidateMachine): void {
     const { tokenRaise } = this.state.machineState(machine.id);
@@ -151,17 +167,21 @@
     tokenRaise.request();
   }
 
+  /** Whether the machine's last status lists an attempt of the task. */
   #hasEarlierAttempt(task: TaskId, machine: CandidateMachine): boolean {
     return this.state.sessions.get(machine.id)?.tasks.has(task) === true;
   }
 
-  /** The machine reserved for a task, if the task fits there by now, with the reservation undone. */
-  #takeReservation(task: TaskId, placement: JobPlacement): CandidateMachine | null {
+  /**
+   * Returns the machine with a reservation for the task, if the task may run there and fits now, and
+   * removes the reservation. Otherwise returns null and keeps the reservation.
+   */
+  #claimReservation(task: TaskId, placement: JobPlacement): CandidateMachine | null {
     const { spec } = placement.queued.job;
     const reservation = this.state.reservations.get(task);
     const machine = reservation === undefined ? undefined : this.candidates.get(reservation.to);
     if (machine === undefined || !isPermitted(spec, machine, placement.zones)) return null;
-    // The reservation itself is counted in the machine's use.
+    // The machine's use includes the reservation itself.
     const useByOthers = subtract(machine.use, spec.resources);
     if (!fitsBeside(spec.resources, useByOthers, machine.capacity)) return null;
     machine.use = useByOthers;
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -1,10 +1,11 @@
 /**
- * The placement phase of a round in one shard: queue, filter, score, reserve. Decides which waiting
- * tasks start on which machines, and asks for preemption where there is no room.
+ * The placement phase of a round in one shard, with the steps queue, filter, score and reserve.
+ * Decides which waiting tasks start on which machines, and requests preemption if no machine has free
+ * capacity for a task.
  *
- * Owns the placement state of one round: candidate machines and the use of each team. A start is
- * decided only if the team stays within its limit in this shard, and is sent only after the round is
- * committed.
+ * Owns the placement state of one round: the candidate machines and the resources that each team uses.
+ * A task starts only if its team stays within its limit in this shard. The start command is sent only
+ * after the round is committed.
  */
 import { type JobId, type MachineId, type Revision, type TeamName, taskId } from "@umberfold/ids";
 import type { Team } from "../../config/settings.js";
@@ -17,20 +18,20 @@
 import type { ShardState } from "../ownership/shard-state.js";
 import { candidateMachines } from "./candidate-machines.js";
 import { fairQueue, type QueueStep } from "./fair-queue.js";
-import { type JobPlacement, MachineChoice } from "./machine-choice.js";
+import { type JobPlacement, MachineChooser } from "./machine-choice.js";
 import { placementQueue, waitingJobs } from "./placement-queue.js";
 import { PreemptionPhase } from "./preemption-phase.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** Placement within one round of one shard. */
+/** Places the waiting tasks of one shard in one round. */
 export class PlacementPhase {
   readonly #candidates: Map<MachineId, CandidateMachine>;
   readonly #withinGuarantee: ReadonlySet<JobId>;
-  readonly #machineChoice: MachineChoice;
-  /** Teams with the limits and guarantees that hold in this shard. */
+  readonly #machineChooser: MachineChooser;
+  /** The teams, with their limits and guarantees in this shard. */
   readonly #teams: ReadonlyMap<TeamName, Team>;
 
-  /** @param changedMachines machines whose records this round changes: nothing starts there */
+  /** @param changedMachines machines whose records this round changes; no task starts on them */
   constructor(
     private readonly state: ShardState,
     private readonly round: ShardRound,
@@ -42,15 +43,15 @@
     this.#candidates = candidateMachines(state, shard, terminatedByMachine, changedMachines);
     this.#withinGuarantee = new Set(index.withinGuarantee(this.#teams.values()));
     const preemption = new PreemptionPhase(state, round, this.#withinGuarantee, this.#candidates);
-    this.#machineChoice = new MachineChoice(state, this.#candidates, preemption);
+    this.#machineChooser = new MachineChooser(state, this.#candidates, preemption);
   }
 
-  /** Whether any task of the shard waits once this round is written. */
-  static needed(state: ShardState, round: ShardRound): boolean {
+  /** Whether any task of the shard would be waiting after this round is committed as it is now. */
+  static isNeeded(state: ShardState, round: ShardRound): boolean {
     return !waitingJobs(state, round).next().done;
   }
 
-  /** Places the waiting jobs one after the other, until the batch is full. */
+  /** Places the waiting jobs in the order of the queue, until the transaction batch is full. */
   run(): void {
     if (this.#candidates.size === 0) return;
     const { state, round } = this;
@@ -69,7 +70,7 @@
       if (!this.#placeJob(step, teamUse)) return;
   }
 
-  /** What each team's open attempts take once the terminations of this round are written. */
+  /** The resources used by each team's open attempts without those that this round terminates. */
   #teamUse(): Map<TeamName, Resources> {
     const shardJobs = this.state.ctx.replica.shardJobs(this.round.shard);
     const teamUse = shardJobs.index.teamUse();
@@ -82,16 +83,19 @@
     return teamUse;
   }
 
-  /** Starts as many of a job's tasks as there is room for. Returns false if the batch is full. */
+  /**
+   * Starts as many of a job's tasks as the free capacity and the team's limit allow. Returns false if
+   * the batch is full.
+   */
   #placeJob(step: QueueStep, teamUse: Map<TeamName, Resources>): boolean {
-    // An earlier step of this round may have started some of its tasks.
+    // An earlier step of this round may have started some of the job's tasks.
     const job = this.round.drafts.get(step.id) ?? step.job;
     if (waitingTaskCount(job) === 0) return true;
     const queued: QueuedJob = { ...step, job };
     const team = this.#teams.get(job.spec.team);
     const accepted = this.state.ctx.replica.accepted.get(step.id);
     if (team === undefined || accepted === undefined) return true;
-    const placement = this.#machineChoice.begin(queued);
+    const placement = this.#machineChooser.beginJob(queued);
     const { starts } = placement;
     const useBefore = teamUse.get(job.spec.team) ?? NO_RESOURCES;
     const useAfter = this.#chooseStarts(placement, team, useBefore, step.maxStarts);
@@ -107,9 +111,9 @@
   }
 
   /**
-   * Chooses machines for a job's waiting tasks, and counts them in the machines' use.
+   * Chooses machines for a job's waiting tasks and adds the tasks to the machines' use.
    *
-   * @returns what the team uses with these starts; it stays within the team's limit
+   * @returns the resources that the team uses with these starts, which are within its limit
    */
   #chooseStarts(
     placement: JobPlacement,
@@ -128,8 +132,8 @@
       const useWithTask = add(use, spec.resources);
       if (useWithTask.cpus > maxUse.cpus || useWithTask.gpus > maxUse.gpus) break;
       const task = taskId(id, index);
-      const outcome = this.#machineChoice.choose(task, placement);
-      if (outcome.kind === "no_room") break;
+      const outcome = this.#machineChooser.choose(task, placement);
+      if (outcome.kind === "no_capacity") break;
       if (outcome.kind === "awaits_reservation") continue;
       const { machine } = outcome;
       this.state.reservations.delete(task);
@@ -141,8 +145,8 @@
   }
 
   /**
-   * Adds the job's new record to the batch. Returns false if the batch is full. The condition on the
-   * accepted job's revision lets a cancellation that was written first win.
+   * Adds the job's new record to the batch. Returns false if the batch is full. The write requires the
+   * accepted job's revision to be unchanged, so the commit fails if the job was cancelled meanwhile.
    */
   #writeDraft(id: JobId, acceptedRevision: Revision, draft: LiveJob): boolean {
     const { batch, shard, drafts } = this.round;
@@ -153,6 +157,7 @@
     return true;
   }
 
+  /** Counts and logs the starts, and marks their machines for a command call after the commit. */
   #recordStarts(queued: QueuedJob, draft: LiveJob, starts: readonly OpenAttempt[]): void {
     const { state, round } = this;
     const { ctx } = state;
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -1,10 +1,11 @@
 /**
- * The preemption phase of a round in one shard: where no machine has room for an urgent task, running
- * tasks of lower standing are stopped and their room is reserved for it.
+ * The preemption phase of a round in one shard: if no machine has free capacity for an urgent task,
+ * requests stops for running tasks of lower precedence (the victims) and reserves their capacity for
+ * the urgent task.
  *
- * Owns the searches of one round and their limits. It requests stops and makes reservations in the
- * shard's soft state; the victims are terminated, and the task started, by later rounds. Who may
- * preempt whom is decided in `scheduling/preemption.ts`.
+ * Owns the preemption searches of one round and enforces the limits on their number. Changes only the
+ * shard's soft state, by stop requests and reservations; later rounds terminate the victims and start
+ * the task. `scheduling/preemption.ts` decides which jobs may preempt which.
  */
 import type { JobId, MachineId, TaskId } from "@umberfold/ids";
 import { type JobSpec, priorityOrder } from "../../protocol/jobs.js";
@@ -30,26 +31,29 @@
 import type { LiveJob } from "../../storage/records.js";
 import { wallClockNow } from "../../transport/clock.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { RESERVATION_MS } from "./candidate-machines.js";
+import { RESERVATION_TIMEOUT_MS } from "./candidate-machines.js";
 import type { ShardRound } from "./shard-round.js";
 
-/** Tasks that one round makes room for. */
+/** The maximum number of tasks for which one round preempts others. */
 const MAX_PREEMPTIONS_PER_ROUND = 24;
-/** Searches that one round begins: each looks at all open attempts of the shard. */
+/** The maximum number of searches in one round; each examines all open attempts of the shard. */
 const MAX_SEARCHES_PER_ROUND = 16;
 
-/** Preemption within one round of one shard. */
+/** Preempts tasks of one shard in one round. */
 export class PreemptionPhase {
-  #preemptions = 0;
-  #searchesBegun = 0;
-  /** What stopping a job's tasks costs beyond the work they lose, in seconds: computed once a job. */
-  readonly #surchargeS = new Map<JobId, number>();
-  /** Searches by group: jobs that are alike continue where the previous one stopped. */
+  #preemptionCount = 0;
+  #searchCount = 0;
+  /** Cached results of `#slackPenaltyOf` in seconds, by job. */
+  readonly #slackPenaltyS = new Map<JobId, number>();
+  /**
+   * Searches by placement group, priority, team and guarantee. Jobs that agree in all of these share a
+   * search, so each continues where the previous job stopped.
+   */
   readonly #searches = new Map<string, PreemptionSearch>();
 
   /**
-   * @param withinGuarantee jobs that their teams' guarantees cover
-   * @param candidates the round's candidate machines; their use rises with each reservation
+   * @param withinGuarantee jobs within their teams' guarantees
+   * @param candidates the round's candidate machines; each reservation is added to their use
    */
   constructor(
     private readonly state: ShardState,
@@ -58,48 +62,51 @@
     private readonly candidates: ReadonlyMap<MachineId, CandidateMachine>,
   ) {}
 
-  /** Whether this round has reached its limit of preemptions. */
-  get exhausted(): boolean {
-    return this.#preemptions >= MAX_PREEMPTIONS_PER_ROUND;
+  /** Whether this round has preempted for the maximum number of tasks. */
+  get isLimitReached(): boolean {
+    return this.#preemptionCount >= MAX_PREEMPTIONS_PER_ROUND;
   }
 
-  /** A search for room for a job's tasks; undefined if this round may not begin another one. */
-  search(
+  /**
+   * Returns the search for tasks to preempt in favour of a job, or undefined if the job needs a new
+   * search and this round has started the maximum number of them.
+   */
+  searchFor(
     preemptor: QueuedJob,
     zones: ZoneCounts,
     failedOn: ReadonlySet<MachineId>,
   ): PreemptionSearch | undefined {
     const { spec } = preemptor.job;
-    const isShared = !hasZoneRules(spec) && failedOn.size === 0;
-    const group = `${placementGroupKey(spec)}|${spec.priority}|${spec.team}|${preemptor.withinGuarantee}`;
-    const known = isShared ? this.#searches.get(group) : undefined;
-    if (known !== undefined) return known;
-    if (this.#searchesBegun >= MAX_SEARCHES_PER_ROUND) return undefined;
-    this.#searchesBegun++;
+    const isShareable = !hasZoneRules(spec) && failedOn.size === 0;
+    const searchKey = `${placementGroupKey(spec)}|${spec.priority}|${spec.team}|${preemptor.withinGuarantee}`;
+    const cached = isShareable ? this.#searches.get(searchKey) : undefined;
+    if (cached !== undefined) return cached;
+    if (this.#searchCount >= MAX_SEARCHES_PER_ROUND) return undefined;
+    this.#searchCount++;
     const sources: PreemptionSource[] = [];
     for (const machine of this.candidates.values())
       if (!failedOn.has(machine.id) && isPermitted(spec, machine, zones))
         sources.push({
           candidate: () => this.#preemptionCandidate(preemptor, machine),
-          // Each start and each reservation on the machine replaces its use.
+          // Each start and each reservation on the machine replaces its `use` object.
           version: () => machine.use,
         });
     const { preemptMaxLossS } = this.state.ctx.operators;
     const search = new PreemptionSearch(spec.resources, sources, preemptMaxLossS);
-    if (isShared) this.#searches.set(group, search);
+    if (isShareable) this.#searches.set(searchKey, search);
     return search;
   }
 
   /**
-   * Makes room for a task where stopping loses the least, and reserves it. Returns false if no room
-   * can be made.
+   * Requests stops for the tasks whose preemption loses the least work, and reserves their capacity
+   * for the task. Returns false if no preemption within the maximum loss makes the task fit.
    */
-  makeRoom(task: TaskId, preemptor: QueuedJob, search: PreemptionSearch): boolean {
+  tryPreempt(task: TaskId, preemptor: QueuedJob, search: PreemptionSearch): boolean {
     const { state, round } = this;
     const shardJobs = state.ctx.replica.shardJobs(round.shard);
     const plan = search.take();
     if (plan === null) return false;
-    this.#preemptions++;
+    this.#preemptionCount++;
     for (const victim of plan.victims) {
       const attempt = shardJobs.openAttemptsOn(plan.machine).get(victim.task);
       const job = attempt === undefined ? undefined : shardJobs.jobs.get(attempt.job);
@@ -108,20 +115,24 @@
       state.counters.preempted++;
     }
     const machine = this.candidates.get(plan.machine);
-    // The victims' room is not free until they are gone: the new task's demand is added to theirs.
+    // The victims use their capacity until they are terminated, so the reservation is added to it.
     if (machine !== undefined) addUse(machine, preemptor.job.spec.resources);
     search.noted(plan.machine);
-    state.reserve(task, plan.machine, RESERVATION_MS);
+    state.reserve(task, plan.machine, RESERVATION_TIMEOUT_MS);
     round.machinesToCall.add(plan.machine);
     return true;
   }
 
+  /** The properties of a job that decide which jobs it may preempt or be preempted by. */
   #preemptionContext(id: JobId, spec: JobSpec): PreemptionContext {
     const withinGuarantee = this.withinGuarantee.has(id);
     return { priority: priorityOrder(spec.priority), withinGuarantee, team: spec.team };
   }
 
-  /** What could be freed on a machine for this job; undefined if the job would not fit even so. */
+  /**
+   * The free capacity and the possible victims on a machine. Undefined if there are no victims and the
+   * job's task doesn't fit into the free capacity either.
+   */
   #preemptionCandidate(
     preemptor: QueuedJob,
     machine: CandidateMachine,
@@ -136,7 +147,8 @@
       if (job === undefined) continue;
       const attemptState = state.attemptStates.get(attempt.key);
       const { resources, checkpointSaveS } = job.spec;
-      // It is stopping already: its room may be reserved, but nothing can be started in it yet.
+      // The attempt is stopping already. Its capacity can be reserved, although no task can start in
+      // it yet. If this round terminates the attempt, the machine's use doesn't include it any more.
       if (job.cancelledAt !== null || attemptState?.stopRequest != null) {
         if (round.terminatedByMachine.get(machine.id)?.has(task) !== true)
           free = add(free, resources);
@@ -146,7 +158,7 @@
       const lossS =
         state.lossS(job, attemptState, round.now) +
         checkpointSaveS +
-        this.#surchargeOf(attempt.job, job);
+        this.#slackPenaltyOf(attempt.job, job);
       victims.push({ task, resources, lossS });
     }
     if (victims.length === 0 && !fits(preemptor.job.spec.resources, free)) return undefined;
@@ -154,18 +166,19 @@
   }
 
   /**
-   * The nearer a victim's own objective, the higher its surcharge: otherwise the same young tasks of
-   * the same jobs are stopped again and again, each time at little loss, until their job is late.
+   * The seconds that are added to the loss of stopping a job's task: the less slack the job has until
+   * its own next target, the more. Without this penalty the same jobs' recently started tasks would be
+   * preempted repeatedly, because each loses little work, until their jobs miss their targets.
    */
-  #surchargeOf(id: JobId, job: LiveJob): number {
-    const known = this.#surchargeS.get(id);
-    if (known !== undefined) return known;
+  #slackPenaltyOf(id: JobId, job: LiveJob): number {
+    const cached = this.#slackPenaltyS.get(id);
+    if (cached !== undefined) return cached;
     const { operators, settings } = this.state.ctx;
     const targets = targetsOf(job.spec, settings.objectives, this.withinGuarantee.has(id));
     const ageS = (wallClockNow() - job.acceptedAt) / 1000;
     const jobSlackS = slackS(targets, ageS, this.state.expectedRunS(job.spec));
-    const surchargeS = Math.max(0, operators.spareSlackS - jobSlackS);
-    this.#surchargeS.set(id, surchargeS);
-    return surchargeS;
+    const penaltyS = Math.max(0, operators.spareSlackS - jobSlackS);
+    this.#slackPenaltyS.set(id, penaltyS);
+    return penaltyS;
   }
 }
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -15,7 +15,7 @@
 import type { WorkerChannel } from "../workers/worker-channel.js";
 import { finishCompletedJobs, terminateAttempts } from "./attempt-termination.js";
 import { MachineSweep, markReplicaChangesDirty } from "./dirty-machines.js";
-import { drainRequestedMachines, handleSpotNotices } from "./evictions.js";
+import { drainMachinesForTransfer, handlePreemptionNotices } from "./evictions.js";
 import { MachineRecordPhase } from "./machine-record-phase.js";
 import { PlacementPhase } from "./placement-phase.js";
 import type { RoundCommit } from "./round-commit.js";
@@ -112,8 +112,8 @@
 
   /** Requests the stops that clear machines: for spot notices, and for transfers with a drain. */
   #evict(now: MonotonicMs, canWrite: boolean): void {
-    handleSpotNotices(this.state, now);
-    if (canWrite) drainRequestedMachines(this.state, now);
+    handlePreemptionNotices(this.state, now);
+    if (canWrite) drainMachinesForTransfer(this.state, now);
   }
 
   /** Runs the swarm in each shard once a period. */
@@ -161,7 +161,7 @@
     const { state } = this;
     terminateAttempts(state, round, machines);
     const changedMachines = this.#machineRecords.reconcile(round, machines);
-    if (PlacementPhase.needed(state, round))
+    if (PlacementPhase.isNeeded(state, round))
       new PlacementPhase(state, round, changedMachines).run();
   }
 
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -1,9 +1,10 @@
 /**
- * The swarm phase of a round: the paper's periodic moves, by which tasks that are cheap to restart
- * leave machines that can be emptied.
+ * The swarm phase of a round: periodically moves tasks that are cheap to restart off underused
+ * machines, so that these machines become empty. `scheduling/swarm.ts` has the algorithm and names the
+ * paper that it comes from.
  *
- * Owns no state. It requests stops and makes reservations in the shard's soft state; the tasks are
- * terminated and started again by later rounds.
+ * Owns no state. Changes only the shard's soft state, by stop requests and reservations; later rounds
+ * terminate the tasks and start them at their destinations.
  */
 import type { MachineId, MonotonicMs, ShardId } from "@umberfold/ids";
 import {
@@ -21,9 +22,12 @@
 } from "../../scheduling/swarm.js";
 import type { LiveJob } from "../../storage/records.js";
 import type { ShardState } from "../ownership/shard-state.js";
-import { candidateMachines, RESERVATION_MS, zoneCounts } from "./candidate-machines.js";
+import { candidateMachines, RESERVATION_TIMEOUT_MS, zoneCounts } from "./candidate-machines.js";
 
-/** One job of each group of waiting jobs that are alike for placement. */
+/**
+ * One job of each placement group among the waiting jobs, and every job with zone rules, because these
+ * also depend on where the job's other tasks run.
+ */
 const representativeJobs = (waiting: Iterable<LiveJob>): readonly LiveJob[] => {
   const byGroup = new Map<string, LiveJob>();
   const withZoneRules: LiveJob[] = [];
@@ -33,8 +37,11 @@
   return [...byGroup.values(), ...withZoneRules];
 };
 
-/** Where a task of this job may move from its machine. */
-const destinationRule = (
+/**
+ * A predicate for the machines to which a task of this job may move: the job's placement rules permit
+ * the machine, and the machine has the image in its cache or can fetch it within one second.
+ */
+const destinationFilter = (
   state: ShardState,
   job: LiveJob,
   from: CandidateMachine,
@@ -50,8 +57,11 @@
   };
 };
 
-/** A machine as the swarm sees it: the paper's n - Q + R, and the tasks that may move. */
-const swarmMachine = (
+/**
+ * A machine as input of the swarm algorithm: its tasks that may move, and its use without the tasks
+ * that are leaving and with those that are expected (n - Q + R in the paper).
+ */
+const toSwarmMachine = (
   state: ShardState,
   shard: ShardId,
   machine: CandidateMachine,
@@ -65,20 +75,21 @@
     const job = shardJobs.jobs.get(attempt.job);
     if (job === undefined) continue;
     const attemptState = state.attemptStates.get(attempt.key);
-    // A job that fails everywhere would draw tasks back and forth, so it does not count in n.
+    // The tasks of a failing job are left out of the use (n in the paper): a job that fails on every
+    // machine would otherwise cause other tasks to be moved back and forth.
     const isFailing = (state.jobBackoffs.get(attempt.job)?.failures ?? 0) > 0;
     if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
       use = subtract(use, job.spec.resources);
       continue;
     }
-    const allowed = destinationRule(state, job, machine, candidates);
+    const allowed = destinationFilter(state, job, machine, candidates);
     const lossS = state.lossS(job, attemptState, now);
     tasks.push({ task, resources: job.spec.resources, lossS, allowed });
   }
   return { id: machine.id, capacity: machine.capacity, use, tasks };
 };
 
-/** Stops the tasks that move, and reserves room for them at their destinations. */
+/** Requests stops for the tasks to move and reserves capacity at their destinations. */
 const applyMoves = (state: ShardState, shard: ShardId, moves: readonly SwarmMove[]): void => {
   const shardJobs = state.ctx.replica.shardJobs(shard);
   for (const { task, from, to } of moves) {
@@ -86,13 +97,13 @@
     const job = attempt === undefined ? undefined : shardJobs.jobs.get(attempt.job);
     if (attempt === undefined || job === undefined) continue;
     state.stop(attempt.key, from, "moved", job.spec.checkpointSaveS);
-    state.reserve(task, to, RESERVATION_MS);
+    state.reserve(task, to, RESERVATION_TIMEOUT_MS);
     state.counters.moves++;
     state.ctx.log.debug("swarm move", { task, from, to });
   }
 };
 
-/** One period of the swarm in one shard. */
+/** Runs one period of the swarm algorithm in one shard. */
 export const runSwarmPhase = (state: ShardState, shard: ShardId, now: MonotonicMs): void => {
   const { replica, operators, random } = state.ctx;
   const shardJobs = replica.shardJobs(shard);
@@ -100,13 +111,14 @@
   const waiting = representativeJobs(shardJobs.index.waiting.values());
   const machines: SwarmMachine[] = [];
   for (const candidate of candidates.values()) {
-    // Where a waiting task fits, placement fills the machine, and would fill what a move frees too.
+    // A machine that suits a waiting job is skipped: placement fills it, and would also fill the
+    // capacity that a move frees.
     const hasDemand = waiting.some(
       (job) =>
         fits(job.spec.resources, candidate.capacity) &&
         isPermitted(job.spec, candidate, zoneCounts(state, job)),
     );
-    if (!hasDemand) machines.push(swarmMachine(state, shard, candidate, candidates, now));
+    if (!hasDemand) machines.push(toSwarmMachine(state, shard, candidate, candidates, now));
   }
   const moves = planSwarmMoves(machines, random, {
     cap: Math.max(operators.swarmMoves, Math.floor(machines.length * operators.swarmPart)),
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -183,7 +183,7 @@
     const batch = new TransactionBatch(this.replica, LIMITS);
     const round = newShardRound(SHARD, batch, monotonicMs(0));
     terminateAttempts(this.state, round, this.state.sessions.keys());
-    if (PlacementPhase.needed(this.state, round))
+    if (PlacementPhase.isNeeded(this.state, round))
       new PlacementPhase(this.state, round, new Set()).run();
     return { steps: this.steps, starts: this.state.counters.starts, ops: batch.ops };
   }
