--- a/test/coordination/rounds/fair-queue.test.ts
+++ b/test/coordination/rounds/fair-queue.test.ts
@@ -10,11 +10,11 @@
 
 const CAPACITY = { cpus: 100, gpus: 0, ramGb: 400 };
 
-const queued = (
+const queuedJob = (
   id: string,
   team: string,
   jobClass: string,
-  more: Partial<QueuedJob> = {},
+  overrides: Partial<QueuedJob> = {},
 ): QueuedJob => {
   const spec = {
     id: jobId(id),
@@ -33,32 +33,39 @@
     expectedRunS: 1,
     withinGuarantee: false,
   };
-  return { ...base, slackS: 0, overdue: false, ...more };
+  return { ...base, slackS: 0, overdue: false, ...overrides };
 };
 
-/** Queues in the order of slack; team `busy` uses half of the capacity. */
+/**
+ * Title, queue in the order of slack, expected steps (job, or job:maxStarts). Team `busy` uses half of
+ * the capacity, team `quiet` none.
+ */
 const cases: readonly (readonly [string, readonly QueuedJob[], readonly string[]])[] = [
   [
-    "the job of a team that uses less goes before a burst of the same class",
-    [queued("wk-1", "busy", "c"), queued("wk-2", "busy", "c"), queued("wk-3", "quiet", "c")],
+    "the job of a team with a lower share goes before another team's burst of the same class",
+    [
+      queuedJob("wk-1", "busy", "c"),
+      queuedJob("wk-2", "busy", "c"),
+      queuedJob("wk-3", "quiet", "c"),
+    ],
     ["wk-3:2", "wk-1:2", "wk-2:2", "wk-1", "wk-2", "wk-3"],
   ],
   [
-    "between classes slack decides, and the order stays",
-    [queued("wk-1", "busy", "urgent"), queued("wk-2", "quiet", "idle")],
+    "jobs of different classes stay in the order of their slack",
+    [queuedJob("wk-1", "busy", "urgent"), queuedJob("wk-2", "quiet", "idle")],
     ["wk-1", "wk-2"],
   ],
   [
     "jobs within a guarantee are not reordered",
     [
-      queued("wk-1", "busy", "c", { withinGuarantee: true }),
-      queued("wk-2", "quiet", "c", { withinGuarantee: true }),
+      queuedJob("wk-1", "busy", "c", { withinGuarantee: true }),
+      queuedJob("wk-2", "quiet", "c", { withinGuarantee: true }),
     ],
     ["wk-1", "wk-2"],
   ],
   [
     "overdue jobs are not reordered",
-    [queued("wk-1", "busy", "c", { overdue: true }), queued("wk-2", "quiet", "c")],
+    [queuedJob("wk-1", "busy", "c", { overdue: true }), queuedJob("wk-2", "quiet", "c")],
     ["wk-1", "wk-2"],
   ],
 ];
@@ -77,17 +84,25 @@
     );
   });
 
-test("fair queue: a team that spans shards is judged by its use in all of them", () => {
-  const queue = [queued("wk-1", "burst", "c"), queued("wk-2", "home", "c")];
+test("fair queue: a team that spans shards is ranked by its estimated use in all of them", () => {
+  const queue = [queuedJob("wk-1", "burst", "c"), queuedJob("wk-2", "home", "c")];
   const use = new Map([
     [teamName("burst"), { cpus: 10, gpus: 0, ramGb: 0 }],
     [teamName("home"), { cpus: 20, gpus: 0, ramGb: 0 }],
   ]);
   const candidates = [{ capacity: CAPACITY } as unknown as CandidateMachine];
-  const firstWith = (fraction: number): string | undefined => {
+  const firstJobWith = (fraction: number): string | undefined => {
     const quotaFractionOf = (team: string): number => (team === "burst" ? fraction : 1);
     return fairQueue(queue, fairTurns, use, quotaFractionOf, candidates)[0]?.id;
   };
-  assert.equal(firstWith(1), "wk-1", "all of its quota is here: it uses less");
-  assert.equal(firstWith(0.25), "wk-2", "a quarter of it is here: it uses twice as much");
+  assert.equal(
+    firstJobWith(1),
+    "wk-1",
+    "all of its quota is in this shard: the team uses less than the other one",
+  );
+  assert.equal(
+    firstJobWith(0.25),
+    "wk-2",
+    "a quarter of its quota is in this shard: the team uses twice as much as the other one",
+  );
 });
--- a/test/coordination/rounds/job-starts.test.ts
+++ b/test/coordination/rounds/job-starts.test.ts
@@ -24,7 +24,7 @@
     smallestDemand: UNBOUNDED_RESOURCES,
   }) as unknown as CandidateMachine;
 
-test("job starts: attempts are numbered in order and counted in their machine's use", () => {
+test("job starts: attempts are numbered in order and added to their machine's use", () => {
   const starts = newJobStarts();
   const candidate = newCandidate();
   assert.ok(starts.tryAdd(0, candidate) && starts.tryAdd(3, candidate));
@@ -46,7 +46,7 @@
   assert.deepEqual(candidate, newCandidate());
 });
 
-test("job starts: an attempt that would overfill the job's page changes nothing", () => {
+test("job starts: an attempt beyond the job's part of a page is refused and changes nothing", () => {
   const starts = newJobStarts(0);
   const candidate = newCandidate();
   assert.equal(starts.tryAdd(0, candidate), false);
