--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -3,8 +3,8 @@
  * round, and computes how much of each machine's capacity is in use.
  *
  * Owns a cache of the resources in use on each machine. An entry is valid as long as the version
- * number of the machine's open attempts stays the same. A candidate's use includes every open attempt
- * that this round does not terminate, and every reservation.
+ * number of the machine's open attempts stays the same. A candidate's use includes every open
+ * attempt that this round does not terminate, and every reservation.
  */
 import { type MachineId, type ShardId, splitTask, type TaskId } from "@umberfold/ids";
 import type { Resources } from "../../protocol/jobs.js";
@@ -24,8 +24,9 @@
 export const RESERVATION_TIMEOUT_MS = 10_000;
 
 /**
- * A machine is costly if its price per processor exceeds the lowest spot price per processor by more
- * than this factor. Spot prices vary by a third, so a larger ratio means a different kind of machine.
+ * A machine is costly if its price per processor exceeds the lowest spot price per processor by
+ * more than this factor. Spot prices vary by a third, so a larger ratio means a different kind of
+ * machine.
  */
 const COSTLY_PRICE_RATIO = 2;
 /** A machine with more consecutive unanswered command calls than this is given no tasks. */
@@ -135,7 +136,7 @@
  * is committed.
  *
  * @param terminatedByMachine tasks whose attempts this round terminates, by machine
- * @param changedMachines machines whose records this round changes, and which are therefore excluded
+ * @param changedMachines machines whose records this round changes: they are excluded
  */
 export const candidateMachines = (
   state: ShardState,
--- a/src/coordination/rounds/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -1,9 +1,9 @@
 /**
- * The evict phase of a round: requests stops for the attempts on spot machines that the cloud is about
- * to preempt, and on machines that the leader wants to transfer to another shard.
+ * The evict phase of a round: requests stops for the attempts on spot machines that the cloud is
+ * about to preempt, and on machines that the leader wants to transfer to another shard.
  *
- * Owns no state. Changes the soft state of attempts and the departure state of machines. Later rounds
- * terminate the stopped attempts and start their tasks on other machines.
+ * Owns no state. Changes the soft state of attempts and the departure state of machines. Later
+ * rounds terminate the stopped attempts and start their tasks on other machines.
  */
 import type { JobId, MachineId, MonotonicMs } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
@@ -14,9 +14,9 @@
   state.ctx.replica.accepted.get(id)?.value.spec;
 
 /**
- * An attempt is left to complete only if its expected remaining run time, multiplied by this factor,
- * is below the time that the preemption notice leaves. The announced notice and the actual time may
- * differ by a factor of 2, and run time estimates are often wrong by half.
+ * An attempt is left to complete only if its expected remaining run time, multiplied by this
+ * factor, is below the time that the preemption notice leaves. The announced notice and the actual
+ * time may differ by a factor of 2, and run time estimates are often wrong by half.
  */
 const NOTICE_SAFETY_FACTOR = 2;
 
@@ -34,8 +34,8 @@
 
 /**
  * Requests a stop of each attempt that is not expected to complete before the machine is preempted,
- * and of each attempt that saves checkpoints. The grace period covers the saving of a checkpoint; it
- * is 0 if the notice leaves too little time for that.
+ * and of each attempt that saves checkpoints. The grace period covers the saving of a checkpoint;
+ * it is 0 if the notice leaves too little time for that.
  */
 const evictBeforePreemption = (
   state: ShardState,
@@ -56,8 +56,8 @@
 };
 
 /**
- * Evicts and decommissions the machines with a preemption notice. Attempts that can't complete in time
- * save a checkpoint, or are stopped at once so that their tasks can start elsewhere.
+ * Evicts and decommissions the machines with a preemption notice. Attempts that can't complete in
+ * time save a checkpoint, or are stopped at once so that their tasks can start elsewhere.
  */
 export const handlePreemptionNotices = (state: ShardState, now: MonotonicMs): void => {
   for (const [id, session] of state.sessions) {
--- a/src/coordination/rounds/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -22,11 +22,13 @@
 /**
  * Lower bound of the quota fraction by which a team's use in this shard is divided. The quotient
  * estimates the use of a team that spans several shards in all of them. (When only the use in this
- * shard counted, a team whose burst had just reached the shard was served before the team whose home
- * shard it is.)
+ * shard counted, a team whose burst had just reached the shard was served before the team whose
+ * home shard it is.)
  */
 const MIN_QUOTA_FRACTION = 0.01;
-/** Fair turns are computed for at most this many tasks: about as many as one transaction can start. */
+/**
+ * Fair turns are computed for at most this many tasks: about as many as one transaction can start.
+ */
 const MAX_FAIR_TURN_TASKS = 256;
 
 /** The dominant share: the largest fraction of the capacity used among CPUs, GPUs and memory. */
@@ -38,8 +40,8 @@
   );
 
 /**
- * Whether two jobs have the same precedence: the same priority, both or neither overdue, and both or
- * neither within a guarantee. Only such jobs may be reordered.
+ * Whether two jobs have the same precedence: the same priority, both or neither overdue, and both
+ * or neither within a guarantee. Only such jobs may be reordered.
  */
 const haveSamePrecedence = (a: QueuedJob, b: QueuedJob): boolean =>
   a.overdue === b.overdue &&
--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Opens an attempt of the task with this index on the machine. Returns false, and adds nothing from
-   * then on, once the job's record would exceed its part of a page; the remaining tasks of such a
-   * large job array start in later rounds, after some of its open attempts have ended.
+   * Opens an attempt of the task with this index on the machine. Returns false, and adds nothing
+   * from then on, once the job's record would exceed its part of a page; the remaining tasks of
+   * such a large job array start in later rounds, after some of its open attempts have ended.
    */
   tryAdd(index: number, machine: CandidateMachine): boolean {
     const attempt = attemptNumber(this.#nextAttempt);
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Chooses a machine with free capacity for one task. If there is none, tries to preempt other tasks
-   * so that it can start in a later round.
+   * Chooses a machine with free capacity for one task. If there is none, tries to preempt other
+   * tasks so that it can start in a later round.
    */
   choose(task: TaskId, placement: JobPlacement): PlacementOutcome {
     const { selector, zones, startSlackS: slackS } = placement;
@@ -125,9 +125,9 @@
   }
 
   /**
-   * Chooses among all candidates, including those on which the job failed before, but only while the
-   * job has no open attempt. A job with an error of its own fails on every machine, and retrying all
-   * of its tasks at once would occupy the fleet.
+   * Chooses among all candidates, including those on which the job failed before, but only while
+   * the job has no open attempt. A job with an error of its own fails on every machine, and
+   * retrying all of its tasks at once would occupy the fleet.
    */
   #chooseDespiteFailures(placement: JobPlacement): CandidateMachine | null {
     const { job } = placement.queued;
@@ -158,8 +158,9 @@
   }
 
   /**
-   * Requests a higher fencing token for a machine. Called if the only machine with free capacity still
-   * remembers an ended attempt of the task that it can't be told to forget under its present token.
+   * Requests a higher fencing token for a machine. Called if the only machine with free capacity
+   * still remembers an ended attempt of the task that it can't be told to forget under its present
+   * token.
    */
   #requestTokenRaise(machine: CandidateMachine): void {
     const { tokenRaise } = this.state.machineState(machine.id);
@@ -173,8 +174,8 @@
   }
 
   /**
-   * Returns the machine with a reservation for the task, if the task may run there and fits now, and
-   * removes the reservation. Otherwise returns null and keeps the reservation.
+   * Returns the machine with a reservation for the task, if the task may run there and fits now,
+   * and removes the reservation. Otherwise returns null and keeps the reservation.
    */
   #claimReservation(task: TaskId, placement: JobPlacement): CandidateMachine | null {
     const { spec } = placement.queued.job;
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -1,11 +1,11 @@
 /**
  * The placement phase of a round in one shard, with the steps queue, filter, score and reserve.
- * Decides which waiting tasks start on which machines, and requests preemption if no machine has free
- * capacity for a task.
+ * Decides which waiting tasks start on which machines, and requests preemption if no machine has
+ * free capacity for a task.
  *
- * Owns the placement state of one round: the candidate machines and the resources that each team uses.
- * A task starts only if its team stays within its limit in this shard. The start command is sent only
- * after the round is committed.
+ * Owns the placement state of one round: the candidate machines and the resources that each team
+ * uses. A task starts only if its team stays within its limit in this shard. The start command is
+ * sent only after the round is committed.
  */
 import { type JobId, type MachineId, type Revision, type TeamName, taskId } from "@umberfold/ids";
 import type { Team } from "../../config/settings.js";
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Starts as many of a job's tasks as the free capacity and the team's limit allow. Returns false if
-   * the batch is full.
+   * Starts as many of a job's tasks as the free capacity and the team's limit allow. Returns false
+   * if the batch is full.
    */
   #placeJob(step: QueueStep, teamUse: Map<TeamName, Resources>): boolean {
     // An earlier step of this round may have started some of the job's tasks.
@@ -145,8 +145,9 @@
   }
 
   /**
-   * Adds the job's new record to the batch. Returns false if the batch is full. The write requires the
-   * accepted job's revision to be unchanged, so the commit fails if the job was cancelled meanwhile.
+   * Adds the job's new record to the batch. Returns false if the batch is full. The write requires
+   * the accepted job's revision to be unchanged, so the commit fails if the job was cancelled
+   * meanwhile.
    */
   #writeDraft(id: JobId, acceptedRevision: Revision, draft: LiveJob): boolean {
     const { batch, shard, drafts } = this.round;
--- a/src/coordination/rounds/placement-queue.ts
+++ b/src/coordination/rounds/placement-queue.ts
@@ -1,6 +1,6 @@
 /**
- * The queue step of placement: finds the jobs of a shard with waiting tasks and orders them. Keeps no
- * state between calls.
+ * The queue step of placement: finds the jobs of a shard with waiting tasks and orders them. Keeps
+ * no state between calls.
  */
 import type { JobId, MachineId } from "@umberfold/ids";
 import type { CandidateMachine } from "../../scheduling/placement.js";
@@ -34,8 +34,8 @@
   }
 
   /**
-   * The expected fetch time of an image in seconds, at the mean rate of all machine types; 0 if most
-   * candidates have it in their cache.
+   * The expected fetch time of an image in seconds, at the mean rate of all machine types; 0 if
+   * most candidates have it in their cache.
    */
   fetchS(image: string, imageGb: number): number {
     return this.#meanGbPerS > 0 && !this.#isMostlyCached(image) ? imageGb / this.#meanGbPerS : 0;
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -1,11 +1,11 @@
 /**
  * The preemption phase of a round in one shard: if no machine has free capacity for an urgent task,
- * requests stops for running tasks of lower precedence (the victims) and reserves their capacity for
- * the urgent task.
+ * requests stops for running tasks of lower precedence (the victims) and reserves their capacity
+ * for the urgent task.
  *
- * Owns the preemption searches of one round and enforces the limits on their number. Changes only the
- * shard's soft state, by stop requests and reservations; later rounds terminate the victims and start
- * the task. `scheduling/preemption.ts` decides which jobs may preempt which.
+ * Owns the preemption searches of one round and enforces the limits on their number. Changes only
+ * the shard's soft state, by stop requests and reservations; later rounds terminate the victims and
+ * start the task. `scheduling/preemption.ts` decides which jobs may preempt which.
  */
 import type { JobId, MachineId, TaskId } from "@umberfold/ids";
 import { type JobSpec, priorityOrder } from "../../protocol/jobs.js";
@@ -46,8 +46,8 @@
   /** Cached results of `#slackPenaltyOf` in seconds, by job. */
   readonly #slackPenaltyS = new Map<JobId, number>();
   /**
-   * Searches by placement group, priority, team and guarantee. Jobs that agree in all of these share a
-   * search, so each continues where the previous job stopped.
+   * Searches by placement group, priority, team and guarantee. Jobs that agree in all of these
+   * share a search, so each continues where the previous job stopped.
    */
   readonly #searches = new Map<string, PreemptionSearch>();
 
@@ -78,8 +78,8 @@
   ): PreemptionSearch | undefined {
     const { spec } = preemptor.job;
     const isShareable = !hasZoneRules(spec) && failedOn.size === 0;
-    const searchKey = `${placementGroupKey(spec)}|${spec.priority}|${spec.team}|${preemptor.withinGuarantee}`;
-    const cached = isShareable ? this.#searches.get(searchKey) : undefined;
+    const key = `${placementGroupKey(spec)}|${spec.priority}|${spec.team}|${preemptor.withinGuarantee}`;
+    const cached = isShareable ? this.#searches.get(key) : undefined;
     if (cached !== undefined) return cached;
     if (this.#searchCount >= MAX_SEARCHES_PER_ROUND) return undefined;
     this.#searchCount++;
@@ -93,7 +93,7 @@
         });
     const { preemptMaxLossS } = this.state.ctx.operators;
     const search = new PreemptionSearch(spec.resources, sources, preemptMaxLossS);
-    if (isShareable) this.#searches.set(searchKey, search);
+    if (isShareable) this.#searches.set(key, search);
     return search;
   }
 
@@ -130,8 +130,8 @@
   }
 
   /**
-   * The free capacity and the possible victims on a machine. Undefined if there are no victims and the
-   * job's task doesn't fit into the free capacity either.
+   * The free capacity and the possible victims on a machine. Undefined if there are no victims and
+   * the job's task doesn't fit into the free capacity either.
    */
   #preemptionCandidate(
     preemptor: QueuedJob,
@@ -147,8 +147,9 @@
       if (job === undefined) continue;
       const attemptState = state.attemptStates.get(attempt.key);
       const { resources, checkpointSaveS } = job.spec;
-      // The attempt is stopping already. Its capacity can be reserved, although no task can start in
-      // it yet. If this round terminates the attempt, the machine's use doesn't include it any more.
+      // The attempt is stopping already. Its capacity can be reserved, although no task can start
+      // in it yet. If this round terminates the attempt, the machine's use doesn't include it any
+      // more.
       if (job.cancelledAt !== null || attemptState?.stopRequest != null) {
         if (round.terminatedByMachine.get(machine.id)?.has(task) !== true)
           free = add(free, resources);
@@ -166,9 +167,10 @@
   }
 
   /**
-   * The seconds that are added to the loss of stopping a job's task: the less slack the job has until
-   * its own next target, the more. Without this penalty the same jobs' recently started tasks would be
-   * preempted repeatedly, because each loses little work, until their jobs miss their targets.
+   * The seconds that are added to the loss of stopping a job's task: the less slack the job has
+   * until its own next target, the more. Without this penalty the same jobs' recently started tasks
+   * would be preempted repeatedly, because each loses little work, until their jobs miss their
+   * targets.
    */
   #slackPenaltyOf(id: JobId, job: LiveJob): number {
     const cached = this.#slackPenaltyS.get(id);
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -1,10 +1,10 @@
 /**
  * The swarm phase of a round: periodically moves tasks that are cheap to restart off underused
- * machines, so that these machines become empty. `scheduling/swarm.ts` has the algorithm and names the
- * paper that it comes from.
+ * machines, so that these machines become empty. `scheduling/swarm.ts` has the algorithm and names
+ * the paper that it comes from.
  *
- * Owns no state. Changes only the shard's soft state, by stop requests and reservations; later rounds
- * terminate the tasks and start them at their destinations.
+ * Owns no state. Changes only the shard's soft state, by stop requests and reservations; later
+ * rounds terminate the tasks and start them at their destinations.
  */
 import type { MachineId, MonotonicMs, ShardId } from "@umberfold/ids";
 import {
@@ -25,8 +25,8 @@
 import { candidateMachines, RESERVATION_TIMEOUT_MS, zoneCounts } from "./candidate-machines.js";
 
 /**
- * One job of each placement group among the waiting jobs, and every job with zone rules, because these
- * also depend on where the job's other tasks run.
+ * One job of each placement group among the waiting jobs, and every job with zone rules, because
+ * these also depend on where the job's other tasks run.
  */
 const representativeJobs = (waiting: Iterable<LiveJob>): readonly LiveJob[] => {
   const byGroup = new Map<string, LiveJob>();
@@ -38,8 +38,8 @@
 };
 
 /**
- * A predicate for the machines to which a task of this job may move: the job's placement rules permit
- * the machine, and the machine has the image in its cache or can fetch it within one second.
+ * A predicate for the machines to which a task of this job may move: the job's placement rules
+ * permit the machine, and the machine has the image in its cache or can fetch it within one second.
  */
 const destinationFilter = (
   state: ShardState,
@@ -75,8 +75,8 @@
     const job = shardJobs.jobs.get(attempt.job);
     if (job === undefined) continue;
     const attemptState = state.attemptStates.get(attempt.key);
-    // The tasks of a failing job are left out of the use (n in the paper): a job that fails on every
-    // machine would otherwise cause other tasks to be moved back and forth.
+    // The tasks of a failing job are left out of the use (n in the paper): a job that fails on
+    // every machine would otherwise cause other tasks to be moved back and forth.
     const isFailing = (state.jobBackoffs.get(attempt.job)?.failures ?? 0) > 0;
     if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
       use = subtract(use, job.spec.resources);
--- a/test/coordination/rounds/fair-queue.test.ts
+++ b/test/coordination/rounds/fair-queue.test.ts
@@ -37,8 +37,8 @@
 };
 
 /**
- * Title, queue in the order of slack, expected steps (job, or job:maxStarts). Team `busy` uses half of
- * the capacity, team `quiet` none.
+ * Title, queue in the order of slack, expected steps (job, or job:maxStarts). Team `busy` uses half
+ * of the capacity, team `quiet` none.
  */
 const cases: readonly (readonly [string, readonly QueuedJob[], readonly string[]])[] = [
   [
--- a/test/coordination/rounds/job-starts.test.ts
+++ b/test/coordination/rounds/job-starts.test.ts
@@ -46,7 +46,7 @@
   assert.deepEqual(candidate, newCandidate());
 });
 
-test("job starts: an attempt beyond the job's part of a page is refused and changes nothing", () => {
+test("job starts: an attempt beyond the job's part of a page is refused without effect", () => {
   const starts = newJobStarts(0);
   const candidate = newCandidate();
   assert.equal(starts.tryAdd(0, candidate), false);
