--- a/src/coordination/membership/availability-tracker.ts
+++ b/src/coordination/membership/availability-tracker.ts
@@ -39,21 +39,21 @@
   /** Assesses the availability anew, with the other controllers' newest reports. */
   update(reports: PeerReports): StoreAvailability {
     this.#peerReports = reports;
-    return this.#assess(false);
+    return this.#step(false);
   }
 
   /** The process paused: nothing owned counts as confirmed until ownership is read again. */
   onResume(): void {
-    this.#assess(true);
+    this.#step(true);
   }
 
   /** A call that was sent at `askedAt` showed what this controller owns. */
-  ownershipConfirmed(askedAt: MonotonicMs): void {
+  onOwnershipConfirmed(askedAt: MonotonicMs): void {
     this.#ownershipConfirmedAt = askedAt;
-    if (this.#state.availability === "resuming") this.#assess(false);
+    if (this.#state.availability === "resuming") this.#step(false);
   }
 
-  #assess(resumed: boolean): StoreAvailability {
+  #step(resumed: boolean): StoreAvailability {
     const { store, log, settings } = this.ctx;
     const next = stepAvailability(this.#state, {
       now: monotonicNow(),
--- a/src/coordination/membership/event-loop-lag.ts
+++ b/src/coordination/membership/event-loop-lag.ts
@@ -5,11 +5,11 @@
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
 /** An observed lag counts half after this time. */
-const HALF_LIFE_MS = 2000;
+const LAG_HALF_LIFE_MS = 2000;
 /** Longer lags are process pauses, which are the pause detector's. */
-const MAX_LAG_MS = 2000;
+const MAX_OBSERVED_LAG_MS = 2000;
 /** How many times its lag a process may be behind with reading what others sent it. */
-const READ_DELAY_FACTOR = 4;
+const READ_DELAY_TO_LAG_RATIO = 4;
 
 /**
  * The event-loop lag: how late timers ran lately. While the process is short of processor time,
@@ -24,17 +24,17 @@
 
   /** Records that a timer ran `lateMs` late; a negative lateness counts as none. */
   observe(lateMs: number, now: MonotonicMs): void {
-    this.#lagMs = Math.max(this.recentMs(now), Math.min(lateMs, MAX_LAG_MS), 0);
+    this.#lagMs = Math.max(this.recentMs(now), Math.min(lateMs, MAX_OBSERVED_LAG_MS), 0);
     this.#observedAt = now;
   }
 
   /** The lag observed lately, decayed until `now`. */
   recentMs(now: MonotonicMs): number {
-    return this.#lagMs * 0.5 ** (Math.max(0, now - this.#observedAt) / HALF_LIFE_MS);
+    return this.#lagMs * 0.5 ** (Math.max(0, now - this.#observedAt) / LAG_HALF_LIFE_MS);
   }
 
   /** The moment up to which everything that was sent here must have been read. */
   readUpTo(now: MonotonicMs): MonotonicMs {
-    return monotonicMs(now - READ_DELAY_FACTOR * this.recentMs(now));
+    return monotonicMs(now - READ_DELAY_TO_LAG_RATIO * this.recentMs(now));
   }
 }
--- a/src/coordination/membership/leader-election.ts
+++ b/src/coordination/membership/leader-election.ts
@@ -19,7 +19,7 @@
   }
 
   /** The transaction that claims leadership; undefined while there is a leader, itself or another. */
-  claim(lease: LeaseId): Transaction | undefined {
+  claimTransaction(lease: LeaseId): Transaction | undefined {
     if (this.isLeader() || !this.#isVacant()) return undefined;
     const { replica, self } = this.ctx;
     return {
@@ -29,7 +29,7 @@
   }
 
   /** The claim was applied. */
-  becomeLeader(): void {
+  onLeadershipAcquired(): void {
     this.ctx.log.info("leadership acquired", {});
   }
 
--- a/src/coordination/membership/lease-keeper.ts
+++ b/src/coordination/membership/lease-keeper.ts
@@ -17,7 +17,7 @@
 } from "./lease-state.js";
 
 /** A controller that reaches none of its machines waits for this long before it probes them again. */
-const REJOIN_RETRY_MS = 4000;
+const REJOIN_PROBE_INTERVAL_MS = 4000;
 
 /** Grants, renews and releases the lease of this controller. */
 export class LeaseKeeper {
@@ -29,7 +29,7 @@
   constructor(
     private readonly ctx: ControllerContext,
     private readonly availability: AvailabilityTracker,
-    private readonly reachesMachines: () => Promise<boolean>,
+    private readonly canReachMachines: () => Promise<boolean>,
   ) {}
 
   /** The lease to attach the member and leader records to; undefined while there is none. */
@@ -43,7 +43,7 @@
   }
 
   /** The state store no longer knows the lease: by a renewal, or by a refused transaction. */
-  leaseExpired(): void {
+  onLeaseExpired(): void {
     this.#step({ kind: "expired" });
   }
 
@@ -55,7 +55,7 @@
     if (this.#isMaintaining) return;
     this.#isMaintaining = true;
     try {
-      if (await this.#mayHoldLease()) await this.#renewOrGrant();
+      if (await this.#rejoinIfReleased()) await this.#renewOrGrant();
     } finally {
       this.#isMaintaining = false;
     }
@@ -64,7 +64,7 @@
   /** Gives the lease up, so that others fail over; `ownedShards` is for the log. */
   async release(ownedShards: readonly ShardId[]): Promise<void> {
     const lease = this.leaseId;
-    this.#step({ kind: "released", retryAt: this.#nextRetryAt() });
+    this.#step({ kind: "released", retryAt: this.#nextProbeTime() });
     this.ctx.log.info("shards released", { shards: ownedShards });
     if (lease !== undefined) await this.ctx.store.release(lease);
   }
@@ -73,19 +73,19 @@
     this.#state = stepLease(this.#state, event);
   }
 
-  #nextRetryAt(): MonotonicMs {
-    return monotonicMs(monotonicNow() + REJOIN_RETRY_MS);
+  #nextProbeTime(): MonotonicMs {
+    return monotonicMs(monotonicNow() + REJOIN_PROBE_INTERVAL_MS);
   }
 
   /**
    * False while the shards stay released. It rejoins only once machines answer again: a shard that
    * came back earlier would lose its heartbeats anew.
    */
-  async #mayHoldLease(): Promise<boolean> {
+  async #rejoinIfReleased(): Promise<boolean> {
     if (this.#state.kind !== "released") return true;
     if (monotonicNow() < this.#state.retryAt) return false;
-    if (this.ctx.replica.members.size > 0 && !(await this.reachesMachines())) {
-      this.#step({ kind: "rejoin_postponed", retryAt: this.#nextRetryAt() });
+    if (this.ctx.replica.members.size > 0 && !(await this.canReachMachines())) {
+      this.#step({ kind: "rejoin_postponed", retryAt: this.#nextProbeTime() });
       return false;
     }
     this.#step({ kind: "rejoined" });
@@ -102,18 +102,18 @@
       if (renewal === "renewed") {
         this.#step({ kind: "renewed", at: monotonicNow() });
         // The lease never expired, so no other controller has claimed anything.
-        this.availability.ownershipConfirmed(askedAt);
+        this.availability.onOwnershipConfirmed(askedAt);
       }
       if (renewal !== "lapsed") return;
       log.info("lease expired", { lateMs: Math.round(monotonicNow() - current.renewedAt) });
-      this.leaseExpired();
+      this.onLeaseExpired();
     }
     const id = await store.grant(operators.memberLeaseMs);
     if (id === undefined) return;
     this.#step({ kind: "granted", lease: { id, renewedAt: monotonicNow() } });
     // The watch may show much later what others claimed meanwhile: it is read before acting.
     if (!this.ctx.synced || (await rereadKeys(this.ctx, this.#ownershipKeys())))
-      this.availability.ownershipConfirmed(askedAt);
+      this.availability.onOwnershipConfirmed(askedAt);
   }
 
   /** The keys that say what this controller owns: leadership and all shards. */
--- a/src/coordination/membership/member-registry.ts
+++ b/src/coordination/membership/member-registry.ts
@@ -29,7 +29,7 @@
   }
 
   /** The transaction that writes this controller's member record; it goes with the lease. */
-  registration(lease: LeaseId): Transaction {
+  registrationTransaction(lease: LeaseId): Transaction {
     const { replica, self } = this.ctx;
     const key = keys.member(self.label);
     return {
@@ -39,7 +39,7 @@
   }
 
   /** All live controllers, this one among them once it is registered. */
-  members(): Members {
+  liveMembers(): Members {
     const members = new Map<ControllerLabel, ControllerId>();
     for (const [label, record] of this.ctx.replica.members) members.set(label, record.value);
     return members;
--- a/src/coordination/membership/membership-writer.ts
+++ b/src/coordination/membership/membership-writer.ts
@@ -25,7 +25,7 @@
       applyCommitted(ctx.replica, transaction.ops, result.rev);
       return true;
     }
-    if (result.kind === "refused") this.lease.leaseExpired();
+    if (result.kind === "refused") this.lease.onLeaseExpired();
     await rereadKeys(
       ctx,
       transaction.conditions.map((condition) => condition.key),
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -29,9 +29,9 @@
   readonly #reconciler: ShardReconciler;
 
   /** `reachesMachines` tells whether machines answer this controller, if there are any to ask. */
-  constructor(ctx: ControllerContext, reachesMachines: () => Promise<boolean> = async () => true) {
+  constructor(ctx: ControllerContext, canReachMachines: () => Promise<boolean> = async () => true) {
     this.#availability = new AvailabilityTracker(ctx);
-    this.#lease = new LeaseKeeper(ctx, this.#availability, reachesMachines);
+    this.#lease = new LeaseKeeper(ctx, this.#availability, canReachMachines);
     this.#registry = new MemberRegistry(ctx);
     this.#election = new LeaderElection(ctx);
     this.#shards = new ShardOwnership(ctx);
--- a/src/coordination/membership/pause-detector.ts
+++ b/src/coordination/membership/pause-detector.ts
@@ -11,7 +11,7 @@
 export class PauseDetector {
   #lastSeenAt: MonotonicMs;
   /** How many pauses were detected, for the log. */
-  pauses = 0;
+  pauseCount = 0;
 
   /** `now` counts as the first time that the process was seen running. */
   constructor(
@@ -29,7 +29,7 @@
     const gapMs = now - this.#lastSeenAt;
     this.#lastSeenAt = monotonicMs(now);
     if (gapMs <= this.maxGapMs) return 0;
-    this.pauses++;
+    this.pauseCount++;
     return gapMs;
   }
 }
--- a/src/coordination/membership/shard-reconciler.ts
+++ b/src/coordination/membership/shard-reconciler.ts
@@ -17,13 +17,13 @@
 import type { WriteShare } from "./write-share.js";
 
 /** A newcomer leaves unowned shards to other newcomers for this long. */
-const JOIN_GRACE_MS = 600;
+const JOIN_GRACE_PERIOD_MS = 600;
 
-const logEventOf = (action: ShardAction): string =>
+const logEventName = (action: ShardAction): string =>
   action.kind === "claim" ? "shard claimed" : "shard handed over";
 
 /** The other parts of membership that a pass uses. */
-export interface ReconcilerParts {
+export interface ReconcilerDependencies {
   readonly lease: LeaseKeeper;
   readonly registry: MemberRegistry;
   readonly election: LeaderElection;
@@ -41,31 +41,31 @@
   /** The parts are shared with the facade, which answers from them. */
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly parts: ReconcilerParts,
+    private readonly dependencies: ReconcilerDependencies,
   ) {}
 
   /** One pass. Does nothing during another, without a lease, or before the first scan. */
   async reconcile(): Promise<void> {
-    const lease = this.parts.lease.leaseId;
+    const lease = this.dependencies.lease.leaseId;
     if (this.#isReconciling || lease === undefined || !this.ctx.synced) return;
     this.#isReconciling = true;
     try {
-      await this.#reconcile(lease);
+      await this.#runPass(lease);
     } finally {
       this.#isReconciling = false;
     }
   }
 
-  async #reconcile(lease: LeaseId): Promise<void> {
-    const { registry, election, writer } = this.parts;
+  async #runPass(lease: LeaseId): Promise<void> {
+    const { registry, election, writer } = this.dependencies;
     if (!registry.isRegistered()) {
       this.#joinedAt = undefined;
-      await writer.commit(registry.registration(lease));
+      await writer.commit(registry.registrationTransaction(lease));
       return;
     }
-    const claim = election.claim(lease);
+    const claim = election.claimTransaction(lease);
     if (claim !== undefined) {
-      if (await writer.commit(claim)) election.becomeLeader();
+      if (await writer.commit(claim)) election.onLeadershipAcquired();
       return;
     }
     if (await this.#assignNewTeams()) return;
@@ -74,18 +74,18 @@
     const joinedAt = this.#joinedAt ?? now;
     this.#joinedAt = joinedAt;
     for (const action of plan) {
-      if (now - joinedAt < JOIN_GRACE_MS && this.#isLeftToNewcomers(action)) continue;
+      if (now - joinedAt < JOIN_GRACE_PERIOD_MS && this.#isDeferredWhileJoining(action)) continue;
       const owner = action.kind === "claim" ? this.ctx.self : action.to;
       if (await writer.commit(this.#ownershipTransfer(action.shard, owner)))
-        this.ctx.log.info(logEventOf(action), { shard: action.shard, to: owner.label });
+        this.ctx.log.info(logEventName(action), { shard: action.shard, to: owner.label });
     }
   }
 
   #planShardActions(now: MonotonicMs): readonly ShardAction[] {
-    const { ctx, parts } = this;
-    const members = parts.registry.members();
-    const stableMembers = parts.registry.stableMembers(members, now);
-    parts.writeShare.update(Math.max(1, members.size), now);
+    const { ctx, dependencies } = this;
+    const members = dependencies.registry.liveMembers();
+    const stableMembers = dependencies.registry.stableMembers(members, now);
+    dependencies.writeShare.update(Math.max(1, members.size), now);
     return planShardActions({
       self: ctx.self,
       shardCount: ctx.settings.shardCount,
@@ -100,7 +100,7 @@
    * to: nothing runs for a while in a shard that has to be handed over again. What an earlier start
    * of this controller owned is nobody else's to claim.
    */
-  #isLeftToNewcomers(action: ShardAction): boolean {
+  #isDeferredWhileJoining(action: ShardAction): boolean {
     const { replica, self } = this.ctx;
     const owner = replica.shardOwners.get(action.shard)?.value;
     return action.kind === "claim" && owner?.label !== self.label;
@@ -117,11 +117,12 @@
   /** True if teams of the settings had no shard and were given theirs. */
   async #assignNewTeams(): Promise<boolean> {
     const { replica, settings } = this.ctx;
-    const known: ReadonlyMap<TeamName, ShardId> = replica.teams?.value ?? new Map();
-    const names = settings.teams.map((team) => team.name);
-    if (replica.teams !== undefined && names.every((name) => known.has(name))) return false;
-    const assigned = assignTeams(known, names, settings.shardCount);
-    return this.parts.writer.commit({
+    const assignedShards: ReadonlyMap<TeamName, ShardId> = replica.teams?.value ?? new Map();
+    const teamNames = settings.teams.map((team) => team.name);
+    if (replica.teams !== undefined && teamNames.every((name) => assignedShards.has(name)))
+      return false;
+    const assigned = assignTeams(assignedShards, teamNames, settings.shardCount);
+    return this.dependencies.writer.commit({
       conditions: [{ key: keys.teams, rev: replica.revisionOf(keys.teams) }],
       ops: [{ kind: "put", key: keys.teams, value: encodeTeams(assigned) }],
     });
--- a/src/coordination/membership/write-share.ts
+++ b/src/coordination/membership/write-share.ts
@@ -7,7 +7,7 @@
 import { monotonicNow } from "../../transport/clock.js";
 
 /** Time constant of the exponential average of the others' writes. */
-const AVERAGING_S = 2;
+const WRITE_RATE_TIME_CONSTANT_S = 2;
 
 /** Measures the others' writes and tells the store's client what remains. */
 export class WriteShare {
@@ -28,7 +28,7 @@
   update(members: number, now: MonotonicMs): void {
     const elapsedS = (now - this.#updatedAt) / 1000;
     if (elapsedS <= 0) return;
-    const decay = Math.exp(-elapsedS / AVERAGING_S);
+    const decay = Math.exp(-elapsedS / WRITE_RATE_TIME_CONSTANT_S);
     this.#foreignWriteRate =
       this.#foreignWriteRate * decay + (this.#foreignWritesSinceUpdate / elapsedS) * (1 - decay);
     this.#foreignWritesSinceUpdate = 0;
--- a/test/coordination/membership/lease-keeper.test.ts
+++ b/test/coordination/membership/lease-keeper.test.ts
@@ -126,7 +126,7 @@
   t.after(stopClock);
   const { keeper, trace } = makeKeeper({ grants: [FIRST_LEASE, SECOND_LEASE] });
   await keeper.maintain();
-  keeper.leaseExpired();
+  keeper.onLeaseExpired();
   assert.equal(keeper.leaseId, undefined);
   await keeper.maintain();
   assert.deepEqual(trace, ["grant", ...READS, "grant", ...READS]);
