--- a/src/coordination/membership/availability-tracker.ts
+++ b/src/coordination/membership/availability-tracker.ts
@@ -53,17 +53,17 @@
     if (this.#state.availability === "resuming") this.#step(false);
   }
 
-  #step(resumed: boolean): StoreAvailability {
+  #step(hasProcessResumed: boolean): StoreAvailability {
     const { store, log, settings } = this.ctx;
     const next = stepAvailability(this.#state, {
       now: monotonicNow(),
       answeredAt: store.answeredAt,
       refusedAt: store.refusedAt,
       unansweredAt: store.unansweredAt,
-      peers: settings.seeds.length,
-      peersAvailable: this.#peerReports.available,
-      peersUnavailable: this.#peerReports.unavailable,
-      resumed,
+      peerCount: settings.seeds.length,
+      availablePeerCount: this.#peerReports.available,
+      unavailablePeerCount: this.#peerReports.unavailable,
+      hasProcessResumed,
       ownershipConfirmedAt: this.#ownershipConfirmedAt,
     });
     if (next.availability !== this.#state.availability)
--- a/src/coordination/membership/lease-keeper.ts
+++ b/src/coordination/membership/lease-keeper.ts
@@ -64,7 +64,7 @@
   /** Gives the lease up, so that others fail over; `ownedShards` is for the log. */
   async release(ownedShards: readonly ShardId[]): Promise<void> {
     const lease = this.leaseId;
-    this.#step({ kind: "released", retryAt: this.#nextProbeTime() });
+    this.#step({ kind: "released", nextProbeAt: this.#nextProbeTime() });
     this.ctx.log.info("shards released", { shards: ownedShards });
     if (lease !== undefined) await this.ctx.store.release(lease);
   }
@@ -83,9 +83,9 @@
    */
   async #rejoinIfReleased(): Promise<boolean> {
     if (this.#state.kind !== "released") return true;
-    if (monotonicNow() < this.#state.retryAt) return false;
+    if (monotonicNow() < this.#state.nextProbeAt) return false;
     if (this.ctx.replica.members.size > 0 && !(await this.canReachMachines())) {
-      this.#step({ kind: "rejoin_postponed", retryAt: this.#nextProbeTime() });
+      this.#step({ kind: "rejoin_postponed", nextProbeAt: this.#nextProbeTime() });
       return false;
     }
     this.#step({ kind: "rejoined" });
--- a/src/coordination/membership/lease-state.ts
+++ b/src/coordination/membership/lease-state.ts
@@ -14,7 +14,7 @@
 /**
  * `none`: not granted yet, at the start and right after rejoining. `held`: granted and, as far as is
  * known, not expired. `expired`: the state store said that it is gone, and with it the member record.
- * `released`: given up so that others fail over; not granted again before `retryAt`.
+ * `released`: given up so that others fail over; not granted again before `nextProbeAt`.
  */
 export type LeaseState =
   | { readonly kind: "none" }
@@ -23,7 +23,7 @@
   | {
       readonly kind: "released";
       /** When to probe next whether the machines are reachable again. */
-      readonly retryAt: MonotonicMs;
+      readonly nextProbeAt: MonotonicMs;
       /** A lease whose grant was in flight during the release; renewed only after rejoining. */
       readonly lateLease: GrantedLease | undefined;
     };
@@ -33,8 +33,8 @@
   | { readonly kind: "granted"; readonly lease: GrantedLease }
   | { readonly kind: "renewed"; readonly at: MonotonicMs }
   | { readonly kind: "expired" }
-  | { readonly kind: "released"; readonly retryAt: MonotonicMs }
-  | { readonly kind: "rejoin_postponed"; readonly retryAt: MonotonicMs }
+  | { readonly kind: "released"; readonly nextProbeAt: MonotonicMs }
+  | { readonly kind: "rejoin_postponed"; readonly nextProbeAt: MonotonicMs }
   | { readonly kind: "rejoined" };
 
 /** The state of a controller that has just started. */
@@ -65,9 +65,9 @@
     case "expired":
       return state.kind === "released" ? { ...state, lateLease: undefined } : { kind: "expired" };
     case "released":
-      return { kind: "released", retryAt: event.retryAt, lateLease: undefined };
+      return { kind: "released", nextProbeAt: event.nextProbeAt, lateLease: undefined };
     case "rejoin_postponed":
-      return state.kind === "released" ? { ...state, retryAt: event.retryAt } : state;
+      return state.kind === "released" ? { ...state, nextProbeAt: event.nextProbeAt } : state;
     case "rejoined": {
       const lease = grantedLease(state);
       return lease === undefined ? { kind: "none" } : { kind: "held", lease };
--- a/src/coordination/membership/store-availability.ts
+++ b/src/coordination/membership/store-availability.ts
@@ -22,14 +22,14 @@
   /** Since when the state store has not served this controller; undefined while it does. */
   readonly failingSince: MonotonicMs | undefined;
   /** When ownership last became doubtful; undefined once it has been confirmed since. */
-  readonly resumedAt: MonotonicMs | undefined;
+  readonly ownershipUnconfirmedSince: MonotonicMs | undefined;
 }
 
 /** The state of a controller that has just started. */
 export const INITIAL_AVAILABILITY: AvailabilityState = {
   availability: "available",
   failingSince: undefined,
-  resumedAt: undefined,
+  ownershipUnconfirmedSince: undefined,
 };
 
 /** What is known of the state store, by own calls and by what the other controllers report. */
@@ -40,11 +40,11 @@
   readonly refusedAt: MonotonicMs;
   readonly unansweredAt: MonotonicMs;
   /** How many other controllers there are, and how many report that they are served, or are not. */
-  readonly peers: number;
-  readonly peersAvailable: number;
-  readonly peersUnavailable: number;
+  readonly peerCount: number;
+  readonly availablePeerCount: number;
+  readonly unavailablePeerCount: number;
   /** A pause of this process has just been detected. */
-  readonly resumed: boolean;
+  readonly hasProcessResumed: boolean;
   /** When the last call was sent whose answer showed what this controller owns. */
   readonly ownershipConfirmedAt: MonotonicMs;
 }
@@ -54,7 +54,7 @@
  * milliseconds, now and then a few hundred. In less time than this the others may not have noticed
  * an outage themselves, and would report that they are served.
  */
-export const OUTAGE_CONFIRMATION_MS = 2500;
+export const OUTAGE_CONFIRMATION_DELAY_MS = 2500;
 
 /** What the newest calls of this controller came to. */
 interface CallHealth {
@@ -70,17 +70,19 @@
 });
 
 /** When ownership last became doubtful: by a process pause, or by the end of a disconnection. */
-const lastResumedAt = (
+const nextOwnershipUnconfirmedSince = (
   previous: AvailabilityState,
   evidence: AvailabilityEvidence,
   { isFailing, isUnanswered }: CallHealth,
 ): MonotonicMs | undefined => {
   // In an outage before the pause and still in it: nobody was served in between.
-  const outageLasts = previous.availability === "outage" && isFailing && !isUnanswered;
+  const isOutageContinuing = previous.availability === "outage" && isFailing && !isUnanswered;
   const hasReconnected =
     !isFailing &&
     (previous.availability === "isolated" || (previous.availability === "outage" && isUnanswered));
-  return (evidence.resumed && !outageLasts) || hasReconnected ? evidence.now : previous.resumedAt;
+  return (evidence.hasProcessResumed && !isOutageContinuing) || hasReconnected
+    ? evidence.now
+    : previous.ownershipUnconfirmedSince;
 };
 
 /** The availability by calls and reports alone, whether or not ownership is confirmed. */
@@ -91,13 +93,13 @@
   isUnanswered: boolean,
 ): StoreAvailability => {
   if (failingSince === undefined) return "available";
-  if (evidence.now - failingSince < OUTAGE_CONFIRMATION_MS)
+  if (evidence.now - failingSince < OUTAGE_CONFIRMATION_DELAY_MS)
     return previous === "resuming" ? "available" : previous;
   // An outage answers 503 to everybody. A controller that is refused while another is served is
   // isolated; and so is one whose calls are unanswered, unless all others report that they are cut
   // off with it: then nobody can claim its shards.
-  const isEverybodyCutOff = evidence.peersUnavailable === evidence.peers;
-  const isIsolated = evidence.peersAvailable > 0 || (isUnanswered && !isEverybodyCutOff);
+  const areAllPeersUnavailable = evidence.unavailablePeerCount === evidence.peerCount;
+  const isIsolated = evidence.availablePeerCount > 0 || (isUnanswered && !areAllPeersUnavailable);
   return isIsolated ? "isolated" : "outage";
 };
 
@@ -108,7 +110,7 @@
 ): AvailabilityState => {
   const calls = callHealth(evidence);
   const failingSince = calls.isFailing ? (previous.failingSince ?? evidence.now) : undefined;
-  const resumedAt = lastResumedAt(previous, evidence, calls);
+  const resumedAt = nextOwnershipUnconfirmedSince(previous, evidence, calls);
   const isOwnershipConfirmed =
     resumedAt === undefined || evidence.ownershipConfirmedAt >= resumedAt;
   const observed = observedAvailability(
@@ -120,6 +122,6 @@
   return {
     availability: isOwnershipConfirmed || observed === "isolated" ? observed : "resuming",
     failingSince,
-    resumedAt: isOwnershipConfirmed ? undefined : resumedAt,
+    ownershipUnconfirmedSince: isOwnershipConfirmed ? undefined : resumedAt,
   };
 };
--- a/test/coordination/membership/lease-state.test.ts
+++ b/test/coordination/membership/lease-state.test.ts
@@ -17,14 +17,14 @@
 
 const HELD: LeaseState = { kind: "held", lease };
 const EXPIRED: LeaseState = { kind: "expired" };
-const RELEASED: LeaseState = { kind: "released", retryAt: RETRY_AT, lateLease: undefined };
+const RELEASED: LeaseState = { kind: "released", nextProbeAt: RETRY_AT, lateLease: undefined };
 const RELEASED_WITH_LATE_LEASE: LeaseState = { ...RELEASED, lateLease: lease };
 
 const GRANTED: LeaseEvent = { kind: "granted", lease };
 const RENEWED: LeaseEvent = { kind: "renewed", at: renewedLease.renewedAt };
 const EXPIRY: LeaseEvent = { kind: "expired" };
-const RELEASE: LeaseEvent = { kind: "released", retryAt: RETRY_AT };
-const POSTPONED: LeaseEvent = { kind: "rejoin_postponed", retryAt: LATER };
+const RELEASE: LeaseEvent = { kind: "released", nextProbeAt: RETRY_AT };
+const POSTPONED: LeaseEvent = { kind: "rejoin_postponed", nextProbeAt: LATER };
 const REJOINED: LeaseEvent = { kind: "rejoined" };
 
 /** A case, the state before, the event, and the state after. */
@@ -40,7 +40,7 @@
   ["a grant ends no release", RELEASED, GRANTED, RELEASED_WITH_LATE_LEASE],
   ["an expiry ends no release", RELEASED_WITH_LATE_LEASE, EXPIRY, RELEASED],
   ["a second release drops the late lease", RELEASED_WITH_LATE_LEASE, RELEASE, RELEASED],
-  ["a failed probe postpones rejoining", RELEASED, POSTPONED, { ...RELEASED, retryAt: LATER }],
+  ["a failed probe postpones rejoining", RELEASED, POSTPONED, { ...RELEASED, nextProbeAt: LATER }],
   ["a postponement releases nothing", HELD, POSTPONED, HELD],
   ["rejoining begins without a lease", RELEASED, REJOINED, INITIAL_LEASE_STATE],
   ["rejoining takes a late lease up", RELEASED_WITH_LATE_LEASE, REJOINED, HELD],
--- a/test/coordination/membership/store-availability.test.ts
+++ b/test/coordination/membership/store-availability.test.ts
@@ -33,10 +33,10 @@
   answeredAt: ANSWERED_AT,
   refusedAt: timeOrNever(fields.refusedAt),
   unansweredAt: timeOrNever(fields.unansweredAt),
-  peers: 2,
-  peersAvailable: fields.peersAvailable ?? 0,
-  peersUnavailable: fields.peersUnavailable ?? 0,
-  resumed: fields.resumed ?? false,
+  peerCount: 2,
+  availablePeerCount: fields.peersAvailable ?? 0,
+  unavailablePeerCount: fields.peersUnavailable ?? 0,
+  hasProcessResumed: fields.resumed ?? false,
   ownershipConfirmedAt: timeOrNever(fields.confirmedAt),
 });
 
@@ -47,7 +47,7 @@
 ): AvailabilityState => ({
   availability,
   failingSince: failingSince === undefined ? undefined : monotonicMs(failingSince),
-  resumedAt: resumedAt === undefined ? undefined : monotonicMs(resumedAt),
+  ownershipUnconfirmedSince: resumedAt === undefined ? undefined : monotonicMs(resumedAt),
 });
 
 /** A case, the state before, the evidence, and the availability after. */
