--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -41,7 +41,7 @@
   readonly random: () => number;
   /** Timings for the `stats` event, which empties them. */
   readonly metrics: Metrics;
-  /** Asked wherever an activity begins; a detected pause is passed to `Membership.onResume`. */
+  /** Asked wherever an activity begins; a pause is passed to `Membership.onProcessResumed`. */
   readonly pauses: PauseDetector;
   /** Fed by the composition root's pause check alone. */
   readonly loopLag: EventLoopLag;
--- a/src/coordination/membership/availability-tracker.ts
+++ b/src/coordination/membership/availability-tracker.ts
@@ -15,12 +15,12 @@
 
 /** How many other controllers answered yes, and how many no; the rest did not answer. */
 export interface PeerReports {
-  readonly available: number;
-  readonly unavailable: number;
+  readonly availableCount: number;
+  readonly unavailableCount: number;
 }
 
 /** No other controller was asked, or none answered. */
-export const NO_PEER_REPORTS: PeerReports = { available: 0, unavailable: 0 };
+export const NO_PEER_REPORTS: PeerReports = { availableCount: 0, unavailableCount: 0 };
 
 /** Feeds evidence into the state machine of `store-availability.ts`, and logs its changes. */
 export class AvailabilityTracker {
@@ -43,7 +43,7 @@
   }
 
   /** The process paused: nothing owned counts as confirmed until ownership is read again. */
-  onResume(): void {
+  onProcessResumed(): void {
     this.#step(true);
   }
 
@@ -61,8 +61,8 @@
       refusedAt: store.refusedAt,
       unansweredAt: store.unansweredAt,
       peerCount: settings.seeds.length,
-      availablePeerCount: this.#peerReports.available,
-      unavailablePeerCount: this.#peerReports.unavailable,
+      availablePeerCount: this.#peerReports.availableCount,
+      unavailablePeerCount: this.#peerReports.unavailableCount,
       hasProcessResumed,
       ownershipConfirmedAt: this.#ownershipConfirmedAt,
     });
--- a/src/coordination/membership/event-loop-lag.ts
+++ b/src/coordination/membership/event-loop-lag.ts
@@ -24,17 +24,17 @@
 
   /** Records that a timer ran `lateMs` late; a negative lateness counts as none. */
   observe(lateMs: number, now: MonotonicMs): void {
-    this.#lagMs = Math.max(this.recentMs(now), Math.min(lateMs, MAX_OBSERVED_LAG_MS), 0);
+    this.#lagMs = Math.max(this.recentLagMs(now), Math.min(lateMs, MAX_OBSERVED_LAG_MS), 0);
     this.#observedAt = now;
   }
 
   /** The lag observed lately, decayed until `now`. */
-  recentMs(now: MonotonicMs): number {
+  recentLagMs(now: MonotonicMs): number {
     return this.#lagMs * 0.5 ** (Math.max(0, now - this.#observedAt) / LAG_HALF_LIFE_MS);
   }
 
   /** The moment up to which everything that was sent here must have been read. */
   readUpTo(now: MonotonicMs): MonotonicMs {
-    return monotonicMs(now - READ_DELAY_TO_LAG_RATIO * this.recentMs(now));
+    return monotonicMs(now - READ_DELAY_TO_LAG_RATIO * this.recentLagMs(now));
   }
 }
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -81,8 +81,8 @@
   }
 
   /** A pause of this process was detected. */
-  onResume(): void {
-    this.#availability.onResume();
+  onProcessResumed(): void {
+    this.#availability.onProcessResumed();
   }
 
   /** Gives up the lease, so that others claim its shards: it reaches none of their machines. */
@@ -91,8 +91,8 @@
   }
 
   /** Counts changes that the watch has shown and that this controller did not write. */
-  recordForeignWrites(writes: number): void {
-    this.#writeShare.recordForeignWrites(writes);
+  recordPeerWrites(writes: number): void {
+    this.#writeShare.recordPeerWrites(writes);
   }
 
   /** Whether the leader record names this controller. */
--- a/src/coordination/membership/write-share.ts
+++ b/src/coordination/membership/write-share.ts
@@ -12,16 +12,16 @@
 /** Measures the others' writes and tells the store's client what remains. */
 export class WriteShare {
   /** Writes a second by all other controllers, averaged. */
-  #foreignWriteRate = 0;
-  #foreignWritesSinceUpdate = 0;
+  #peerWriteRate = 0;
+  #peerWritesSinceUpdate = 0;
   #updatedAt: MonotonicMs = monotonicNow();
 
   /** Adjusts the limits of this client, and nothing else of it. */
   constructor(private readonly store: StateStore) {}
 
   /** Counts writes of other controllers that the watch has shown. */
-  recordForeignWrites(writes: number): void {
-    this.#foreignWritesSinceUpdate += writes;
+  recordPeerWrites(writes: number): void {
+    this.#peerWritesSinceUpdate += writes;
   }
 
   /** Sets the limits anew for so many live controllers; does nothing twice at one moment. */
@@ -29,10 +29,10 @@
     const elapsedS = (now - this.#updatedAt) / 1000;
     if (elapsedS <= 0) return;
     const decay = Math.exp(-elapsedS / WRITE_RATE_TIME_CONSTANT_S);
-    this.#foreignWriteRate =
-      this.#foreignWriteRate * decay + (this.#foreignWritesSinceUpdate / elapsedS) * (1 - decay);
-    this.#foreignWritesSinceUpdate = 0;
+    this.#peerWriteRate =
+      this.#peerWriteRate * decay + (this.#peerWritesSinceUpdate / elapsedS) * (1 - decay);
+    this.#peerWritesSinceUpdate = 0;
     this.#updatedAt = now;
-    this.store.updateShares(members, this.#foreignWriteRate);
+    this.store.updateShares(members, this.#peerWriteRate);
   }
 }
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -78,7 +78,7 @@
     const pauseMs = this.ctx.pauses.detect(now);
     if (pauseMs === 0) return;
     this.ctx.log.info("process paused", { forMs: Math.round(pauseMs) });
-    this.membership.onResume();
+    this.membership.onProcessResumed();
     this.channel.resetTimers(now);
   }
 
--- a/src/service/availability-monitor.ts
+++ b/src/service/availability-monitor.ts
@@ -52,7 +52,8 @@
     if (availability !== "available" || !membership.holdsValidLease()) return;
     // Where the others receive no heartbeats either, there is nobody to release the shards to.
     const heartbeats = await this.#askPeers(HEARTBEATS_PATH);
-    if (heartbeats.available > 0 || heartbeats.unavailable === 0) await membership.releaseShards();
+    if (heartbeats.availableCount > 0 || heartbeats.unavailableCount === 0)
+      await membership.releaseShards();
   }
 
   /** Asks all other controllers one yes-or-no question about themselves; some may not answer. */
@@ -65,6 +66,6 @@
     );
     const countStatus = (status: number): number =>
       answers.filter((answer) => answer.kind === "answer" && answer.status === status).length;
-    return { available: countStatus(STATUS_YES), unavailable: countStatus(STATUS_NO) };
+    return { availableCount: countStatus(STATUS_YES), unavailableCount: countStatus(STATUS_NO) };
   }
 }
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -42,7 +42,7 @@
       foreignWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
       replica.apply(change);
     }
-    this.membership.recordForeignWrites(foreignWrites);
+    this.membership.recordPeerWrites(foreignWrites);
     replica.advance(watched.rev);
     if (watched.changes.length > 0) this.#reconcileSoon();
   }
--- a/test/coordination/membership/write-share.test.ts
+++ b/test/coordination/membership/write-share.test.ts
@@ -25,8 +25,8 @@
   t.after(stopClock);
   const { share, updates } = makeShare();
   for (let second = 1; second <= 8; second++) {
-    share.recordForeignWrites(60);
-    share.recordForeignWrites(40);
+    share.recordPeerWrites(60);
+    share.recordPeerWrites(40);
     share.update(3, monotonicMs(second * 1000));
   }
   // 100 writes a second, averaged with a time constant of two seconds.
@@ -41,7 +41,7 @@
 test("an update at the same moment changes nothing and loses no count", (t) => {
   t.after(stopClock);
   const { share, updates } = makeShare();
-  share.recordForeignWrites(100);
+  share.recordPeerWrites(100);
   share.update(2, monotonicMs(0));
   assert.deepEqual(updates, []);
   share.update(2, monotonicMs(1000));
