--- a/src/coordination/membership/availability-tracker.ts
+++ b/src/coordination/membership/availability-tracker.ts
@@ -1,7 +1,8 @@
 /**
  * Tracks the availability of the state store as this controller sees it. Owns the
- * `AvailabilityState`, which changes through `stepAvailability` alone, and the evidence that is not
- * gathered by the store's client: the other controllers' reports and the last proof of ownership.
+ * `AvailabilityState`, which only `stepAvailability` changes, and the evidence that the store's
+ * client does not collect: the other controllers' reports, and when shard ownership was last
+ * confirmed.
  */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import { monotonicNow } from "../../transport/clock.js";
@@ -13,43 +14,52 @@
   stepAvailability,
 } from "./store-availability.js";
 
-/** How many other controllers answered yes, and how many no; the rest did not answer. */
+/**
+ * The other controllers' answers to one yes-or-no question about themselves, for example whether
+ * the state store serves them. Controllers that did not answer are in neither count.
+ */
 export interface PeerReports {
+  /** How many answered yes. */
   readonly availableCount: number;
+  /** How many answered no. */
   readonly unavailableCount: number;
 }
 
-/** No other controller was asked, or none answered. */
+/** The reports when no other controller was asked, or none answered. */
 export const NO_PEER_REPORTS: PeerReports = { availableCount: 0, unavailableCount: 0 };
 
-/** Feeds evidence into the state machine of `store-availability.ts`, and logs its changes. */
+/** Passes evidence to the state machine of `store-availability.ts` and logs each state change. */
 export class AvailabilityTracker {
   #state: AvailabilityState = INITIAL_AVAILABILITY;
   #peerReports: PeerReports = NO_PEER_REPORTS;
   #ownershipConfirmedAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
 
-  /** Takes nothing but the parts shared by the controller: it makes no calls of its own. */
+  /** Reads the settings and the call times of the store's client; makes no calls itself. */
   constructor(private readonly ctx: ControllerContext) {}
 
-  /** The availability as last assessed. */
+  /** The result of the last assessment. */
   get availability(): StoreAvailability {
     return this.#state.availability;
   }
 
-  /** Assesses the availability anew, with the other controllers' newest reports. */
+  /** Reassesses the availability with the other controllers' latest reports. */
   update(reports: PeerReports): StoreAvailability {
     this.#peerReports = reports;
     return this.#step(false);
   }
 
-  /** The process paused: nothing owned counts as confirmed until ownership is read again. */
+  /** Handles the end of a process pause: ownership is then unconfirmed. */
   onProcessResumed(): void {
     this.#step(true);
   }
 
-  /** A call that was sent at `askedAt` showed what this controller owns. */
-  onOwnershipConfirmed(askedAt: MonotonicMs): void {
-    this.#ownershipConfirmedAt = askedAt;
+  /**
+   * Records that the answer to a request sent at `requestSentAt` showed which shards this
+   * controller owns. The send time counts because ownership may change while the answer is on its
+   * way.
+   */
+  onOwnershipConfirmed(requestSentAt: MonotonicMs): void {
+    this.#ownershipConfirmedAt = requestSentAt;
     if (this.#state.availability === "resuming") this.#step(false);
   }
 
--- a/src/coordination/membership/lease-keeper.ts
+++ b/src/coordination/membership/lease-keeper.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this controller's lease in the state store: grants it, renews it, replaces it once it has
- * expired, and gives it up when the controller reaches none of its machines. Owns the `LeaseState`,
- * which changes through `stepLease` alone.
+ * Maintains this controller's lease in the state store: requests it, renews it, replaces it after
+ * it has expired, and releases it when the controller can reach none of its machines. Owns the
+ * `LeaseState`, which only `stepLease` changes.
  */
 import { type LeaseId, type MonotonicMs, monotonicMs, type ShardId, shardId } from "@umberfold/ids";
 import { keys } from "../../storage/records.js";
@@ -16,40 +16,41 @@
   stepLease,
 } from "./lease-state.js";
 
-/** A controller that reaches none of its machines waits for this long before it probes them again. */
+/** Interval between probes of the machines while the shards are released. */
 const REJOIN_PROBE_INTERVAL_MS = 4000;
 
-/** Grants, renews and releases the lease of this controller. */
+/** Requests, renews and releases the lease of this controller. */
 export class LeaseKeeper {
   #state: LeaseState = INITIAL_LEASE_STATE;
-  /** Mutual exclusion: one grant, renewal or probe at a time. */
+  /** Guards `maintain`: at most one grant, renewal or probe is in flight. */
   #isMaintaining = false;
 
-  /** `reachesMachines` tells whether machines answer this controller, if there are any to ask. */
+  /** `canReachMachines` probes some machines: true if enough answer, or if there are none. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly availability: AvailabilityTracker,
     private readonly canReachMachines: () => Promise<boolean>,
   ) {}
 
-  /** The lease to attach the member and leader records to; undefined while there is none. */
+  /** The lease that member and leader records are attached to; undefined while there is none. */
   get leaseId(): LeaseId | undefined {
     return grantedLease(this.#state)?.id;
   }
 
-  /** Whether the shards were released, and this controller has not rejoined. */
+  /** Whether this controller has released its shards and has not rejoined yet. */
   get isReleased(): boolean {
     return this.#state.kind === "released";
   }
 
-  /** The state store no longer knows the lease: by a renewal, or by a refused transaction. */
+  /** Records that the state store rejected a renewal or a transaction because the lease expired. */
   onLeaseExpired(): void {
     this.#step({ kind: "expired" });
   }
 
   /**
-   * Renews the lease, or is granted a new one if there is none. While the shards are released it
-   * first probes the machines. Called periodically; a call during another one does nothing.
+   * Renews the lease, or requests a new one if there is none. While the shards are released, it
+   * probes the machines first and continues only if they answer. Called periodically; a call
+   * returns at once while another one is in progress.
    */
   async maintain(): Promise<void> {
     if (this.#isMaintaining) return;
@@ -61,7 +62,7 @@
     }
   }
 
-  /** Gives the lease up, so that others fail over; `ownedShards` is for the log. */
+  /** Releases the lease, so that others claim the shards; `ownedShards` is only logged. */
   async release(ownedShards: readonly ShardId[]): Promise<void> {
     const lease = this.leaseId;
     this.#step({ kind: "released", nextProbeAt: this.#nextProbeTime() });
@@ -78,8 +79,9 @@
   }
 
   /**
-   * False while the shards stay released. It rejoins only once machines answer again: a shard that
-   * came back earlier would lose its heartbeats anew.
+   * Rejoins if the shards are released and machines answer a probe. Returns whether the lease may
+   * be renewed or requested, which is false while the shards remain released. Rejoining before the
+   * machines answer would return shards to a controller that still receives no heartbeats for them.
    */
   async #rejoinIfReleased(): Promise<boolean> {
     if (this.#state.kind !== "released") return true;
@@ -95,14 +97,14 @@
 
   async #renewOrGrant(): Promise<void> {
     const { store, operators, log } = this.ctx;
-    const askedAt = monotonicNow();
+    const requestSentAt = monotonicNow();
     const current = grantedLease(this.#state);
     if (current !== undefined) {
       const renewal = await store.renew(current.id);
       if (renewal === "renewed") {
         this.#step({ kind: "renewed", at: monotonicNow() });
-        // The lease never expired, so no other controller has claimed anything.
-        this.availability.onOwnershipConfirmed(askedAt);
+        // The lease has not expired, so no other controller has claimed its shards or leadership.
+        this.availability.onOwnershipConfirmed(requestSentAt);
       }
       if (renewal !== "lapsed") return;
       log.info("lease expired", { lateMs: Math.round(monotonicNow() - current.renewedAt) });
@@ -111,15 +113,17 @@
     const id = await store.grant(operators.memberLeaseMs);
     if (id === undefined) return;
     this.#step({ kind: "granted", lease: { id, renewedAt: monotonicNow() } });
-    // The watch may show much later what others claimed meanwhile: it is read before acting.
+    // Others may have claimed shards since the old lease expired, and the watch may show that much
+    // later: read the records before acting on them.
     if (!this.ctx.synced || (await rereadKeys(this.ctx, this.#ownershipKeys())))
-      this.availability.onOwnershipConfirmed(askedAt);
+      this.availability.onOwnershipConfirmed(requestSentAt);
   }
 
-  /** The keys that say what this controller owns: leadership and all shards. */
+  /** The keys of the leader record and of all shard owner records. */
   #ownershipKeys(): readonly string[] {
-    const names: string[] = [keys.leader];
-    for (let n = 0; n < this.ctx.settings.shardCount; n++) names.push(keys.shard(shardId(n)));
-    return names;
+    const ownershipKeys: string[] = [keys.leader];
+    for (let n = 0; n < this.ctx.settings.shardCount; n++)
+      ownershipKeys.push(keys.shard(shardId(n)));
+    return ownershipKeys;
   }
 }
--- a/src/coordination/membership/lease-state.ts
+++ b/src/coordination/membership/lease-state.ts
@@ -1,20 +1,24 @@
 /**
- * The state machine of this controller's lease: its named states and the one function that changes
- * them. Without I/O; `LeaseKeeper` owns the state and makes the calls.
+ * The state machine of this controller's lease: its states, its events and the transition function.
+ * Pure; `LeaseKeeper` holds the state and makes the calls to the state store.
  */
 import type { LeaseId, MonotonicMs } from "@umberfold/ids";
 
 /** A lease that the state store granted. */
 export interface GrantedLease {
   readonly id: LeaseId;
-  /** When the answer to its grant or to its last renewal arrived. */
+  /** When the answer to the grant or to the latest renewal arrived. */
   readonly renewedAt: MonotonicMs;
 }
 
 /**
- * `none`: not granted yet, at the start and right after rejoining. `held`: granted and, as far as is
- * known, not expired. `expired`: the state store said that it is gone, and with it the member record.
- * `released`: given up so that others fail over; not granted again before `nextProbeAt`.
+ * The states of the lease.
+ *
+ * - `none`: not granted yet, after the start or after rejoining.
+ * - `held`: granted and not known to have expired.
+ * - `expired`: the state store reported that it has expired, which also deleted the member record.
+ * - `released`: given up so that other controllers claim the shards. No lease is requested until
+ *   the machines answer a probe, the next of which is due at `nextProbeAt`.
  */
 export type LeaseState =
   | { readonly kind: "none" }
@@ -22,13 +26,13 @@
   | { readonly kind: "expired" }
   | {
       readonly kind: "released";
-      /** When to probe next whether the machines are reachable again. */
+      /** When to probe again whether the machines are reachable. */
       readonly nextProbeAt: MonotonicMs;
       /** A lease whose grant was in flight during the release; renewed only after rejoining. */
       readonly lateLease: GrantedLease | undefined;
     };
 
-/** What happens to a lease. `rejoin_postponed`: the machines were probed and are still unreachable. */
+/** The events of the lease. `rejoin_postponed`: a probe found the machines still unreachable. */
 export type LeaseEvent =
   | { readonly kind: "granted"; readonly lease: GrantedLease }
   | { readonly kind: "renewed"; readonly at: MonotonicMs }
@@ -37,10 +41,10 @@
   | { readonly kind: "rejoin_postponed"; readonly nextProbeAt: MonotonicMs }
   | { readonly kind: "rejoined" };
 
-/** The state of a controller that has just started. */
+/** The state when the controller starts. */
 export const INITIAL_LEASE_STATE: LeaseState = { kind: "none" };
 
-/** The lease that records can be attached to, if there is one. */
+/** The lease that records can be attached to; undefined if none is granted. */
 export const grantedLease = (state: LeaseState): GrantedLease | undefined => {
   if (state.kind === "held") return state.lease;
   return state.kind === "released" ? state.lateLease : undefined;
@@ -50,8 +54,8 @@
   state.kind === "released" ? { ...state, lateLease: lease } : { kind: "held", lease };
 
 /**
- * The only place where the state of the lease changes. Answers may arrive after the shards were
- * released: they never end the `released` state, only `rejoined` does.
+ * The transition function of the lease. An answer that arrives after the shards were released never
+ * ends the `released` state; only the event `rejoined` does.
  */
 export const stepLease = (state: LeaseState, event: LeaseEvent): LeaseState => {
   switch (event.kind) {
@@ -59,7 +63,7 @@
       return withLease(state, event.lease);
     case "renewed": {
       const lease = grantedLease(state);
-      // Expired or released while the renewal was in flight: its answer revives nothing.
+      // The lease expired or was released while the renewal was in flight: ignore the answer.
       return lease === undefined ? state : withLease(state, { ...lease, renewedAt: event.at });
     }
     case "expired":
--- a/src/coordination/membership/member-registry.ts
+++ b/src/coordination/membership/member-registry.ts
@@ -1,6 +1,7 @@
 /**
- * The live controllers by their member records, which hang on their leases. Owns since when each
- * incarnation has been seen here: a newcomer is given shards only after a while.
+ * The live controllers, known by their member records, which are attached to their leases. Owns the
+ * time since when each incarnation has been present: a shard is handed over to a controller only
+ * after it has been present for the operators' hand-back time.
  */
 import type { ControllerLabel, Incarnation, LeaseId, MonotonicMs } from "@umberfold/ids";
 import type { Transaction } from "../../protocol/store.js";
@@ -15,20 +16,20 @@
 /** The live controllers by label. */
 export type Members = ReadonlyMap<ControllerLabel, ControllerId>;
 
-/** Registers this controller, and knows who else is present and for how long. */
+/** Builds this controller's registration, and tracks since when each controller is present. */
 export class MemberRegistry {
   readonly #presentSince = new Map<Incarnation, MonotonicMs>();
 
-  /** Reads the replica of the context; writes nothing itself. */
+  /** Reads the replica of the context; the caller commits the transactions. */
   constructor(private readonly ctx: ControllerContext) {}
 
-  /** Whether the member record of this label names this start of this controller. */
+  /** Whether the member record of this controller's label names its current incarnation. */
   isRegistered(): boolean {
     const { replica, self } = this.ctx;
     return sameController(replica.members.get(self.label)?.value, self);
   }
 
-  /** The transaction that writes this controller's member record; it goes with the lease. */
+  /** The transaction that writes this controller's member record, which expires with the lease. */
   registrationTransaction(lease: LeaseId): Transaction {
     const { replica, self } = this.ctx;
     const key = keys.member(self.label);
@@ -38,14 +39,18 @@
     };
   }
 
-  /** All live controllers, this one among them once it is registered. */
+  /** All live controllers, including this one once it is registered. */
   liveMembers(): Members {
     const members = new Map<ControllerLabel, ControllerId>();
     for (const [label, record] of this.ctx.replica.members) members.set(label, record.value);
     return members;
   }
 
-  /** Those of `members` that have been present for the operators' hand-back time, as of `now`. */
+  /**
+   * The labels of those `members` that have been present without interruption for at least the
+   * operators' `hand_back_s`. Also records which members are present at `now`: a controller's time
+   * starts again when it has restarted or was absent from the `members` of a call.
+   */
   stableMembers(members: Members, now: MonotonicMs): ReadonlySet<ControllerLabel> {
     const present = new Set([...members.values()].map((member) => member.incarnation));
     for (const incarnation of [...this.#presentSince.keys()])
--- a/src/coordination/membership/membership-writer.ts
+++ b/src/coordination/membership/membership-writer.ts
@@ -1,22 +1,22 @@
 /**
- * Writes the records of membership: members, leader, teams and shard owners. Owns no state; each
- * transaction is conditional on the revisions that its decision was made on.
+ * Writes the member, leader, team and shard owner records. Stateless; each transaction is
+ * conditional on the record revisions that the decision was based on.
  */
 import type { Transaction } from "../../protocol/store.js";
 import { applyCommitted, type ControllerContext, rereadKeys } from "../context.js";
 import type { LeaseKeeper } from "./lease-keeper.js";
 
-/** Commits one transaction at a time and keeps replica and lease in step with its outcome. */
+/** Commits a transaction and updates the replica and the lease state according to its outcome. */
 export class MembershipWriter {
-  /** A refused transaction tells the keeper that the lease has expired. */
+  /** A refused transaction is reported to the lease keeper as an expired lease. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly lease: LeaseKeeper,
   ) {}
 
   /**
-   * Repeats the transaction until its outcome is known or the controller stops. True if it was
-   * applied; otherwise the keys it was conditional on have been read again.
+   * Retries the transaction until its outcome is known or the controller stops. Returns true if it
+   * was applied; otherwise rereads the keys of its conditions and returns false.
    */
   async commit(transaction: Transaction): Promise<boolean> {
     const { ctx } = this;
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * This controller's place among the others, as all other parts see it: a facade over the lease, the
- * store's availability, leadership, shard ownership and the share of the write limit. Owns no state
- * of its own; each part owns its own and says so in its file.
+ * The facade through which all other folders use membership: the lease, the state store's
+ * availability, leadership, shard ownership and the share of the write limit. Holds no state of its
+ * own; the module comment of each part names the state that the part owns.
  */
 import type { ShardId } from "@umberfold/ids";
 import type { ControllerId } from "../../storage/records.js";
@@ -18,7 +18,7 @@
 
 export { NO_PEER_REPORTS, type PeerReports } from "./availability-tracker.js";
 
-/** The facade of membership. Methods that return a promise pass on that of the part itself. */
+/** Delegates each call to the part of membership that is responsible for it. */
 export class Membership {
   readonly #availability: AvailabilityTracker;
   readonly #lease: LeaseKeeper;
@@ -28,7 +28,7 @@
   readonly #writeShare: WriteShare;
   readonly #reconciler: ShardReconciler;
 
-  /** `reachesMachines` tells whether machines answer this controller, if there are any to ask. */
+  /** `canReachMachines` probes some machines: true if enough answer, or if there are none. */
   constructor(ctx: ControllerContext, canReachMachines: () => Promise<boolean> = async () => true) {
     this.#availability = new AvailabilityTracker(ctx);
     this.#lease = new LeaseKeeper(ctx, this.#availability, canReachMachines);
@@ -45,67 +45,78 @@
     });
   }
 
-  /** Whether the member record of this start of the controller is written. */
+  /** Whether the member record names this controller with its current incarnation. */
   isRegistered(): boolean {
     return this.#registry.isRegistered();
   }
 
-  /** The state store as this controller sees it. */
+  /** The availability of the state store as last assessed by this controller. */
   get storeAvailability(): StoreAvailability {
     return this.#availability.availability;
   }
 
   /**
-   * Whether it may act for the cluster. Not once its lease must have expired while others are
-   * served: they are claiming its shards, and a worker that is kept here would only lose its lease.
-   * Nor after a process pause, before it knows what it still owns, nor once it has released its
-   * shards.
+   * Whether this controller may decide and send commands. False in these states:
+   *
+   * - `isolated`: its lease must be assumed to have expired while others are served, so they claim
+   *   its shards. A worker that stayed with this controller would only lose its worker lease.
+   * - `resuming`: after a process pause or an isolation, until it has confirmed what it still owns.
+   * - It has released its shards and has not rejoined.
    */
   holdsValidLease(): boolean {
     return this.canServeUsers() && this.storeAvailability !== "resuming";
   }
 
-  /** Whether it has released its shards and has not rejoined. */
+  /** Whether this controller has released its shards and has not rejoined yet. */
   get hasReleasedShards(): boolean {
     return this.#lease.isReleased;
   }
 
-  /** Users are served from the state store, whatever this controller owns. */
+  /**
+   * Whether this controller may serve users' requests. They need only the state store and no owned
+   * shards, so they are also served while `resuming`, but not while `isolated` or released.
+   */
   canServeUsers(): boolean {
     return this.storeAvailability !== "isolated" && !this.hasReleasedShards;
   }
 
-  /** Assesses the store's availability anew, with the other controllers' newest reports. */
+  /** Reassesses the store's availability with the other controllers' latest reports. */
   updateAvailability(reports: PeerReports): StoreAvailability {
     return this.#availability.update(reports);
   }
 
-  /** A pause of this process was detected. */
+  /** To be called when a pause of this process was detected; ownership is then unconfirmed. */
   onProcessResumed(): void {
     this.#availability.onProcessResumed();
   }
 
-  /** Gives up the lease, so that others claim its shards: it reaches none of their machines. */
+  /**
+   * Releases the lease, so that other controllers claim the shards. Called when this controller can
+   * reach none of the shards' machines.
+   */
   releaseShards(): Promise<void> {
     return this.#lease.release(this.#shards.ownedShards());
   }
 
-  /** Counts changes that the watch has shown and that this controller did not write. */
+  /** Counts writes of other controllers that the watch has shown, to measure their write rate. */
   recordPeerWrites(writes: number): void {
     this.#writeShare.recordPeerWrites(writes);
   }
 
-  /** Whether the leader record names this controller. */
+  /** Whether the leader record names this controller with its current incarnation. */
   isLeader(): boolean {
     return this.#election.isLeader();
   }
 
-  /** Whether it is the leader and may act as such. */
+  /** Whether this controller is the leader and holds a valid lease, so may act as the leader. */
   isActiveLeader(): boolean {
     return this.isLeader() && this.holdsValidLease();
   }
 
-  /** Whether it owns the shard and has synced everything written before its claim. */
+  /**
+   * Whether this controller owns the shard and its replica contains every change up to the revision
+   * of the claim.
+   */
   ownsShard(shard: ShardId): boolean {
     return this.#shards.ownsShard(shard);
   }
@@ -115,17 +126,17 @@
     return this.#shards.ownedShards();
   }
 
-  /** The owner by its record, alive or not; undefined if the shard was never claimed. */
+  /** The owner named in the shard's record, alive or not; undefined if it was never claimed. */
   ownerOf(shard: ShardId): ControllerId | undefined {
     return this.#shards.ownerOf(shard);
   }
 
-  /** Renews the lease, or replaces an expired one; called several times within its length. */
+  /** Renews the lease, or replaces an expired one; called several times per lease duration. */
   maintainLease(): Promise<void> {
     return this.#lease.maintain();
   }
 
-  /** One pass over registration, leadership, teams and shards; writes what is lacking. */
+  /** Runs one reconciliation pass over registration, leadership, teams and shards. */
   reconcile(): Promise<void> {
     return this.#reconciler.reconcile();
   }
--- a/src/coordination/membership/pause-detector.ts
+++ b/src/coordination/membership/pause-detector.ts
@@ -1,19 +1,20 @@
 /**
- * Detects process pauses. Owns when the process was last seen running; changed by `detect` alone,
- * so that each pause is reported once, to whoever calls first.
+ * Detects process pauses. Owns the time when the process was last known to be running. Only
+ * `detect` changes it, so each pause is reported once, to the first caller after it.
  */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
 /**
- * Notices that this process did not run, or was starved of processor time, for longer than
- * `maxGapMs`. Its clocks ran on meanwhile: silence of others during a pause proves nothing.
+ * Detects that this process did not run, or was starved of processor time, for longer than
+ * `maxGapMs`. Its clocks continue during a pause, so timeouts that elapsed meanwhile are no
+ * evidence that machines or other controllers have failed.
  */
 export class PauseDetector {
   #lastSeenAt: MonotonicMs;
-  /** How many pauses were detected, for the log. */
+  /** How many pauses have been detected since the start. */
   pauseCount = 0;
 
-  /** `now` counts as the first time that the process was seen running. */
+  /** The first gap is measured from `now`. */
   constructor(
     now: MonotonicMs,
     private readonly maxGapMs: number,
@@ -22,8 +23,8 @@
   }
 
   /**
-   * Called wherever an activity begins, and several times a second. Returns the length of a pause
-   * in milliseconds, or 0.
+   * Returns the length in milliseconds of a pause since the previous call, or 0 if there was none.
+   * Called at the beginning of each activity and several times a second.
    */
   detect(now: MonotonicMs): number {
     const gapMs = now - this.#lastSeenAt;
--- a/src/coordination/membership/shard-ownership.ts
+++ b/src/coordination/membership/shard-ownership.ts
@@ -1,14 +1,17 @@
-/** Which controller owns which shard, as the replica shows it. Owns no state and changes nothing. */
+/** Which controller owns which shard, read from the replica. Stateless and without writes. */
 import type { ShardId } from "@umberfold/ids";
 import { type ControllerId, sameController } from "../../storage/records.js";
 import type { ControllerContext } from "../context.js";
 
-/** Answers who owns a shard. */
+/** Queries on the owners of shards. */
 export class ShardOwnership {
-  /** Reads the replica of the context alone. */
+  /** Reads only the replica and the identity of this controller from the context. */
   constructor(private readonly ctx: ControllerContext) {}
 
-  /** Whether this controller owns the shard and has synced everything written before its claim. */
+  /**
+   * Whether this controller owns the shard and its replica contains every change up to the revision
+   * of the claim.
+   */
   ownsShard(shard: ShardId): boolean {
     const owner = this.ctx.replica.shardOwners.get(shard);
     return (
@@ -23,7 +26,7 @@
     return [...this.ctx.replica.shardOwners.keys()].filter((shard) => this.ownsShard(shard));
   }
 
-  /** The owner by its record, alive or not; undefined if the shard was never claimed. */
+  /** The owner named in the shard's record, alive or not; undefined if it was never claimed. */
   ownerOf(shard: ShardId): ControllerId | undefined {
     return this.ctx.replica.shardOwners.get(shard)?.value;
   }
--- a/src/coordination/membership/shard-reconciler.ts
+++ b/src/coordination/membership/shard-reconciler.ts
@@ -1,7 +1,8 @@
 /**
- * Reconciles the records of membership with who is alive: this controller's registration, the
- * leadership, the teams' shards and the shards' owners, in this order, and one concern a pass.
- * Owns only since when this controller has taken part in the distribution of shards.
+ * Reconciles the membership records with the live controllers: this controller's registration, the
+ * leadership, the shards of teams and the owners of shards, in this order. A pass that registers,
+ * claims leadership or assigns teams ends there. Owns the time when this controller joined the
+ * distribution of shards.
  */
 import type { LeaseId, MonotonicMs, ShardId, TeamName } from "@umberfold/ids";
 import type { Transaction } from "../../protocol/store.js";
@@ -16,13 +17,16 @@
 import type { MembershipWriter } from "./membership-writer.js";
 import type { WriteShare } from "./write-share.js";
 
-/** A newcomer leaves unowned shards to other newcomers for this long. */
+/**
+ * For this long after joining, a controller claims no unowned shards, except those of its earlier
+ * incarnation, so that controllers that start at the same time can claim theirs.
+ */
 const JOIN_GRACE_PERIOD_MS = 600;
 
 const logEventName = (action: ShardAction): string =>
   action.kind === "claim" ? "shard claimed" : "shard handed over";
 
-/** The other parts of membership that a pass uses. */
+/** The parts of membership that a reconciliation pass uses. */
 export interface ReconcilerDependencies {
   readonly lease: LeaseKeeper;
   readonly registry: MemberRegistry;
@@ -31,20 +35,23 @@
   readonly writeShare: WriteShare;
 }
 
-/** Makes the records of membership say what they should, a few writes a pass. */
+/** Brings the membership records in line with the live controllers, with a few writes per pass. */
 export class ShardReconciler {
-  /** When shards were first planned after the last registration; undefined before. */
+  /** When this controller first planned shards after its latest registration; undefined before. */
   #joinedAt: MonotonicMs | undefined;
-  /** Mutual exclusion: a pass decides on records that another one may be writing. */
+  /** Prevents concurrent passes, which would decide on records that another pass is writing. */
   #isReconciling = false;
 
-  /** The parts are shared with the facade, which answers from them. */
+  /** `dependencies` are shared with the facade, which answers queries from them. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly dependencies: ReconcilerDependencies,
   ) {}
 
-  /** One pass. Does nothing during another, without a lease, or before the first scan. */
+  /**
+   * Runs one pass. Does nothing while another pass is in progress, without a lease, or before the
+   * replica holds the first scan.
+   */
   async reconcile(): Promise<void> {
     const lease = this.dependencies.lease.leaseId;
     if (this.#isReconciling || lease === undefined || !this.ctx.synced) return;
@@ -96,9 +103,10 @@
   }
 
   /**
-   * When several controllers start together, the first must not claim what the others are about
-   * to: nothing runs for a while in a shard that has to be handed over again. What an earlier start
-   * of this controller owned is nobody else's to claim.
+   * Whether the action must wait for the end of the join grace period. When several controllers
+   * start together, the first must not claim the shards of the others, because a shard that is
+   * handed over again runs nothing for a while. Shards of an earlier incarnation of this controller
+   * need not wait, because only this controller can claim them.
    */
   #isDeferredWhileJoining(action: ShardAction): boolean {
     const { replica, self } = this.ctx;
@@ -114,7 +122,7 @@
     };
   }
 
-  /** True if teams of the settings had no shard and were given theirs. */
+  /** Assigns a shard to each team of the settings that has none. True if any were assigned. */
   async #assignNewTeams(): Promise<boolean> {
     const { replica, settings } = this.ctx;
     const assignedShards: ReadonlyMap<TeamName, ShardId> = replica.teams?.value ?? new Map();
--- a/src/coordination/membership/store-availability.ts
+++ b/src/coordination/membership/store-availability.ts
@@ -1,66 +1,74 @@
 /**
- * The state machine of the state store's availability as one controller sees it. Pure: the evidence
- * comes in, the next state goes out; `AvailabilityTracker` owns the state.
+ * The state machine of the state store's availability as one controller sees it. Pure: it computes
+ * the next state from the previous one and the evidence; `AvailabilityTracker` holds the state.
  */
 import type { MonotonicMs } from "@umberfold/ids";
 
 /**
- * The state store as this controller sees it.
+ * The availability of the state store as this controller sees it.
  *
- * `available`: it answers. `outage`: it refuses, and as far as is known it refuses everybody, or all
- * controllers are cut off from it together: owned shards stay owned, for nobody can claim them.
- * `isolated`: others are served, or may be, while it can't be reached from here: this controller's
- * lease is expiring, and others will claim its shards. `resuming`: this process paused, or was cut
- * off: what it owned may have been claimed meanwhile, and it acts on none of it until the state
- * store has confirmed what it still owns.
+ * - `available`: the store answers.
+ * - `outage`: the store refuses calls and no other controller is known to be served, or all
+ *   controllers are disconnected from it. Nobody can claim shards, so owned shards stay owned.
+ * - `isolated`: this controller is not served while others are, or may be. Its lease is expiring
+ *   and others will claim its shards.
+ * - `resuming`: this process was paused or disconnected, and others may have claimed its shards
+ *   meanwhile. It acts on none of them until the store has confirmed what it still owns.
  */
 export type StoreAvailability = "available" | "outage" | "isolated" | "resuming";
 
-/** What is remembered between two assessments. */
+/** The state kept between two assessments. */
 export interface AvailabilityState {
   readonly availability: StoreAvailability;
-  /** Since when the state store has not served this controller; undefined while it does. */
+  /** Since when the store has not served this controller; undefined while it does. */
   readonly failingSince: MonotonicMs | undefined;
-  /** When ownership last became doubtful; undefined once it has been confirmed since. */
+  /**
+   * When a process pause or a disconnection last made ownership unconfirmed; undefined while it is
+   * confirmed. Only a call that was sent at or after this time can confirm it.
+   */
   readonly ownershipUnconfirmedSince: MonotonicMs | undefined;
 }
 
-/** The state of a controller that has just started. */
+/** The state when the controller starts. */
 export const INITIAL_AVAILABILITY: AvailabilityState = {
   availability: "available",
   failingSince: undefined,
   ownershipUnconfirmedSince: undefined,
 };
 
-/** What is known of the state store, by own calls and by what the other controllers report. */
+/** The evidence from this controller's own calls to the store and from the other controllers. */
 export interface AvailabilityEvidence {
   readonly now: MonotonicMs;
-  /** When the store last answered, last refused with 503, and last left a call unanswered. */
+  /** When the store last answered with a status other than 503. */
   readonly answeredAt: MonotonicMs;
+  /** When the store last refused a call with status 503. */
   readonly refusedAt: MonotonicMs;
+  /** When a call to the store last ended without any answer. */
   readonly unansweredAt: MonotonicMs;
-  /** How many other controllers there are, and how many report that they are served, or are not. */
+  /** The number of other controllers in the settings. */
   readonly peerCount: number;
+  /** How many of them report that the store serves them. */
   readonly availablePeerCount: number;
+  /** How many of them report that the store does not serve them. */
   readonly unavailablePeerCount: number;
-  /** A pause of this process has just been detected. */
+  /** Whether a pause of this process has just been detected. */
   readonly hasProcessResumed: boolean;
-  /** When the last call was sent whose answer showed what this controller owns. */
+  /** The send time of the latest call whose answer showed what this controller owns. */
   readonly ownershipConfirmedAt: MonotonicMs;
 }
 
 /**
- * How long calls must fail before an outage or an isolation is assumed. Calls answer within
- * milliseconds, now and then a few hundred. In less time than this the others may not have noticed
- * an outage themselves, and would report that they are served.
+ * How long calls must fail before an outage or an isolation is assumed. Calls are normally answered
+ * within milliseconds, occasionally within a few hundred. With a shorter delay, other controllers
+ * may not have noticed an outage yet and would still report that they are served.
  */
 export const OUTAGE_CONFIRMATION_DELAY_MS = 2500;
 
-/** What the newest calls of this controller came to. */
+/** The outcome of this controller's latest calls to the store. */
 interface CallHealth {
-  /** The newest call was refused or left unanswered. */
+  /** Whether the latest call was refused or unanswered. */
   readonly isFailing: boolean;
-  /** The newest failed call got no answer at all, not even a refusal. */
+  /** Whether the latest failed call got no answer at all, not even a refusal. */
   readonly isUnanswered: boolean;
 }
 
@@ -69,13 +77,13 @@
   isUnanswered: evidence.unansweredAt > evidence.refusedAt,
 });
 
-/** When ownership last became doubtful: by a process pause, or by the end of a disconnection. */
+/** Ownership becomes unconfirmed when a process pause or a disconnection from the store ends. */
 const nextOwnershipUnconfirmedSince = (
   previous: AvailabilityState,
   evidence: AvailabilityEvidence,
   { isFailing, isUnanswered }: CallHealth,
 ): MonotonicMs | undefined => {
-  // In an outage before the pause and still in it: nobody was served in between.
+  // An outage that began before the process pause and still lasts: nobody could claim shards.
   const isOutageContinuing = previous.availability === "outage" && isFailing && !isUnanswered;
   const hasReconnected =
     !isFailing &&
@@ -85,7 +93,7 @@
     : previous.ownershipUnconfirmedSince;
 };
 
-/** The availability by calls and reports alone, whether or not ownership is confirmed. */
+/** The availability by calls and reports alone, regardless of whether ownership is confirmed. */
 const observedAvailability = (
   previous: StoreAvailability,
   evidence: AvailabilityEvidence,
@@ -95,24 +103,25 @@
   if (failingSince === undefined) return "available";
   if (evidence.now - failingSince < OUTAGE_CONFIRMATION_DELAY_MS)
     return previous === "resuming" ? "available" : previous;
-  // An outage answers 503 to everybody. A controller that is refused while another is served is
-  // isolated; and so is one whose calls are unanswered, unless all others report that they are cut
-  // off with it: then nobody can claim its shards.
+  // In an outage the store answers 503 to all controllers. A controller that is refused while
+  // another is served is isolated. So is one whose calls are unanswered, unless all others report
+  // that they are not served either, because then nobody can claim its shards.
   const areAllPeersUnavailable = evidence.unavailablePeerCount === evidence.peerCount;
   const isIsolated = evidence.availablePeerCount > 0 || (isUnanswered && !areAllPeersUnavailable);
   return isIsolated ? "isolated" : "outage";
 };
 
-/** The only place where the availability changes. */
+/** The transition function of the availability. */
 export const stepAvailability = (
   previous: AvailabilityState,
   evidence: AvailabilityEvidence,
 ): AvailabilityState => {
   const calls = callHealth(evidence);
   const failingSince = calls.isFailing ? (previous.failingSince ?? evidence.now) : undefined;
-  const resumedAt = nextOwnershipUnconfirmedSince(previous, evidence, calls);
+  const ownershipUnconfirmedSince = nextOwnershipUnconfirmedSince(previous, evidence, calls);
   const isOwnershipConfirmed =
-    resumedAt === undefined || evidence.ownershipConfirmedAt >= resumedAt;
+    ownershipUnconfirmedSince === undefined ||
+    evidence.ownershipConfirmedAt >= ownershipUnconfirmedSince;
   const observed = observedAvailability(
     previous.availability,
     evidence,
@@ -122,6 +131,6 @@
   return {
     availability: isOwnershipConfirmed || observed === "isolated" ? observed : "resuming",
     failingSince,
-    ownershipUnconfirmedSince: isOwnershipConfirmed ? undefined : resumedAt,
+    ownershipUnconfirmedSince: isOwnershipConfirmed ? undefined : ownershipUnconfirmedSince,
   };
 };
