--- a/test/coordination/membership/event-loop-lag.test.ts
+++ b/test/coordination/membership/event-loop-lag.test.ts
@@ -1,15 +1,16 @@
-/** What event-loop lag says of what must have been read by now. */
+/** Up to which time received messages can be assumed to have been read, given event-loop lag. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { monotonicMs } from "@umberfold/ids";
 import { EventLoopLag } from "../../../src/coordination/membership/event-loop-lag.js";
 
-/** How late a timer ran, and when it did. */
+/** How late a timer ran, and when it ran. */
 type LateTimer = readonly [lateMs: number, at: number];
 
 /**
- * A controller short of processor time found heartbeats unread for seconds, and gave up the
- * machines that had sent them. Late timers, and what must have been read a while later.
+ * Late timers, and up to which time messages can be assumed to have been read at `now`. Guards
+ * against a controller short of processor time that left heartbeats unread for seconds and declared
+ * the machines that had sent them failed.
  */
 const cases: readonly (readonly [
   name: string,
@@ -17,11 +18,11 @@
   now: number,
   readUpTo: number,
 ])[] = [
-  ["without lag, all is read", [], 10_000, 10_000],
-  ["a timer just now counts in full", [[300, 10_000]], 10_000, 8800],
-  ["an older lag has decayed by half", [[300, 8000]], 10_000, 9400],
+  ["without lag, everything sent until now has been read", [], 10_000, 10_000],
+  ["a lag observed just now counts in full", [[300, 10_000]], 10_000, 8800],
+  ["a lag observed one half-life ago counts half", [[300, 8000]], 10_000, 9400],
   [
-    "the largest lag counts",
+    "the largest of several lags counts",
     [
       [300, 10_000],
       [50, 10_000],
@@ -29,9 +30,10 @@
     10_000,
     8800,
   ],
-  ["early timers prove nothing", [[-5, 10_000]], 10_000, 10_000],
-  // That is for the pause detector; seconds later silence must count again.
-  ["a process pause counts no longer than the longest lag", [[30_000, 10_000]], 10_000, 2000],
+  ["a timer that ran early counts as no lag", [[-5, 10_000]], 10_000, 10_000],
+  // Process pauses are handled by the pause detector; a few seconds after one, silence of machines
+  // must count again.
+  ["a process pause counts as the maximum lag", [[30_000, 10_000]], 10_000, 2000],
 ];
 
 for (const [name, lateTimers, now, readUpTo] of cases)
--- a/test/coordination/membership/lease-keeper.test.ts
+++ b/test/coordination/membership/lease-keeper.test.ts
@@ -1,4 +1,4 @@
-/** Which calls the lease's keeper makes in which state, and what each answer leads to. */
+/** The calls that `LeaseKeeper` makes in each state, and the effect of each answer. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { leaseId, monotonicMs, revision } from "@umberfold/ids";
@@ -15,7 +15,7 @@
 const SECOND_LEASE = leaseId(8);
 const SELF = { label: "a", incarnation: "1" } as ControllerContext["self"];
 
-/** What the state store answers, one outcome after the other; the last one is repeated. */
+/** The state store's answers in order; the last one is repeated. */
 interface StoreAnswers {
   readonly grants: readonly (typeof FIRST_LEASE | undefined)[];
   readonly renewals?: readonly ("renewed" | "lapsed" | "unavailable")[];
@@ -23,13 +23,13 @@
 
 interface KeeperSetup {
   readonly keeper: LeaseKeeper;
-  /** The calls to the store and the log events, in their order. */
+  /** The calls to the store, the probes and the log events, in order. */
   readonly trace: string[];
   /** Whether machines answer a probe. */
-  reachable: boolean;
-  /** Moves the clock on. */
-  readonly passMs: (ms: number) => void;
-  /** Runs while the store answers a grant, once. */
+  isReachable: boolean;
+  /** Advances the clock. */
+  readonly advanceMs: (ms: number) => void;
+  /** Called once while a grant is in flight. */
   duringGrant: (() => void) | undefined;
 }
 
@@ -70,15 +70,15 @@
     ...{ store, replica, log, self: SELF, operators: defaultOperators() },
     ...{ settings: { shardCount: 1, seeds: [] }, synced: true },
   } as unknown as ControllerContext;
-  const probe = async (): Promise<boolean> => {
+  const canReachMachines = async (): Promise<boolean> => {
     trace.push("probe");
-    return setup.reachable;
+    return setup.isReachable;
   };
   const setup: KeeperSetup = {
-    keeper: new LeaseKeeper(ctx, new AvailabilityTracker(ctx), probe),
+    keeper: new LeaseKeeper(ctx, new AvailabilityTracker(ctx), canReachMachines),
     trace,
-    reachable: true,
-    passMs: (ms) => {
+    isReachable: true,
+    advanceMs: (ms) => {
       now += ms;
     },
     duringGrant: undefined,
@@ -86,7 +86,7 @@
   return setup;
 };
 
-const READS = ["get now/leader", "get now/share/0"];
+const OWNERSHIP_READS = ["get now/leader", "get now/share/0"];
 
 test("a granted lease is followed by reads of leader and shards, and then renewed", async (t) => {
   t.after(stopClock);
@@ -94,20 +94,20 @@
   await keeper.maintain();
   assert.equal(keeper.leaseId, FIRST_LEASE);
   await keeper.maintain();
-  assert.deepEqual(trace, ["grant", ...READS, "renew 7"]);
+  assert.deepEqual(trace, ["grant", ...OWNERSHIP_READS, "renew 7"]);
 });
 
-test("without an answer to a grant there is no lease, and the next call asks again", async (t) => {
+test("an unanswered grant leaves no lease, and the next call requests one again", async (t) => {
   t.after(stopClock);
   const { keeper, trace } = makeKeeper({ grants: [undefined, FIRST_LEASE] });
   await keeper.maintain();
   assert.equal(keeper.leaseId, undefined);
   await keeper.maintain();
   assert.equal(keeper.leaseId, FIRST_LEASE);
-  assert.deepEqual(trace, ["grant", "grant", ...READS]);
+  assert.deepEqual(trace, ["grant", "grant", ...OWNERSHIP_READS]);
 });
 
-test("a renewal without an answer keeps the lease, an expired one is replaced", async (t) => {
+test("an unanswered renewal keeps the lease, an expired lease is replaced", async (t) => {
   t.after(stopClock);
   const { keeper, trace } = makeKeeper({
     grants: [FIRST_LEASE, SECOND_LEASE],
@@ -118,44 +118,44 @@
   assert.equal(keeper.leaseId, FIRST_LEASE);
   await keeper.maintain();
   assert.equal(keeper.leaseId, SECOND_LEASE);
-  const replaced = ["renew 7", "log: lease expired", "grant", ...READS];
-  assert.deepEqual(trace, ["grant", ...READS, "renew 7", ...replaced]);
+  const replaced = ["renew 7", "log: lease expired", "grant", ...OWNERSHIP_READS];
+  assert.deepEqual(trace, ["grant", ...OWNERSHIP_READS, "renew 7", ...replaced]);
 });
 
-test("a lease that a refused transaction showed to be expired is granted anew", async (t) => {
+test("a lease reported as expired by a refused transaction is replaced", async (t) => {
   t.after(stopClock);
   const { keeper, trace } = makeKeeper({ grants: [FIRST_LEASE, SECOND_LEASE] });
   await keeper.maintain();
   keeper.onLeaseExpired();
   assert.equal(keeper.leaseId, undefined);
   await keeper.maintain();
-  assert.deepEqual(trace, ["grant", ...READS, "grant", ...READS]);
+  assert.deepEqual(trace, ["grant", ...OWNERSHIP_READS, "grant", ...OWNERSHIP_READS]);
 });
 
-test("after a release it rejoins only once machines answer a probe", async (t) => {
+test("after a release the controller rejoins only once machines answer a probe", async (t) => {
   t.after(stopClock);
   const setup = makeKeeper({ grants: [FIRST_LEASE, SECOND_LEASE] });
-  const { keeper, trace, passMs } = setup;
+  const { keeper, trace, advanceMs } = setup;
   await keeper.maintain();
   await keeper.release([]);
   trace.length = 0;
-  setup.reachable = false;
+  setup.isReachable = false;
   await keeper.maintain();
-  assert.deepEqual(trace, [], "too early for a probe");
-  passMs(4000);
+  assert.deepEqual(trace, [], "the next probe is not due yet");
+  advanceMs(4000);
   await keeper.maintain();
-  passMs(3999);
+  advanceMs(3999);
   await keeper.maintain();
-  assert.deepEqual(trace, ["probe"], "a failed probe is repeated after its pause only");
-  setup.reachable = true;
-  passMs(1);
+  assert.deepEqual(trace, ["probe"], "a failed probe is repeated only after the probe interval");
+  setup.isReachable = true;
+  advanceMs(1);
   await keeper.maintain();
-  assert.deepEqual(trace, ["probe", "probe", "log: rejoined", "grant", ...READS]);
+  assert.deepEqual(trace, ["probe", "probe", "log: rejoined", "grant", ...OWNERSHIP_READS]);
   assert.equal(keeper.isReleased, false);
   assert.equal(keeper.leaseId, SECOND_LEASE);
 });
 
-test("a release gives the lease up in the state store, and logs before it calls", async (t) => {
+test("a release is logged first and then releases the lease in the state store", async (t) => {
   t.after(stopClock);
   const { keeper, trace } = makeKeeper({ grants: [FIRST_LEASE] });
   await keeper.maintain();
@@ -166,17 +166,17 @@
   assert.equal(keeper.isReleased, true);
 });
 
-test("a grant that is answered after a release does not end the release", async (t) => {
+test("a grant answered after a release does not end the released state", async (t) => {
   t.after(stopClock);
   const setup = makeKeeper({ grants: [FIRST_LEASE] });
-  const { keeper, trace, passMs } = setup;
+  const { keeper, trace, advanceMs } = setup;
   setup.duringGrant = () => void keeper.release([]);
   await keeper.maintain();
   assert.equal(keeper.isReleased, true);
   trace.length = 0;
   await keeper.maintain();
   assert.deepEqual(trace, []);
-  passMs(4000);
+  advanceMs(4000);
   await keeper.maintain();
   assert.deepEqual(trace, ["probe", "log: rejoined", "renew 7"]);
 });
--- a/test/coordination/membership/member-registry.test.ts
+++ b/test/coordination/membership/member-registry.test.ts
@@ -1,4 +1,4 @@
-/** Which members have been present for long enough to be handed a shard. */
+/** Which members have been present long enough for a shard to be handed over to them. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { controllerLabel, incarnation, monotonicMs } from "@umberfold/ids";
@@ -11,18 +11,19 @@
 
 const HAND_BACK_MS = defaultOperators().handBackS * 1000;
 
-const membersOf = (...starts: readonly string[]): Members =>
+/** Members by incarnation; the first letter of each is the label. */
+const membersOf = (...incarnations: readonly string[]): Members =>
   new Map(
-    starts.map((start) => {
-      const label = controllerLabel(start.slice(0, 1));
-      return [label, { label, incarnation: incarnation(start) }];
+    incarnations.map((name) => {
+      const label = controllerLabel(name.slice(0, 1));
+      return [label, { label, incarnation: incarnation(name) }];
     }),
   );
 
-/** When which members are seen, and who is stable at the last of these moments. */
+/** The members present at each time, and which of them are stable at the last time. */
 const cases: readonly (readonly [
   name: string,
-  sightings: readonly (readonly [at: number, members: Members])[],
+  observations: readonly (readonly [at: number, members: Members])[],
   stable: readonly string[],
 ])[] = [
   ["a member seen for the first time is not stable", [[0, membersOf("a1")]], []],
@@ -35,7 +36,7 @@
     ["a"],
   ],
   [
-    "a restarted member begins anew",
+    "the presence of a restarted member counts from its restart",
     [
       [0, membersOf("a1", "b1")],
       [HAND_BACK_MS, membersOf("a1", "b2")],
@@ -43,7 +44,7 @@
     ["a"],
   ],
   [
-    "a member that was absent in between begins anew",
+    "the presence of a member that was absent counts from its return",
     [
       [0, membersOf("a1", "b1")],
       [1000, membersOf("a1")],
@@ -53,12 +54,12 @@
   ],
 ];
 
-for (const [name, sightings, expected] of cases)
+for (const [name, observations, expected] of cases)
   test(`stable members: ${name}`, () => {
     const ctx = { operators: defaultOperators() } as unknown as ControllerContext;
     const registry = new MemberRegistry(ctx);
     let stable: ReadonlySet<string> = new Set();
-    for (const [at, members] of sightings)
+    for (const [at, members] of observations)
       stable = registry.stableMembers(members, monotonicMs(at));
     assert.deepEqual([...stable], expected);
   });
--- a/test/coordination/membership/store-availability.test.ts
+++ b/test/coordination/membership/store-availability.test.ts
@@ -1,4 +1,4 @@
-/** How calls, other controllers' reports and process pauses make up the store's availability. */
+/** The store's availability as a result of calls, peer reports and process pauses. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
@@ -12,20 +12,20 @@
 
 const NOW = monotonicMs(10_000);
 const NEVER = monotonicMs(Number.NEGATIVE_INFINITY);
-/** When the store last answered, unless a case says otherwise: before all failures below. */
+/** When the store last answered; earlier than all failures in the cases below. */
 const ANSWERED_AT = monotonicMs(5000);
 
 const timeOrNever = (ms: number | undefined): MonotonicMs =>
   ms === undefined ? NEVER : monotonicMs(ms);
 
-/** The evidence of one assessment among three controllers; what is left out never happened. */
+/** The evidence of one assessment with two other controllers; events left out never happened. */
 interface EvidenceFields {
   readonly refusedAt?: number;
   readonly unansweredAt?: number;
-  readonly peersAvailable?: number;
-  readonly peersUnavailable?: number;
-  readonly resumed?: boolean;
-  readonly confirmedAt?: number;
+  readonly availablePeerCount?: number;
+  readonly unavailablePeerCount?: number;
+  readonly hasProcessResumed?: boolean;
+  readonly ownershipConfirmedAt?: number;
 }
 
 const evidence = (fields: EvidenceFields): AvailabilityEvidence => ({
@@ -34,23 +34,24 @@
   refusedAt: timeOrNever(fields.refusedAt),
   unansweredAt: timeOrNever(fields.unansweredAt),
   peerCount: 2,
-  availablePeerCount: fields.peersAvailable ?? 0,
-  unavailablePeerCount: fields.peersUnavailable ?? 0,
-  hasProcessResumed: fields.resumed ?? false,
-  ownershipConfirmedAt: timeOrNever(fields.confirmedAt),
+  availablePeerCount: fields.availablePeerCount ?? 0,
+  unavailablePeerCount: fields.unavailablePeerCount ?? 0,
+  hasProcessResumed: fields.hasProcessResumed ?? false,
+  ownershipConfirmedAt: timeOrNever(fields.ownershipConfirmedAt),
 });
 
 const state = (
   availability: StoreAvailability,
   failingSince?: number,
-  resumedAt?: number,
+  ownershipUnconfirmedSince?: number,
 ): AvailabilityState => ({
   availability,
   failingSince: failingSince === undefined ? undefined : monotonicMs(failingSince),
-  ownershipUnconfirmedSince: resumedAt === undefined ? undefined : monotonicMs(resumedAt),
+  ownershipUnconfirmedSince:
+    ownershipUnconfirmedSince === undefined ? undefined : monotonicMs(ownershipUnconfirmedSince),
 });
 
-/** A case, the state before, the evidence, and the availability after. */
+/** Name, state before, evidence, and availability after. */
 type AvailabilityCase = readonly [
   string,
   AvailabilityState,
@@ -61,76 +62,77 @@
 const cases: readonly AvailabilityCase[] = [
   ["calls are answered", INITIAL_AVAILABILITY, evidence({}), "available"],
   [
-    "a first refusal is no failure yet",
+    "a first refusal does not change the availability yet",
     INITIAL_AVAILABILITY,
     evidence({ refusedAt: 9000 }),
     "available",
   ],
   [
-    "refused, and nobody reports to be served: owned shards stay owned",
+    "refused, and no other controller is served, so owned shards stay owned",
     state("available", 6000),
     evidence({ refusedAt: 9000 }),
     "outage",
   ],
   [
-    "refused while another is served: others will claim the shards",
+    "refused while another is served, so others will claim the shards",
     state("outage", 6000),
-    evidence({ refusedAt: 9000, peersAvailable: 1 }),
+    evidence({ refusedAt: 9000, availablePeerCount: 1 }),
     "isolated",
   ],
   [
-    "no answer at all is no outage while somebody may be connected",
+    "unanswered while another controller may be served",
     state("available", 6000),
-    evidence({ unansweredAt: 9000, peersUnavailable: 1 }),
+    evidence({ unansweredAt: 9000, unavailablePeerCount: 1 }),
     "isolated",
   ],
   [
-    "all controllers are cut off together: nobody can claim the shards",
+    "unanswered for all controllers, so nobody can claim the shards",
     state("available", 6000),
-    evidence({ unansweredAt: 9000, peersUnavailable: 2 }),
+    evidence({ unansweredAt: 9000, unavailablePeerCount: 2 }),
     "outage",
   ],
-  // A controller that came back from a disconnection answered heartbeats for shards that others
-  // had claimed.
+  // Guards against a controller that, after a disconnection, answered heartbeats for shards that
+  // others had claimed meanwhile.
   [
-    "reconnected after an isolation, ownership must be confirmed first",
+    "reconnected after an isolation, ownership is unconfirmed",
     state("isolated", 1),
     evidence({}),
     "resuming",
   ],
   [
-    "ownership is confirmed after the resume",
+    "ownership was confirmed after the process resumed",
     state("resuming", 1, 6000),
-    evidence({ confirmedAt: 7000 }),
+    evidence({ ownershipConfirmedAt: 7000 }),
     "available",
   ],
   [
-    "a confirmation from before the resume proves nothing",
+    "a confirmation from before the process resumed does not count",
     state("resuming", undefined, 6000),
-    evidence({ confirmedAt: 5000 }),
+    evidence({ ownershipConfirmedAt: 5000 }),
     "resuming",
   ],
-  // One that paused for longer than its lease answered 200 under a token that had passed on.
+  // Guards against a controller that, after a pause longer than its lease, answered heartbeats with
+  // 200 under a fencing token that already belonged to another controller.
   [
     "the process paused",
     INITIAL_AVAILABILITY,
-    evidence({ resumed: true, confirmedAt: 9999 }),
+    evidence({ hasProcessResumed: true, ownershipConfirmedAt: 9999 }),
     "resuming",
   ],
   [
-    "the process paused in an outage that still lasts: nobody was served meanwhile",
+    "the process paused in an outage that still lasts, so nobody could claim shards",
     state("outage", 1),
-    evidence({ resumed: true, refusedAt: 9000 }),
+    evidence({ hasProcessResumed: true, refusedAt: 9000 }),
     "outage",
   ],
   [
-    "refused since the process paused: shards may have been claimed before",
+    "refused after a process pause, shards may have been claimed before the refusals",
     state("resuming", 6000, 6000),
     evidence({ refusedAt: 9000 }),
     "resuming",
   ],
   [
-    "no answer since the process paused",
+    "unanswered after a process pause",
     state("resuming", 6000, 6000),
     evidence({ unansweredAt: 9000 }),
     "isolated",
--- a/test/coordination/membership/write-share.test.ts
+++ b/test/coordination/membership/write-share.test.ts
@@ -1,4 +1,4 @@
-/** How the others' writes, as the watch shows them, become this controller's share of the limit. */
+/** The other controllers' write rate that is averaged from the writes seen by the watch. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { monotonicMs } from "@umberfold/ids";
@@ -8,20 +8,20 @@
 import { stopClock } from "../../fixtures/controller-setup.js";
 
 interface ShareUpdate {
-  readonly members: number;
-  readonly foreignRate: number;
+  readonly memberCount: number;
+  readonly peerWriteRate: number;
 }
 
 const makeShare = (): { readonly share: WriteShare; readonly updates: ShareUpdate[] } => {
   setClock({ steady: () => 0, wall: () => 0, sleep: async () => undefined });
   const updates: ShareUpdate[] = [];
-  const updateShares = (members: number, rate: number): void => {
-    updates.push({ members, foreignRate: Math.round(rate * 100) / 100 });
+  const updateShares = (memberCount: number, rate: number): void => {
+    updates.push({ memberCount, peerWriteRate: Math.round(rate * 100) / 100 });
   };
   return { share: new WriteShare({ updateShares } as unknown as StateStore), updates };
 };
 
-test("the others' write rate follows what the watch shows within a few seconds", (t) => {
+test("the peer write rate approaches the rate of writes seen by the watch within seconds", (t) => {
   t.after(stopClock);
   const { share, updates } = makeShare();
   for (let second = 1; second <= 8; second++) {
@@ -29,21 +29,21 @@
     share.recordPeerWrites(40);
     share.update(3, monotonicMs(second * 1000));
   }
-  // 100 writes a second, averaged with a time constant of two seconds.
+  // 100 writes per second, averaged exponentially with a time constant of 2 s.
   const expected = updates.map((_, i) => Math.round(1e4 * (1 - Math.exp(-(i + 1) / 2))) / 100);
   assert.deepEqual(
-    updates.map((update) => update.foreignRate),
+    updates.map((update) => update.peerWriteRate),
     expected,
   );
-  assert.equal(updates[0]?.members, 3);
+  assert.equal(updates[0]?.memberCount, 3);
 });
 
-test("an update at the same moment changes nothing and loses no count", (t) => {
+test("an update without elapsed time has no effect and keeps the counted writes", (t) => {
   t.after(stopClock);
   const { share, updates } = makeShare();
   share.recordPeerWrites(100);
   share.update(2, monotonicMs(0));
   assert.deepEqual(updates, []);
   share.update(2, monotonicMs(1000));
-  assert.deepEqual(updates, [{ members: 2, foreignRate: 39.35 }]);
+  assert.deepEqual(updates, [{ memberCount: 2, peerWriteRate: 39.35 }]);
 });
