--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -81,7 +81,7 @@
    */
   async reconcile(): Promise<void> {
     const { ctx } = this;
-    if (!ctx.synced) return;
+    if (!ctx.isReplicaSynced) return;
     const cancelMs = ctx.settings.workers.cancelS * 1000;
     const machinesToReturn = new Set<MachineId>();
     const foreign: ForeignCancellation[] = [];
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,6 +1,7 @@
 /**
- * What all parts of one controller share, and helpers that need nothing else. The composition root
- * (`service/controller.ts`) makes one context per process; each part below says who changes it.
+ * The objects that all modules of one controller share, and helper functions that need only these.
+ * The composition root (`service/controller.ts`) creates one context per process; the comment on
+ * each field says which module changes it.
  */
 import type { ControllerLabel, Revision, TeamName } from "@umberfold/ids";
 import type { Operators } from "../config/operators.js";
@@ -17,45 +18,59 @@
 import type { ShardQuotas } from "./sharding/shard-quotas.js";
 
 /**
- * The parts that all of one controller share. The context itself owns the two flags `synced` and
- * `stopping` and the hook `loadSpread`; everything else is owned by the part that is named.
+ * Shared by all modules of one controller. The context itself holds the flags `isReplicaSynced` and
+ * `isShuttingDown` and the hook `loadSpread`; each other field is owned by the module that declares
+ * its type.
  */
 export interface ControllerContext {
-  /** The deploy file; never changes. */
+  /** The settings of the deploy file; constant. */
   readonly settings: Settings;
-  /** The teams of the settings by name; never changes. */
+  /** The teams of the settings, by name; constant. */
   readonly teams: ReadonlyMap<TeamName, Team>;
-  /** What part of each team's limit and guarantee a shard may use; follows the replica's spans. */
+  /** Each team's limit and guarantee within a shard, computed from the spans in the replica. */
   readonly quotas: ShardQuotas;
-  /** The operators' settings; never change. */
+  /** The operators' settings; constant. */
   readonly operators: Operators;
-  /** The state store's client. Its limits are set by `membership/write-share.ts` alone. */
+  /** The client of the state store. Only `membership/write-share.ts` changes its rate limits. */
   readonly store: StateStore;
-  /** Changed by `service/replica-sync.ts`, and by whoever commits or rereads a record. */
+  /**
+   * This controller's copy of the state store. Changed by `service/replica-sync.ts`, and by any
+   * module that commits or rereads a record.
+   */
   readonly replica: Replica;
-  /** Label and incarnation of this process; never change. */
+  /** Label and incarnation of this process; constant. */
   readonly self: ControllerId;
-  /** Adds the controller's label to each event. */
+  /** The logger, which adds the controller's label to each event. */
   readonly log: Logger;
-  /** Uniform in [0, 1); simulated days replace it by a seeded generator. */
+  /** Random numbers, uniform in [0, 1); simulations replace it by a seeded generator. */
   readonly random: () => number;
-  /** Timings for the `stats` event, which empties them. */
+  /** Durations recorded for the log event `stats`, which resets them. */
   readonly metrics: Metrics;
-  /** Asked wherever an activity begins; a detected pause is passed to `Membership.onResume`. */
-  readonly pauses: PauseDetector;
-  /** Fed by the composition root's pause check alone. */
-  readonly loopLag: EventLoopLag;
-  /** Decisions of the load-spread package, set by its loader; absent while it is off. */
+  /**
+   * Detects pauses of this process. Queried whenever an activity begins; a detected pause is passed
+   * to `Membership.onResume`.
+   */
+  readonly pauseDetector: PauseDetector;
+  /** How late timers of this process run. Updated only by `service/event-loop-watch.ts`. */
+  readonly eventLoopLag: EventLoopLag;
+  /** The decisions of the load-spread package, set by its loader; absent while it is disabled. */
   loadSpread?: LoadSpreadHooks;
-  /** False until the first scan is in the replica; set by `service/replica-sync.ts`. */
-  synced: boolean;
-  /** True once the process shuts down, set by its root: retries of undecided transactions end. */
-  stopping: boolean;
+  /**
+   * True once the replica holds the first full scan of the state store; set by
+   * `service/replica-sync.ts`. No decision is made before.
+   */
+  isReplicaSynced: boolean;
+  /**
+   * True once the process is shutting down; set by the composition root. Transactions whose outcome
+   * is unknown are no longer retried then.
+   */
+  isShuttingDown: boolean;
 }
 
 /**
- * Applies a committed transaction to the replica at once, ahead of the watch. `rev` is the revision
- * of its commit, under which the watch will show the same changes again.
+ * Applies a committed transaction to the replica at once instead of waiting for the watch.
+ *
+ * @param rev the revision of the commit; the watch delivers the same changes later with it
  */
 export const applyCommitted = (
   replica: Replica,
@@ -71,14 +86,15 @@
 };
 
 /**
- * Reads keys from the state store into the replica, usually after a conflict showed that their
- * revisions were stale. Doubles and empty keys are passed over. True if all could be read.
+ * Reads keys from the state store into the replica, usually after a conflict showed that the
+ * replica's revisions of them were stale. Empty and duplicate keys are ignored. Returns true if the
+ * store answered for all of them.
  */
 export const rereadKeys = async (
   ctx: ControllerContext,
   staleKeys: Iterable<string>,
 ): Promise<boolean> => {
-  const readable = await Promise.all(
+  const results = await Promise.all(
     [...new Set(staleKeys)]
       .filter((key) => key !== "")
       .map(async (key) => {
@@ -89,9 +105,12 @@
         return result.kind !== "unavailable";
       }),
   );
-  return readable.every((ok) => ok);
+  return results.every((isRead) => isRead);
 };
 
-/** Where another controller answers; undefined for this one and for labels not in the settings. */
+/**
+ * The address at which another controller takes peer messages; undefined for this controller and
+ * for labels that are not in the settings.
+ */
 export const peerAddress = (settings: Settings, label: ControllerLabel): string | undefined =>
   settings.seeds.find((seed) => seed.label === label)?.address;
--- a/src/coordination/fleet/leader-records.ts
+++ b/src/coordination/fleet/leader-records.ts
@@ -27,7 +27,7 @@
 
   /** Whether this controller leads, and knows the records. */
   get writable(): boolean {
-    return this.ctx.synced && this.membership.isActiveLeader();
+    return this.ctx.isReplicaSynced && this.membership.isActiveLeader();
   }
 
   #term(): LeaderTerm {
@@ -47,7 +47,7 @@
     const conditions = [...transaction.conditions, { key: keys.leader, rev: term.revision }];
     const result = await ctx.store.commitUntilDecided(
       { ...transaction, conditions },
-      () => ctx.stopping,
+      () => ctx.isShuttingDown,
     );
     if (result.kind === "applied") {
       applyCommitted(ctx.replica, transaction.ops, result.rev);
--- a/src/coordination/load-spread/load-spread.ts
+++ b/src/coordination/load-spread/load-spread.ts
@@ -49,7 +49,7 @@
 
   /** The leader's part, if this controller leads, and then an owner's part. */
   async tick(): Promise<void> {
-    if (!this.ctx.synced) return;
+    if (!this.ctx.isReplicaSynced) return;
     if (this.#spans.writable && this.ctx.replica.teams !== undefined) await this.#leader.lead();
     else this.#leader.stopLeading();
     await this.#transfers.handOnSurplus();
--- a/src/coordination/membership/lease-keeper.ts
+++ b/src/coordination/membership/lease-keeper.ts
@@ -112,7 +112,7 @@
     if (id === undefined) return;
     this.#step({ kind: "granted", lease: { id, renewedAt: monotonicNow() } });
     // The watch may show much later what others claimed meanwhile: it is read before acting.
-    if (!this.ctx.synced || (await rereadKeys(this.ctx, this.#ownershipKeys())))
+    if (!this.ctx.isReplicaSynced || (await rereadKeys(this.ctx, this.#ownershipKeys())))
       this.availability.ownershipConfirmed(askedAt);
   }
 
--- a/src/coordination/membership/membership-writer.ts
+++ b/src/coordination/membership/membership-writer.ts
@@ -20,7 +20,7 @@
    */
   async commit(transaction: Transaction): Promise<boolean> {
     const { ctx } = this;
-    const result = await ctx.store.commitUntilDecided(transaction, () => ctx.stopping);
+    const result = await ctx.store.commitUntilDecided(transaction, () => ctx.isShuttingDown);
     if (result.kind === "applied") {
       applyCommitted(ctx.replica, transaction.ops, result.rev);
       return true;
--- a/src/coordination/membership/shard-reconciler.ts
+++ b/src/coordination/membership/shard-reconciler.ts
@@ -47,7 +47,7 @@
   /** One pass. Does nothing during another, without a lease, or before the first scan. */
   async reconcile(): Promise<void> {
     const lease = this.parts.lease.leaseId;
-    if (this.#isReconciling || lease === undefined || !this.ctx.synced) return;
+    if (this.#isReconciling || lease === undefined || !this.ctx.isReplicaSynced) return;
     this.#isReconciling = true;
     try {
       await this.#reconcile(lease);
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -157,7 +157,7 @@
   heartbeatOverdue(id: MachineId, now: MonotonicMs): boolean {
     const lastHeartbeatAt = this.machineStates.get(id)?.health.lastHeartbeatAt ?? null;
     const silentMs =
-      lastHeartbeatAt === null ? 0 : this.ctx.loopLag.readUpTo(now) - lastHeartbeatAt;
+      lastHeartbeatAt === null ? 0 : this.ctx.eventLoopLag.readUpTo(now) - lastHeartbeatAt;
     return silentMs > this.ctx.settings.workers.leaseS * 1000 * HEARTBEAT_OVERDUE_PART;
   }
 
--- a/src/coordination/rounds/round-commit.ts
+++ b/src/coordination/rounds/round-commit.ts
@@ -35,7 +35,7 @@
   async commit(transaction: Transaction): Promise<boolean> {
     const { ctx, counters } = this.state;
     const beganAt = monotonicNow();
-    const result = await ctx.store.commitUntilDecided(transaction, () => ctx.stopping);
+    const result = await ctx.store.commitUntilDecided(transaction, () => ctx.isShuttingDown);
     ctx.metrics.record("commit", monotonicNow() - beganAt);
     if (result.kind === "applied") {
       applyCommitted(ctx.replica, transaction.ops, result.rev);
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -197,7 +197,7 @@
     const { state } = this;
     const { membership } = state;
     const { store } = state.ctx;
-    for (let n = 0; n < MAX_FINISH_TRANSACTIONS && !state.ctx.stopping; n++) {
+    for (let n = 0; n < MAX_FINISH_TRANSACTIONS && !state.ctx.isShuttingDown; n++) {
       if (this.commit.isReplicaBehind || !membership.holdsValidLease()) return;
       const batch = this.#newBatch();
       // Asked each time: a shard may have got another owner during the last write.
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -75,7 +75,7 @@
    */
   detectPause(): void {
     const now = monotonicNow();
-    const pauseMs = this.ctx.pauses.detect(now);
+    const pauseMs = this.ctx.pauseDetector.detect(now);
     if (pauseMs === 0) return;
     this.ctx.log.info("process paused", { forMs: Math.round(pauseMs) });
     this.membership.onResume();
@@ -140,7 +140,7 @@
   }
 
   #mayCommit(): boolean {
-    return !this.#isCommitting && this.ctx.synced && this.membership.holdsValidLease();
+    return !this.#isCommitting && this.ctx.isReplicaSynced && this.membership.holdsValidLease();
   }
 
   /** Counters for the logs. */
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -153,13 +153,13 @@
   }
 
   #times(now: MonotonicMs): DetectionTimes {
-    const { operators, settings, loopLag } = this.state.ctx;
+    const { operators, settings, eventLoopLag } = this.state.ctx;
     const heartbeatPeriodMs = settings.workers.reportS * 1000;
     const silenceMs = operators.silenceS * 1000;
     const wave = this.#wave.isActive(now);
     return {
       now,
-      readUpTo: loopLag.readUpTo(now),
+      readUpTo: eventLoopLag.readUpTo(now),
       heartbeatPeriodMs,
       overdueMs: heartbeatPeriodMs * (wave ? WAVE_OVERDUE_PERIODS : OVERDUE_PERIODS) + OVERDUE_MS,
       limits: {
--- a/src/coordination/workers/heartbeat-handler.ts
+++ b/src/coordination/workers/heartbeat-handler.ts
@@ -67,7 +67,7 @@
     const { state } = this;
     const { ctx, membership } = state;
     const { replica, self } = ctx;
-    if (!ctx.synced) return refused(RETRY_SOON);
+    if (!ctx.isReplicaSynced) return refused(RETRY_SOON);
     // Cut off while others are served: somebody else owns the machine, or soon will.
     if (!membership.holdsValidLease()) return refused(redirectTo(undefined));
     const machine = replica.machines.get(status.machine);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -81,10 +81,10 @@
     random,
     metrics: new Metrics(),
     // Half of its lease: after a longer pause it may have expired, and others own its shards.
-    pauses: new PauseDetector(monotonicNow(), operators.memberLeaseMs / 2),
-    loopLag: new EventLoopLag(),
-    synced: false,
-    stopping: false,
+    pauseDetector: new PauseDetector(monotonicNow(), operators.memberLeaseMs / 2),
+    eventLoopLag: new EventLoopLag(),
+    isReplicaSynced: false,
+    isShuttingDown: false,
   };
 };
 
@@ -122,7 +122,7 @@
       ...{ operators, packages, loadSpread, eventLoopWatch, availability, sync, rounds },
     }),
     stop: () => {
-      ctx.stopping = true;
+      ctx.isShuttingDown = true;
     },
   };
 };
--- a/src/service/event-loop-watch.ts
+++ b/src/service/event-loop-watch.ts
@@ -23,7 +23,7 @@
   /** To be run `PAUSE_CHECK_MS` after it last ended. */
   check(): void {
     const now = monotonicNow();
-    this.ctx.loopLag.observe(now - this.#lastRunAt - PAUSE_CHECK_MS, now);
+    this.ctx.eventLoopLag.observe(now - this.#lastRunAt - PAUSE_CHECK_MS, now);
     this.#lastRunAt = now;
     this.owner.detectPause();
   }
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -79,9 +79,9 @@
 
   /** Without them it can't be told whether a job could ever run. */
   #knowsMachineTypes(): boolean {
-    const { replica, synced } = this.parts.ctx;
+    const { replica, isReplicaSynced } = this.parts.ctx;
     const types = replica.machineTypes?.value;
-    return synced && types !== undefined && types.length > 0;
+    return isReplicaSynced && types !== undefined && types.length > 0;
   }
 
   /** About what the state store lets us write in a second; more would only wait its turn. */
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -1,6 +1,7 @@
 /**
  * Keeps the replica in step with the state store: a scan at the start and whenever the watch has
- * fallen too far behind, and the watch in between. Sets `synced` of the context, and nothing else.
+ * fallen too far behind, and the watch in between. Sets `isReplicaSynced` of the context, and
+ * nothing else.
  */
 import type { ControllerContext } from "../coordination/context.js";
 import type { Membership } from "../coordination/membership/membership.js";
@@ -25,7 +26,7 @@
   /** One watch, answered or timed out; before the first, the scan. */
   async follow(): Promise<void> {
     const { store, replica } = this.ctx;
-    if (!this.ctx.synced && !(await this.#startSync())) return sleep(RETRY_MS);
+    if (!this.ctx.isReplicaSynced && !(await this.#startSync())) return sleep(RETRY_MS);
     const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_WAIT_MS);
     if (watched.kind === "unavailable") return sleep(RETRY_MS);
     if (watched.kind === "too_old") {
@@ -50,7 +51,7 @@
   async #startSync(): Promise<boolean> {
     const { ctx } = this;
     if (!(await this.#scan())) return false;
-    ctx.synced = true;
+    ctx.isReplicaSynced = true;
     ctx.log.info("replica synced", {
       rev: ctx.replica.syncedRevision,
       jobs: ctx.replica.accepted.size,
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -95,7 +95,7 @@
   return (request) => {
     switch (request.path) {
       case SERVED_PATH:
-        return { status: ctx.synced && !ctx.store.isFailing() ? 204 : 503 };
+        return { status: ctx.isReplicaSynced && !ctx.store.isFailing() ? 204 : 503 };
       case HEARTBEATS_PATH:
         return heartbeatReception(parts);
       case PEER_MESSAGE_PATH:
@@ -108,7 +108,7 @@
 
 /** 404 where it can't be told: nothing is owned, or it isn't known what. */
 const heartbeatReception = ({ ctx, membership, owner }: Parts): HttpResponse => {
-  const isOwner = ctx.synced && membership.holdsValidLease();
+  const isOwner = ctx.isReplicaSynced && membership.holdsValidLease();
   const received = isOwner ? owner.channel.receivesHeartbeats() : undefined;
   if (received === undefined) return { status: 404 };
   return { status: received ? 204 : 503 };
@@ -126,7 +126,7 @@
   for (const transfer of message.moves) owner.requestTransfer(transfer);
   for (const machine of message.retire) owner.requestDecommission(machine, message.reason);
   // Before the first scan it isn't known what is owned here: it can't promise to see to it.
-  if (message.cancelled.length > 0 && !ctx.synced) return { status: 503 };
+  if (message.cancelled.length > 0 && !ctx.isReplicaSynced) return { status: 503 };
   cancels.receiveNotices(message.cancelled);
   leader.recordFailingJobs(message.failing);
   wake();
--- a/src/service/stats-report.ts
+++ b/src/service/stats-report.ts
@@ -31,7 +31,7 @@
     ...(membership.isLeader() ? { leader: leader.stats() } : {}),
     stateStore: ctx.store.counters,
     jobLookups: users.stats(),
-    lagMs: Math.round(ctx.loopLag.recentMs(monotonicNow())),
+    lagMs: Math.round(ctx.eventLoopLag.recentMs(monotonicNow())),
     timesMs: await ctx.metrics.drain(),
     rssMb: Math.round(rss / BYTES_PER_MB),
     heapMb: Math.round(heapUsed / BYTES_PER_MB),
--- a/src/service/user-api.ts
+++ b/src/service/user-api.ts
@@ -79,7 +79,7 @@
    * controller that is isolated leaves its users to the others.
    */
   readiness(): HttpResponse {
-    const knowsTypes = this.ctx.synced && this.ctx.replica.machineTypes !== undefined;
+    const knowsTypes = this.ctx.isReplicaSynced && this.ctx.replica.machineTypes !== undefined;
     return readiness(
       knowsTypes && this.membership.isRegistered() && this.membership.canServeUsers(),
     );
--- a/test/coordination/membership/lease-keeper.test.ts
+++ b/test/coordination/membership/lease-keeper.test.ts
@@ -68,7 +68,7 @@
   const log = { info: (event: string) => trace.push(`log: ${event}`) };
   const ctx = {
     ...{ store, replica, log, self: SELF, operators: defaultOperators() },
-    ...{ settings: { shardCount: 1, seeds: [] }, synced: true },
+    ...{ settings: { shardCount: 1, seeds: [] }, isReplicaSynced: true },
   } as unknown as ControllerContext;
   const probe = async (): Promise<boolean> => {
     trace.push("probe");
--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -35,7 +35,7 @@
   const ctx = {
     replica,
     settings: { workers: { leaseS: 20 } },
-    loopLag: new EventLoopLag(),
+    eventLoopLag: new EventLoopLag(),
   } as unknown as ControllerContext;
   const state = new ShardState(ctx, membership, () => undefined);
   replica.apply({ kind: "put", key: page("x"), value: machines, rev: revision(10) });
--- a/test/coordination/rounds/termination-evidence.test.ts
+++ b/test/coordination/rounds/termination-evidence.test.ts
@@ -57,7 +57,7 @@
 const stateIn = (situation: Situation): ShardState => {
   const { tasks, token = TOKEN_FLOOR, phase = "up" } = situation;
   const replica = new Replica();
-  const ctx = { replica, settings: { workers: { leaseS: 20 } }, loopLag: new EventLoopLag() };
+  const ctx = { replica, settings: { workers: { leaseS: 20 } }, eventLoopLag: new EventLoopLag() };
   const membership = { ownedShards: () => [SHARD] } as unknown as Membership;
   const state = new ShardState(ctx as unknown as ControllerContext, membership, () => undefined);
   const row = { shard: SHARD, type: "small", zone: "a", spot: false, endpoint: "m:1", phase };
--- a/test/coordination/workers/channel-setup.ts
+++ b/test/coordination/workers/channel-setup.ts
@@ -94,12 +94,12 @@
   };
   const ctx = {
     replica,
-    synced: options.synced !== false,
+    isReplicaSynced: options.synced !== false,
     self: { label: controllerLabel("self"), incarnation: incarnation("self-1") },
     settings: { seeds: [], resources: { maxSockets: 512 }, workers: { leaseS: 20, reportS: 5 } },
     operators: { silenceS: 6.5 },
     store: { get: () => Promise.resolve({ kind: "unavailable" }) },
-    loopLag: new EventLoopLag(),
+    eventLoopLag: new EventLoopLag(),
     log: { info: log, error: log, debug: log },
     metrics: { record: () => undefined },
   } as unknown as ControllerContext;
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -90,7 +90,7 @@
       quotas: new ShardQuotas(this.replica, new Map([[TEAM, team]])),
       operators: defaultOperators(),
       store: { isFailing: () => false, writeLevel: () => 0 },
-      loopLag: new EventLoopLag(),
+      eventLoopLag: new EventLoopLag(),
       log: { enabled: () => false, info: () => undefined, debug: () => undefined },
       metrics: { record: () => undefined },
     } as unknown as ControllerContext;
