--- a/src/coordination/cancellation/cancellation-action.ts
+++ b/src/coordination/cancellation/cancellation-action.ts
@@ -1,84 +1,97 @@
 /**
- * What an open attempt of a cancelled job calls for, as a pure state machine over the time since
- * the cancellation.
+ * Decides what to do about an open attempt of a cancelled job: a pure function of the time since
+ * the cancellation and of what is known of the attempt. It holds no state.
  *
- * It owns no state. What must hold: nothing of a cancelled job runs once the `cancel_s` setting has
- * passed, whether or not the state store can be written meanwhile; and no machine is returned while
- * an ordinary stop may still do, for a return ends everybody's tasks there.
+ * Invariants: no task of a cancelled job runs longer than the setting `cancel_s` after the
+ * cancellation, whether or not the state store accepts writes in the meantime. No machine is
+ * returned while a stop command may still be enough, because a return ends all tasks on the
+ * machine, those of other jobs too.
  */
 
 /**
- * Fraction of `cancel_s` from which on a machine on which a cancelled task isn't proved gone is to be
- * returned by the leader.
+ * Fraction of `cancel_s` after which a machine is decommissioned, so that the leader returns it, if
+ * a cancelled task on it is not proved gone.
  */
-const DECOMMISSION_FROM_FRACTION = 0.4;
+const DECOMMISSION_START_FRACTION = 0.4;
 /**
- * Fraction of `cancel_s` from which on whoever knows of such a machine returns it by a call of its
- * own, which needs neither a record nor a leader.
+ * Fraction of `cancel_s` after which any controller that enforces the cancellation returns such a
+ * machine itself by a direct call to the cloud, which needs neither a record nor a leader.
  */
-export const FORCE_RETURN_FROM_FRACTION = 0.65;
-/** Fractions of `cancel_s` from which on a first status is not awaited, and is awaited again. */
-const LAST_CHANCE_FROM_FRACTION = 0.85;
-const OVERDUE_FROM_FRACTION = 1;
+export const FORCE_RETURN_START_FRACTION = 0.65;
+/** Fraction of `cancel_s` after which a machine's first status is no longer waited for. */
+const NEAR_DEADLINE_START_FRACTION = 0.85;
+/**
+ * Fraction of `cancel_s` after which the deadline is missed and a first status is waited for again.
+ */
+const OVERDUE_START_FRACTION = 1;
 
-/** A machine whose ownership is new has this long for its first status, unless time runs out. */
-const FIRST_STATUS_GRACE_MS = 4000;
+/** How long a new owner waits for a machine's first status, unless the deadline is near. */
+const FIRST_STATUS_TIMEOUT_MS = 4000;
 
 /**
- * How far the time that a cancellation may take has passed:
- * - `stopping`: stop commands alone;
- * - `decommissioning`: the machine is given to the leader to return;
- * - `force_returning`: a leader that didn't get to it is not waited for;
- * - `last_chance`: nor is a first status;
- * - `overdue`: the time has passed already, and haste gains nothing.
+ * The stages of a cancellation until its deadline, `cancel_s` after it was recorded:
+ * - `stopping`: stop commands only;
+ * - `decommissioning`: the machine is decommissioned, and the leader returns it;
+ * - `force_returning`: the machine is returned by a direct call, without waiting for the leader;
+ * - `near_deadline`: as `force_returning`, and without waiting for the machine's first status;
+ * - `overdue`: the deadline is missed, so a first status is waited for again: returning a machine
+ *   whose tasks may have been stopped already would not make up for it.
  */
 export type CancellationStage =
   | "stopping"
   | "decommissioning"
   | "force_returning"
-  | "last_chance"
+  | "near_deadline"
   | "overdue";
 
 /**
  * The stage of a cancellation.
  *
  * @param ageMs milliseconds since the cancellation was recorded
- * @param cancelMs milliseconds within which its tasks must be gone (`cancel_s`)
+ * @param cancelMs milliseconds within which all its tasks must be gone (the setting `cancel_s`)
  */
 export const cancellationStage = (ageMs: number, cancelMs: number): CancellationStage => {
   const fraction = ageMs / cancelMs;
-  if (fraction < DECOMMISSION_FROM_FRACTION) return "stopping";
-  if (fraction >= OVERDUE_FROM_FRACTION) return "overdue";
-  if (fraction >= LAST_CHANCE_FROM_FRACTION) return "last_chance";
-  return fraction >= FORCE_RETURN_FROM_FRACTION ? "force_returning" : "decommissioning";
+  if (fraction < DECOMMISSION_START_FRACTION) return "stopping";
+  if (fraction >= OVERDUE_START_FRACTION) return "overdue";
+  if (fraction >= NEAR_DEADLINE_START_FRACTION) return "near_deadline";
+  return fraction >= FORCE_RETURN_START_FRACTION ? "force_returning" : "decommissioning";
 };
 
-/** What to do about one attempt and its machine; each action includes the ones before it. */
+/** What to do about an attempt and its machine; each action includes the preceding ones. */
 export type CancellationAction = "none" | "stop" | "decommission" | "force_return";
 
 /** What is known of one open attempt of a cancelled job. */
-export interface CancellationView {
-  /** It is proved that the task is not on the machine and can't start there any more. */
-  readonly provedGone: boolean;
+export interface CancelledAttemptView {
+  /**
+   * Whether it is proved that the task is not on the machine and can't be started there any more.
+   */
+  readonly isProvedGone: boolean;
   /** Milliseconds since the cancellation was recorded. */
   readonly ageMs: number;
-  /** Milliseconds within which the task must be gone. */
+  /** Milliseconds after the cancellation within which the task must be gone. */
   readonly cancelMs: number;
-  /** The state store takes no writes: a record can't bring the machine's return about. */
-  readonly storeFailing: boolean;
-  /** How long this owner has waited for the machine's first status; null once it has one. */
-  readonly awaitingStatusMs: number | null;
+  /**
+   * Whether calls to the state store fail. The machine can't be decommissioned then, because its
+   * record can't be written.
+   */
+  readonly isStoreFailing: boolean;
+  /**
+   * How long this owner has waited for the machine's first status under its fencing token; null
+   * once it has one.
+   */
+  readonly firstStatusWaitMs: number | null;
 }
 
-/** The action that an open attempt of a cancelled job calls for now. */
-export const decideCancellationAction = (view: CancellationView): CancellationAction => {
-  if (view.provedGone) return "none";
+/** What to do now about an open attempt of a cancelled job. */
+export const decideCancellationAction = (view: CancelledAttemptView): CancellationAction => {
+  if (view.isProvedGone) return "none";
   const stage = cancellationStage(view.ageMs, view.cancelMs);
   if (stage === "stopping") return "stop";
-  // The owner before may have stopped all of it: the machine shows that as soon as it is asked.
+  // The previous owner may have stopped the task already; the first status shows whether it did.
   const awaitsFirstStatus =
-    view.awaitingStatusMs !== null && view.awaitingStatusMs < FIRST_STATUS_GRACE_MS;
-  if (awaitsFirstStatus && stage !== "last_chance") return "stop";
-  // While nothing can be written there is no use in waiting for the leader.
-  return view.storeFailing || stage !== "decommissioning" ? "force_return" : "decommission";
+    view.firstStatusWaitMs !== null && view.firstStatusWaitMs < FIRST_STATUS_TIMEOUT_MS;
+  if (awaitsFirstStatus && stage !== "near_deadline") return "stop";
+  // While the store fails, the leader can't learn of a decommission: don't wait for it.
+  return view.isStoreFailing || stage !== "decommissioning" ? "force_return" : "decommission";
 };
--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -1,9 +1,9 @@
 /**
- * Cancellations, from their record to the proof that nothing of the job is left: the facade over
- * the parts in this folder.
+ * Cancellation of jobs, from the record of the user's request to the proof that none of the job's
+ * tasks is left: the facade over the modules in this folder, which hold all state.
  *
- * Owns no state beside its parts. What must hold: a cancellation that was confirmed to its user is
- * enforced within `cancel_s`, whether or not the state store can be reached afterwards.
+ * Invariant: a cancellation that was confirmed to its user is enforced within `cancel_s`, even if
+ * the state store can't be reached after the confirmation.
  */
 import type { MachineId } from "@umberfold/ids";
 import type { CancellationNotice } from "../../protocol/peer.js";
@@ -22,10 +22,13 @@
 } from "./unreachable-owner-enforcement.js";
 import { UserConfirmations } from "./user-confirmations.js";
 
-/** From this fraction of `cancel_s` on the other controllers enforce what its owner doesn't. */
-const FOREIGN_ENFORCEMENT_FROM_FRACTION = 0.5;
+/**
+ * Fraction of `cancel_s` after which the other controllers enforce a cancellation whose owner
+ * doesn't answer while the state store fails.
+ */
+const FOREIGN_ENFORCEMENT_START_FRACTION = 0.5;
 
-/** Confirms, spreads and enforces cancellations. */
+/** Confirms cancellations to users, notifies the other controllers and stops the tasks. */
 export class Cancellations {
   readonly #confirmations: UserConfirmations;
   readonly #outbox: NoticeOutbox;
@@ -35,24 +38,24 @@
   readonly #forcedReturns: ForcedReturns;
 
   /**
-   * @param owner the shards owned here
-   * @param cloud the cloud, for forced returns
-   * @param peers the other controllers, for notices
-   * @param workers the machines, for those of an owner that doesn't answer
+   * @param localShards the shards that this controller owns
+   * @param cloud HTTP client for forced returns of machines
+   * @param peers HTTP client for cancellation notices to the other controllers
+   * @param workers HTTP client for the machines of owners that don't answer
    */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
-    owner: LocalShards,
+    localShards: LocalShards,
     cloud: HttpClient,
     peers: HttpClient,
     workers: HttpClient,
   ) {
     this.#outbox = new NoticeOutbox(ctx, peers);
-    this.#receiver = new NoticeReceiver(ctx, owner);
+    this.#receiver = new NoticeReceiver(ctx, localShards);
     this.#confirmations = new UserConfirmations(ctx, membership, this.#outbox, this.#receiver);
     this.#forcedReturns = new ForcedReturns(ctx, cloud);
-    this.#ownMachines = new OwnMachineEnforcement(ctx, owner, this.#forcedReturns);
+    this.#ownMachines = new OwnMachineEnforcement(ctx, localShards, this.#forcedReturns);
     this.#unreachableOwners = new UnreachableOwnerEnforcement(
       ctx,
       membership,
@@ -63,21 +66,23 @@
   }
 
   /**
-   * Whether a user may be told that the job is cancelled, as its record at `notice.rev` says. False:
-   * not yet, the user asks again. It never rejects for a controller that can't be reached.
+   * Whether a user may be told that the job is cancelled, given its record at revision
+   * `notice.rev`. False means not yet: the user has to ask again. A controller that can't be
+   * reached doesn't reject the promise.
    */
   confirm(notice: CancellationNotice): Promise<boolean> {
     return this.#confirmations.confirm(notice);
   }
 
-  /** Takes in notices of another controller, and stops their tasks here at once. */
+  /** Applies notices from another controller and sends stop commands to the machines at once. */
   receiveNotices(notices: readonly CancellationNotice[]): void {
     this.#receiver.receive(notices);
   }
 
   /**
-   * Enforces all cancellations: stops tasks, and in the end returns machines, with or without
-   * records. Called periodically; it waits for no call, and what is in flight goes on beyond it.
+   * Enforces all cancellations: stops tasks and, if that fails, has machines returned, through the
+   * leader or by direct calls. Called periodically. It doesn't wait for its network calls, which
+   * may still be in flight when it returns.
    */
   async reconcile(): Promise<void> {
     const { ctx } = this;
@@ -91,15 +96,15 @@
       const shard = ctx.replica.shardOf(job);
       if (shard !== undefined && this.membership.ownsShard(shard))
         for (const machine of this.#ownMachines.enforce(job, ageMs)) machinesToReturn.add(machine);
-      else if (ctx.store.isFailing() && ageMs >= cancelMs * FOREIGN_ENFORCEMENT_FROM_FRACTION)
+      else if (ctx.store.isFailing() && ageMs >= cancelMs * FOREIGN_ENFORCEMENT_START_FRACTION)
         foreign.push({ job, notice: { job, rev, at: accepted.cancelledAt }, ageMs });
     }
-    // Neither is awaited: a call that hangs must not keep the next look from stopping tasks.
+    // Not awaited: a call that hangs must not delay the next run, which repeats stop commands.
     if (foreign.length > 0) void this.#unreachableOwners.enforce(foreign);
     if (machinesToReturn.size > 0) void this.#forcedReturns.returnMachines([...machinesToReturn]);
   }
 
-  /** Counts since the start, for the log event `stats`. */
+  /** Counters since the process started, for the log event `stats`. */
   stats(): Readonly<Record<string, unknown>> {
     return {
       ...this.#confirmations.counters,
--- a/src/coordination/cancellation/forced-returns.ts
+++ b/src/coordination/cancellation/forced-returns.ts
@@ -1,42 +1,43 @@
 /**
- * Returns of machines on which a cancelled task stays, by a direct call of the cloud.
+ * Returns machines on which a cancelled task was not proved gone, by a direct call to the cloud.
  *
- * Owns which machines were returned so. What must hold: a call goes out only from `returnMachines`,
- * one at a time. No record is written here: the 200 proves that the machines are gone, and their
- * records follow by the ordinary way.
+ * Holds the set of machines returned this way. Invariant: only `returnMachines` sends such a call,
+ * and at most one is in flight. No record is written here: the cloud's status 200 proves that the
+ * machines are gone, and their records are updated later in the same way as for other machines.
  */
 import type { MachineId } from "@umberfold/ids";
 import { MAX_RETURNS_PER_CALL, returnBody } from "../../protocol/cloud.js";
 import type { HttpClient } from "../../transport/client.js";
 import type { ControllerContext } from "../context.js";
 
-const CLOUD_TIMEOUT_MS = 5000;
+const RETURN_CALL_TIMEOUT_MS = 5000;
 
-/** Machines returned by direct calls, which need neither a record nor a leader. */
+/** Returns machines by direct calls to the cloud, which need neither a record nor a leader. */
 export class ForcedReturns {
-  readonly #returned = new Set<MachineId>();
+  readonly #returnedMachines = new Set<MachineId>();
   #state: "idle" | "calling" = "idle";
-  /** Machines whose return the cloud has confirmed, since the start. */
+  /** How many returns the cloud has confirmed since the process started. */
   readonly counters = { forceReturned: 0 };
 
-  /** @param cloud the cloud, outside of the leader's budget of calls */
+  /** @param cloud HTTP client for the cloud; its calls don't count against the leader's budget */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly cloud: HttpClient,
   ) {}
 
-  /** Whether a call of this controller has returned the machine: all on it is gone. */
-  includes(machine: MachineId): boolean {
-    return this.#returned.has(machine);
+  /** Whether this controller has returned the machine, so that all tasks on it are gone. */
+  hasReturned(machine: MachineId): boolean {
+    return this.#returnedMachines.has(machine);
   }
 
   /**
-   * Returns machines, unless a call is in flight already: the next look repeats what is left.
-   * Harmless to repeat, for the cloud ignores machines that it doesn't know.
+   * Returns machines that were not returned before. Does nothing while a call is in flight: the
+   * caller repeats the request in its next run. Idempotent, because the cloud ignores machines that
+   * it doesn't know.
    */
   async returnMachines(candidates: readonly MachineId[]): Promise<void> {
     const machines = candidates
-      .filter((machine) => !this.#returned.has(machine))
+      .filter((machine) => !this.#returnedMachines.has(machine))
       .slice(0, MAX_RETURNS_PER_CALL);
     if (this.#state === "calling" || machines.length === 0) return;
     this.#state = "calling";
@@ -47,13 +48,13 @@
         "POST",
         "/machines/return",
         returnBody(machines),
-        CLOUD_TIMEOUT_MS,
+        RETURN_CALL_TIMEOUT_MS,
       );
-      const done = reply.kind === "answer" && reply.status === 200;
-      log.info("machines force-returned", { machines, done });
-      if (!done) return;
+      const isConfirmed = reply.kind === "answer" && reply.status === 200;
+      log.info("machines force-returned", { machines, done: isConfirmed });
+      if (!isConfirmed) return;
       this.counters.forceReturned += machines.length;
-      for (const machine of machines) this.#returned.add(machine);
+      for (const machine of machines) this.#returnedMachines.add(machine);
     } finally {
       this.#state = "idle";
     }
--- a/src/coordination/cancellation/local-shards.ts
+++ b/src/coordination/cancellation/local-shards.ts
@@ -1,24 +1,25 @@
 /**
- * What cancellations need of the shards owned here. `ShardOwner` satisfies it; being structural, it
- * keeps cancellations independent of rounds.
+ * The interface through which cancellations use the shards that this controller owns. `ShardOwner`
+ * implements it; the interface keeps this folder independent of the `rounds` folder.
  */
 import type { MachineId } from "@umberfold/ids";
 import type { ShardState } from "../ownership/shard-state.js";
 
-/** Calls machines of the shards owned here with the commands that their records ask for. */
+/** Calls the machines of the shards that this controller owns. */
 export interface MachineCaller {
   /**
-   * Sends the machine its commands, stop commands for cancelled tasks among them.
+   * Sends the machine the commands that follow from its records, among them stop commands for
+   * cancelled tasks.
    *
-   * @param first ahead of all calls that wait already
+   * @param isUrgent whether the call goes ahead of all calls that are already queued
    */
-  callMachine(machine: MachineId, first?: boolean): void;
+  callMachine(machine: MachineId, isUrgent?: boolean): void;
 }
 
-/** The shards owned by this controller, as cancellations see them. */
+/** What cancellations use of the shards that this controller owns. */
 export interface LocalShards {
-  /** Sessions and soft state of the machines. */
+  /** Worker sessions and soft state of the machines. */
   readonly state: ShardState;
-  /** The way to the machines. */
+  /** Sends commands to the machines. */
   readonly channel: MachineCaller;
 }
--- a/src/coordination/cancellation/notice-outbox.ts
+++ b/src/coordination/cancellation/notice-outbox.ts
@@ -1,9 +1,10 @@
 /**
- * Cancellation notices on their way to the other controllers.
+ * Sends cancellation notices to the other controllers, in batches.
  *
- * Owns one queue for each other controller. What must hold: at most one message is in flight to a
- * controller, all that gathers meanwhile goes into the next, and each sender gets an answer in a
- * bounded time. Nothing is repeated here: a notice without an acknowledgment is the caller's affair.
+ * Holds one queue for each other controller. Invariants: at most one message is in flight to a
+ * controller; notices queued in the meantime go into the next message; each caller gets a result
+ * within a bounded time. Nothing is retried here: a notice that was not acknowledged is left to the
+ * caller.
  */
 import type { ControllerLabel, JobId } from "@umberfold/ids";
 import {
@@ -14,56 +15,59 @@
 import type { HttpClient } from "../../transport/client.js";
 import { type ControllerContext, peerAddress } from "../context.js";
 
-const NOTICE_TIMEOUT_MS = 600;
-/** Notices in one message; more go into the next. */
+const NOTICE_CALL_TIMEOUT_MS = 600;
+/** Notices beyond this number go into the next message. */
 const MAX_NOTICES_PER_MESSAGE = 500;
 
-/** A notice that waits to be sent, and who waits for its acknowledgment. */
+/** A notice to be sent, with the promises to resolve with whether it was acknowledged. */
 interface QueuedNotice {
   readonly notice: CancellationNotice;
-  readonly onAnswer: ((acknowledged: boolean) => void)[];
+  readonly resolvers: ((acknowledged: boolean) => void)[];
 }
 
-/** What waits for one controller; a second message is not begun while one is in flight. */
+/** The notices queued for one controller; `sending` while a message to it is in flight. */
 interface PeerQueue {
-  readonly waiting: Map<JobId, QueuedNotice>;
+  readonly pending: Map<JobId, QueuedNotice>;
   state: "idle" | "sending";
 }
 
-/** Sends cancellation notices to other controllers, many in a message. */
+/** Sends cancellation notices to other controllers, many in one message. */
 export class NoticeOutbox {
   readonly #queues = new Map<ControllerLabel, PeerQueue>();
-  /** Notices sent since the start, acknowledged or not. */
+  /** How many notices were sent since the process started, acknowledged or not. */
   readonly counters = { notices: 0 };
 
-  /** @param peers connections to the other controllers */
+  /** @param peers HTTP client for the other controllers */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly peers: HttpClient,
   ) {}
 
-  /** True once the other controller has acknowledged it; false if it didn't in a short time. */
+  /**
+   * Sends a notice to another controller. Resolves to true once that controller has acknowledged
+   * it, and to false on an error, on a timeout, or if its address is unknown.
+   */
   send(to: ControllerLabel, notice: CancellationNotice): Promise<boolean> {
     let queue = this.#queues.get(to);
     if (queue === undefined) {
-      queue = { waiting: new Map(), state: "idle" };
+      queue = { pending: new Map(), state: "idle" };
       this.#queues.set(to, queue);
     }
-    const queued = queue.waiting.get(notice.job) ?? { notice, onAnswer: [] };
-    queue.waiting.set(notice.job, queued);
-    const acknowledged = new Promise<boolean>((resolve) => queued.onAnswer.push(resolve));
-    // Not awaited: its result reaches the promise returned here, and it never fails.
-    void this.#sendAll(to, queue);
+    const queued = queue.pending.get(notice.job) ?? { notice, resolvers: [] };
+    queue.pending.set(notice.job, queued);
+    const acknowledged = new Promise<boolean>((resolve) => queued.resolvers.push(resolve));
+    // Not awaited: it resolves the promise returned here, and it never rejects.
+    void this.#sendQueued(to, queue);
     return acknowledged;
   }
 
-  async #sendAll(to: ControllerLabel, queue: PeerQueue): Promise<void> {
+  async #sendQueued(to: ControllerLabel, queue: PeerQueue): Promise<void> {
     if (queue.state === "sending") return;
     queue.state = "sending";
     const address = peerAddress(this.ctx.settings, to);
-    while (queue.waiting.size > 0) {
-      const batch = [...queue.waiting.values()].slice(0, MAX_NOTICES_PER_MESSAGE);
-      for (const { notice } of batch) queue.waiting.delete(notice.job);
+    while (queue.pending.size > 0) {
+      const batch = [...queue.pending.values()].slice(0, MAX_NOTICES_PER_MESSAGE);
+      for (const { notice } of batch) queue.pending.delete(notice.job);
       const payload = encodePeerMessage({
         ...EMPTY_PEER_MESSAGE,
         from: this.ctx.self.label,
@@ -73,9 +77,9 @@
       const reply =
         address === undefined
           ? undefined
-          : await this.peers.callRaw(address, "POST", "/peer", payload, NOTICE_TIMEOUT_MS);
+          : await this.peers.callRaw(address, "POST", "/peer", payload, NOTICE_CALL_TIMEOUT_MS);
       const acknowledged = reply?.kind === "answer" && reply.status === 204;
-      for (const { onAnswer } of batch) for (const answer of onAnswer) answer(acknowledged);
+      for (const { resolvers } of batch) for (const resolve of resolvers) resolve(acknowledged);
     }
     queue.state = "idle";
   }
--- a/src/coordination/cancellation/notice-receiver.ts
+++ b/src/coordination/cancellation/notice-receiver.ts
@@ -1,8 +1,8 @@
 /**
- * Cancellation notices that arrive from other controllers, or from this one's own users.
+ * Applies cancellation notices that arrive from other controllers or from this controller's users.
  *
- * Owns no state: a notice goes into the replica. What must hold: a notice never overrides a newer
- * record, and never creates one.
+ * Holds no state: a notice is applied to the replica. Invariant: a notice never overwrites a newer
+ * record and never creates one.
  */
 import type { JobId } from "@umberfold/ids";
 import type { CancellationNotice } from "../../protocol/peer.js";
@@ -10,18 +10,20 @@
 import type { ControllerContext } from "../context.js";
 import type { LocalShards } from "./local-shards.js";
 
-/** Takes cancellation notices into the replica and stops their tasks. */
+/** Applies cancellation notices to the replica and stops the tasks of the cancelled jobs. */
 export class NoticeReceiver {
-  /** @param owner the shards owned here */
+  /** @param localShards the shards that this controller owns */
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly owner: LocalShards,
+    private readonly localShards: LocalShards,
   ) {}
 
   /**
-   * Takes in cancellations as if the watch had shown them, and stops their tasks at once: that needs
-   * no write. A notice of a job that is not known changes nothing: nothing of it can have been
-   * started from here, and what starts it later must name its record's revision.
+   * Applies cancellations as if the watch had delivered them, and sends stop commands at once,
+   * which needs no write to the state store. A notice of a job that the replica doesn't hold is
+   * ignored: this controller can't have started any of its tasks, and a later start is committed on
+   * the condition that the job's record is unchanged since it was read, so a cancellation makes it
+   * fail.
    */
   receive(notices: readonly CancellationNotice[]): void {
     const { replica } = this.ctx;
@@ -34,11 +36,11 @@
       }
       this.#callMachinesOf(notice.job);
     }
-    if (notices.length > 0) this.owner.state.wake();
+    if (notices.length > 0) this.localShards.state.wake();
   }
 
   #callMachinesOf(job: JobId): void {
-    const { state, channel } = this.owner;
+    const { state, channel } = this.localShards;
     for (const { machine } of this.ctx.replica.job(job)?.open ?? [])
       if (state.sessions.has(machine)) channel.callMachine(machine, true);
   }
--- a/src/coordination/cancellation/own-machine-enforcement.ts
+++ b/src/coordination/cancellation/own-machine-enforcement.ts
@@ -1,9 +1,9 @@
 /**
- * Enforcement of cancellations on the machines of shards owned here.
+ * Enforces cancellations on the machines of the shards that this controller owns.
  *
- * Owns no state; it changes the machines' soft state (their departure) and marks them dirty, so
- * that the next round writes it. What must hold: an open attempt of a cancelled job is asked about
- * again and again until it is proved gone.
+ * Holds no state. It changes the machines' soft state (their departure) and marks them dirty, so
+ * that the next round writes the change. Invariant: the machine of an open attempt of a cancelled
+ * job is called repeatedly until the attempt is proved gone.
  */
 import { type JobId, type MachineId, type MonotonicMs, taskId } from "@umberfold/ids";
 import type { OpenAttempt } from "../../storage/records.js";
@@ -15,34 +15,38 @@
 import type { ForcedReturns } from "./forced-returns.js";
 import type { LocalShards } from "./local-shards.js";
 
-/** A machine on which a cancelled task stays is called again after this long. */
-const REPEAT_CALL_MS = 1000;
+/** Interval between calls to a machine on which a cancelled task is not proved gone. */
+const CALL_REPEAT_INTERVAL_MS = 1000;
 
-/** Stops cancelled tasks on own machines, and in the end has the machines returned. */
+/** Stops cancelled tasks on machines owned here, or else has the machines returned. */
 export class OwnMachineEnforcement {
-  /** @param owner the shards owned here */
+  /** @param localShards the shards that this controller owns */
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly owner: LocalShards,
+    private readonly localShards: LocalShards,
     private readonly forcedReturns: ForcedReturns,
   ) {}
 
   /**
-   * Stops what is left of a cancelled job, `ageMs` milliseconds after its cancellation. The machines
-   * that it yields are to be returned by a direct call.
+   * Stops the open attempts of a cancelled job, `ageMs` milliseconds after its cancellation.
+   * Returns the machines that the caller has to return by a direct call to the cloud.
    */
   enforce(job: JobId, ageMs: number): readonly MachineId[] {
     const { replica } = this.ctx;
     const now = monotonicNow();
     const machinesToReturn: MachineId[] = [];
-    for (const open of replica.job(job)?.open ?? []) {
-      const { machine } = open;
-      const session = this.owner.state.sessions.get(machine);
-      if (session === undefined || replica.isGone(machine) || this.forcedReturns.includes(machine))
+    for (const openAttempt of replica.job(job)?.open ?? []) {
+      const { machine } = openAttempt;
+      const session = this.localShards.state.sessions.get(machine);
+      if (
+        session === undefined ||
+        replica.isGone(machine) ||
+        this.forcedReturns.hasReturned(machine)
+      )
         continue;
-      const action = this.#actionFor(job, open, session, ageMs, now);
+      const action = this.#actionFor(job, openAttempt, session, ageMs, now);
       if (action === "none") continue;
-      this.#callAgain(machine, now);
+      this.#callIfDue(machine, now);
       if (action === "stop") continue;
       this.#decommission(machine);
       if (action === "force_return") machinesToReturn.push(machine);
@@ -52,30 +56,35 @@
 
   #actionFor(
     job: JobId,
-    open: OpenAttempt,
+    openAttempt: OpenAttempt,
     session: WorkerSession,
     ageMs: number,
     now: MonotonicMs,
   ): CancellationAction {
-    const observation = observeAttempt(session, taskId(job, open.index), open.attempt);
-    const ended = observation.kind === "present" && observation.report.phase === "ended";
-    const awaitsStatus = session.state === "unknown" || session.state === "fencing";
+    const observation = observeAttempt(
+      session,
+      taskId(job, openAttempt.index),
+      openAttempt.attempt,
+    );
+    const hasEnded = observation.kind === "present" && observation.report.phase === "ended";
+    const awaitsFirstStatus = session.state === "unknown" || session.state === "fencing";
     return decideCancellationAction({
-      provedGone: observation.kind === "absent" || ended,
+      isProvedGone: observation.kind === "absent" || hasEnded,
       ageMs,
       cancelMs: this.ctx.settings.workers.cancelS * 1000,
-      storeFailing: this.ctx.store.isFailing(),
-      awaitingStatusMs: awaitsStatus ? now - session.lastHeardAt : null,
+      isStoreFailing: this.ctx.store.isFailing(),
+      firstStatusWaitMs: awaitsFirstStatus ? now - session.lastHeardAt : null,
     });
   }
 
-  #callAgain(machine: MachineId, now: MonotonicMs): void {
-    const { call } = this.owner.state.machineState(machine);
-    if (now - call.lastCallAt >= REPEAT_CALL_MS) this.owner.channel.callMachine(machine, true);
+  #callIfDue(machine: MachineId, now: MonotonicMs): void {
+    const { call } = this.localShards.state.machineState(machine);
+    if (now - call.lastCallAt >= CALL_REPEAT_INTERVAL_MS)
+      this.localShards.channel.callMachine(machine, true);
   }
 
   #decommission(machine: MachineId): void {
-    const { state } = this.owner;
+    const { state } = this.localShards;
     const { departure } = state.machineState(machine);
     if (departure.decommission?.force === true) return;
     departure.step({ kind: "decommission_forced", reason: "cancelled task stays" });
--- a/src/coordination/cancellation/user-confirmations.ts
+++ b/src/coordination/cancellation/user-confirmations.ts
@@ -1,11 +1,12 @@
 /**
- * When a user may be told that a job is cancelled.
+ * Decides when a user may be told that a job is cancelled.
  *
- * Owns the confirmations given lately and those under way. What must hold: `cancelled` is answered
- * only once the controller that answers the workers of the job's shard has acknowledged the
- * cancellation, or is this one. Then it is enforced whether or not the state store can be reached
- * afterwards. (A controller that was refused alone was never notified, and renewed its workers'
- * leases through the outage that followed.)
+ * Holds the recent confirmations and those in progress. Invariant: a user is answered `cancelled`
+ * only once the owner of the job's shard, which answers the heartbeats of the job's machines, has
+ * acknowledged the cancellation or is this controller. The cancellation is then enforced even if
+ * the state store can't be reached afterwards. (An owner that was the only controller refused by
+ * the state store once never learned of a cancellation, and renewed its workers' leases all through
+ * the outage that followed.)
  */
 import type { JobId } from "@umberfold/ids";
 import type { CancellationNotice } from "../../protocol/peer.js";
@@ -15,22 +16,24 @@
 import type { NoticeOutbox } from "./notice-outbox.js";
 import type { NoticeReceiver } from "./notice-receiver.js";
 
-/** How long a confirmation may wait for the watch and for the owner; then the user asks again. */
+/**
+ * How long a confirmation waits for the watch and the owner; after that the user has to ask again.
+ */
 const CONFIRMATION_TIMEOUT_MS = 900;
-const REPLICA_POLL_MS = 20;
-/** Confirmations remembered, so that a later question about the job need not ask the owner again. */
-const MAX_REMEMBERED = 20_000;
+const REPLICA_POLL_INTERVAL_MS = 20;
+/** How many confirmed jobs are remembered, so that repeated requests don't ask the owner again. */
+const MAX_REMEMBERED_CONFIRMATIONS = 20_000;
 
 /** Confirms cancellations to users. */
 export class UserConfirmations {
-  readonly #confirmed = new Set<JobId>();
+  readonly #confirmedJobs = new Set<JobId>();
   readonly #inFlight = new Map<JobId, Promise<boolean>>();
-  /** Questions answered with yes, and with not yet, since the start. */
+  /** How many requests were confirmed or not confirmed since the process started. */
   readonly counters = { confirmed: 0, unconfirmed: 0 };
 
   /**
-   * @param outbox the way to the other controllers
-   * @param receiver takes each notice into this controller too
+   * @param outbox sends notices to the other controllers
+   * @param receiver applies each notice on this controller too
    */
   constructor(
     private readonly ctx: ControllerContext,
@@ -40,49 +43,55 @@
   ) {}
 
   /**
-   * Whether a user may be told that the job is cancelled, as its record at `notice.rev` says. False:
-   * not yet, the user asks again. Questions about one job at a time share one answer.
+   * Whether a user may be told that the job is cancelled, given its record at revision
+   * `notice.rev`. False means not yet: the user has to ask again. Concurrent requests for one job
+   * share one result.
    */
   confirm(notice: CancellationNotice): Promise<boolean> {
-    if (this.#confirmed.has(notice.job)) return Promise.resolve(true);
+    if (this.#confirmedJobs.has(notice.job)) return Promise.resolve(true);
     const inFlight = this.#inFlight.get(notice.job);
     if (inFlight !== undefined) return inFlight;
-    const confirmation = this.#askOwner(notice).finally(() => this.#inFlight.delete(notice.job));
+    const confirmation = this.#confirmWithOwner(notice).finally(() =>
+      this.#inFlight.delete(notice.job),
+    );
     this.#inFlight.set(notice.job, confirmation);
     return confirmation;
   }
 
-  async #askOwner(notice: CancellationNotice): Promise<boolean> {
+  async #confirmWithOwner(notice: CancellationNotice): Promise<boolean> {
     const { settings, replica, self } = this.ctx;
     const deadline = monotonicNow() + CONFIRMATION_TIMEOUT_MS;
     this.receiver.receive([notice]);
-    // All are notified, so that whoever is left enforces it; the owner's acknowledgment is what counts.
+    // All controllers are notified, so that those still running can enforce the cancellation. Only
+    // the owner's acknowledgment is required for the confirmation.
     const acknowledgments = new Map(
       settings.seeds.map((seed) => [seed.label, this.outbox.send(seed.label, notice)] as const),
     );
-    // Whoever claims the shard after this revision has read the record before it acts on it. Who
-    // claimed it before is known here once the replica is synced up to the revision.
+    // A controller that claims the shard after this revision reads the record before it acts as
+    // owner. One that claimed it earlier is known here once the replica is synced to the revision.
     while (replica.syncedRevision < notice.rev) {
-      if (monotonicNow() >= deadline) return this.#count(false);
-      await sleep(REPLICA_POLL_MS);
+      if (monotonicNow() >= deadline) return this.#countResult(false);
+      await sleep(REPLICA_POLL_INTERVAL_MS);
     }
     const shard = replica.shardOf(notice.job);
     const owner = shard === undefined ? undefined : this.membership.ownerOf(shard)?.label;
-    if (owner === undefined) return this.#count(false);
+    if (owner === undefined) return this.#countResult(false);
     const acknowledged = owner === self.label || (await (acknowledgments.get(owner) ?? false));
-    if (acknowledged) this.#remember(notice.job);
-    return this.#count(acknowledged);
+    if (acknowledged) this.#rememberConfirmed(notice.job);
+    return this.#countResult(acknowledged);
   }
 
-  #count(confirmed: boolean): boolean {
+  #countResult(confirmed: boolean): boolean {
     this.counters[confirmed ? "confirmed" : "unconfirmed"]++;
     return confirmed;
   }
 
-  #remember(job: JobId): void {
+  #rememberConfirmed(job: JobId): void {
     const oldest =
-      this.#confirmed.size >= MAX_REMEMBERED ? this.#confirmed.keys().next().value : undefined;
-    if (oldest !== undefined) this.#confirmed.delete(oldest);
-    this.#confirmed.add(job);
+      this.#confirmedJobs.size >= MAX_REMEMBERED_CONFIRMATIONS
+        ? this.#confirmedJobs.keys().next().value
+        : undefined;
+    if (oldest !== undefined) this.#confirmedJobs.delete(oldest);
+    this.#confirmedJobs.add(job);
   }
 }
--- a/test/coordination/cancellation/cancellation-action.test.ts
+++ b/test/coordination/cancellation/cancellation-action.test.ts
@@ -1,37 +1,57 @@
-/** `decideCancellationAction`: what an open attempt of a cancelled job calls for, over the time. */
+/** `decideCancellationAction`: the action for an open attempt as its cancellation gets older. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
   type CancellationAction,
-  type CancellationView,
+  type CancelledAttemptView,
   decideCancellationAction,
 } from "../../../src/coordination/cancellation/cancellation-action.js";
 
 const CANCEL_MS = 46_000;
-const VIEW: CancellationView = {
-  provedGone: false,
+const VIEW: CancelledAttemptView = {
+  isProvedGone: false,
   ageMs: 500,
   cancelMs: CANCEL_MS,
-  storeFailing: false,
-  awaitingStatusMs: null,
+  isStoreFailing: false,
+  firstStatusWaitMs: null,
 };
 
-const cases: readonly (readonly [string, Partial<CancellationView>, CancellationAction])[] = [
-  ["proved gone, however late: nothing", { provedGone: true, ageMs: 60_000 }, "none"],
-  ["at first: stop commands", {}, "stop"],
-  ["then: its machine is decommissioned", { ageMs: 19_000 }, "decommission"],
-  ["store failing: force-returned at once", { ageMs: 19_000, storeFailing: true }, "force_return"],
-  ["a leader that doesn't get to it is not waited for", { ageMs: 31_000 }, "force_return"],
+const cases: readonly (readonly [string, Partial<CancelledAttemptView>, CancellationAction])[] = [
   [
-    "ownership is new: its first status is awaited",
-    { ageMs: 31_000, awaitingStatusMs: 500 },
+    "proved gone, even after the deadline: no action",
+    { isProvedGone: true, ageMs: 60_000 },
+    "none",
+  ],
+  ["at first: only stop commands", {}, "stop"],
+  ["after 0.4 of cancel_s: its machine is decommissioned", { ageMs: 19_000 }, "decommission"],
+  [
+    "after 0.4 of cancel_s, store failing: its machine is force-returned",
+    { ageMs: 19_000, isStoreFailing: true },
+    "force_return",
+  ],
+  [
+    "after 0.65 of cancel_s: its machine is force-returned without the leader",
+    { ageMs: 31_000 },
+    "force_return",
+  ],
+  [
+    "under a new owner: only stop commands before the first status",
+    { ageMs: 31_000, firstStatusWaitMs: 500 },
     "stop",
   ],
-  ["but not for long", { ageMs: 31_000, awaitingStatusMs: 5000 }, "force_return"],
-  ["nor when time runs out", { ageMs: 42_000, awaitingStatusMs: 500 }, "force_return"],
   [
-    "past its time already: its first status is awaited",
-    { ageMs: 90_000, awaitingStatusMs: 500 },
+    "under a new owner, first status timed out: its machine is force-returned",
+    { ageMs: 31_000, firstStatusWaitMs: 5000 },
+    "force_return",
+  ],
+  [
+    "under a new owner, near the deadline: the first status is not waited for",
+    { ageMs: 42_000, firstStatusWaitMs: 500 },
+    "force_return",
+  ],
+  [
+    "under a new owner, after the deadline: the first status is waited for",
+    { ageMs: 90_000, firstStatusWaitMs: 500 },
     "stop",
   ],
 ];
@@ -39,27 +59,31 @@
   test(`an open attempt of a cancelled job: ${name}`, () =>
     assert.equal(decideCancellationAction({ ...VIEW, ...view }), expected));
 
-/** The stages begin where they are documented: one millisecond before, the one before holds. */
+/** Each stage begins exactly at its documented fraction: one millisecond earlier is too early. */
 const boundaries: readonly (readonly [number, CancellationAction, CancellationAction])[] = [
   [0.4, "stop", "decommission"],
   [0.65, "decommission", "force_return"],
 ];
 for (const [fraction, before, from] of boundaries)
-  test(`at ${fraction} of the time ${before} turns into ${from}`, () => {
+  test(`at ${fraction} of cancel_s the action changes from ${before} to ${from}`, () => {
     const startMs = CANCEL_MS * fraction;
     const actionAt = (ageMs: number) => decideCancellationAction({ ...VIEW, ageMs });
     assert.deepEqual([actionAt(startMs - 1), actionAt(startMs)], [before, from]);
   });
 
-/** Haste passes over a first status only in the last part of the time. */
-const waits: readonly (readonly [number, CancellationAction, CancellationAction])[] = [
+/** A missing first status is ignored only between 0.85 of `cancel_s` and the deadline. */
+const firstStatusBoundaries: readonly (readonly [
+  number,
+  CancellationAction,
+  CancellationAction,
+])[] = [
   [0.85, "stop", "force_return"],
   [1, "force_return", "stop"],
 ];
-for (const [fraction, before, from] of waits)
-  test(`without a first status ${before} turns into ${from} at ${fraction} of the time`, () => {
+for (const [fraction, before, from] of firstStatusBoundaries)
+  test(`without a first status, at ${fraction} of cancel_s ${before} changes to ${from}`, () => {
     const startMs = CANCEL_MS * fraction;
     const actionAt = (ageMs: number) =>
-      decideCancellationAction({ ...VIEW, ageMs, awaitingStatusMs: 0 });
+      decideCancellationAction({ ...VIEW, ageMs, firstStatusWaitMs: 0 });
     assert.deepEqual([actionAt(startMs - 1), actionAt(startMs)], [before, from]);
   });
--- a/test/coordination/cancellation/notice-outbox.test.ts
+++ b/test/coordination/cancellation/notice-outbox.test.ts
@@ -1,4 +1,4 @@
-/** `NoticeOutbox`: acknowledgments, and which notices share a message. */
+/** `NoticeOutbox`: how calls end for the sender, and which notices share a message. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { controllerLabel, jobId, revision, wallClockMs } from "@umberfold/ids";
@@ -27,7 +27,7 @@
   readonly answer: (result: CallResult) => void;
 }
 
-/** Keeps each message until the test answers it. */
+/** An HTTP client that records each message and leaves it pending until the test answers it. */
 class PendingCalls implements HttpClient {
   readonly sent: SentMessage[] = [];
 
@@ -69,7 +69,7 @@
   ["no connection", { kind: "unsent" }, false],
 ];
 for (const [name, result, expected] of answers)
-  test(`a notice that meets ${name} resolves to ${expected}`, async () => {
+  test(`a notice whose call ends with ${name} resolves to ${expected}`, async () => {
     const { outbox, answer } = makeOutbox();
     const acknowledged = outbox.send(PEER, notice(1));
     answer(0, result);
@@ -82,7 +82,7 @@
   assert.deepEqual(calls.sent, []);
 });
 
-test("notices that gather while a message is in flight go into the next one together", async () => {
+test("notices queued while a message is in flight are sent together in the next one", async () => {
   const { outbox, calls, answer } = makeOutbox();
   const first = outbox.send(PEER, notice(1));
   const second = outbox.send(PEER, notice(2));
@@ -99,7 +99,7 @@
   assert.deepEqual(outbox.counters, { notices: 3 });
 });
 
-test("a job that waits already is sent once, and all who asked get the answer", async () => {
+test("a job that is queued twice is sent once, and both callers get the result", async () => {
   const { outbox, calls, answer } = makeOutbox();
   const inFlight = outbox.send(PEER, notice(1));
   const asked = [outbox.send(PEER, notice(2)), outbox.send(PEER, notice(2))];
@@ -110,7 +110,7 @@
   assert.deepEqual(await Promise.all(asked), [true, true]);
 });
 
-test("a controller that doesn't answer holds up no notice to another", async () => {
+test("a controller that doesn't answer delays no notice to another", async () => {
   const { outbox, calls, answer } = makeOutbox();
   void outbox.send(PEER, notice(1));
   const other = outbox.send(OTHER_PEER, notice(1));
@@ -122,7 +122,7 @@
   assert.equal(await other, true);
 });
 
-test("more notices than a message takes go in several", async () => {
+test("notices beyond the limit of one message are split over several", async () => {
   const { outbox, calls, answer } = makeOutbox();
   const first = outbox.send(PEER, notice(0));
   for (let n = 1; n <= MAX_NOTICES_PER_MESSAGE + 1; n++) void outbox.send(PEER, notice(n));
