--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -65,7 +65,7 @@
     const { replica, quotas } = this.ctx;
     const jobs = new Set<JobId>();
     for (const [shard, { index }] of replica.allShardJobs())
-      for (const id of index.withinGuarantee(quotas.teamsIn(shard).values(), (job, spec) =>
+      for (const id of index.withinGuarantee(quotas.teamsForShard(shard).values(), (job, spec) =>
         this.failing.desiredTaskCount(job, spec),
       ))
         jobs.add(id);
--- a/src/coordination/membership/shard-reconciler.ts
+++ b/src/coordination/membership/shard-reconciler.ts
@@ -89,7 +89,9 @@
     return planShardActions({
       self: ctx.self,
       shardCount: ctx.settings.shardCount,
-      shards: new Map([...ctx.replica.shardOwners].map(([shard, owner]) => [shard, owner.value])),
+      shardOwners: new Map(
+        [...ctx.replica.shardOwners].map(([shard, owner]) => [shard, owner.value]),
+      ),
       members,
       stableMembers,
     });
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -38,7 +38,7 @@
   ) {
     const { shard, terminatedByMachine } = round;
     const { index } = state.ctx.replica.shardJobs(shard);
-    this.#teams = state.ctx.quotas.teamsIn(shard);
+    this.#teams = state.ctx.quotas.teamsForShard(shard);
     this.#candidates = candidateMachines(state, shard, terminatedByMachine, changedMachines);
     this.#withinGuarantee = new Set(index.withinGuarantee(this.#teams.values()));
     const preemption = new PreemptionPhase(state, round, this.#withinGuarantee, this.#candidates);
@@ -120,7 +120,7 @@
     const { starts, zones } = placement;
     const { id, job } = placement.queued;
     const { spec } = job;
-    const maxUse = this.state.ctx.quotas.maxUseOf(team);
+    const maxUse = this.state.ctx.quotas.maxUsageOf(team);
     const openIndexes = new Set(job.open.map((attempt) => attempt.index));
     let use = useBefore;
     for (const index of rangesMissing(job.done, spec.taskCount, openIndexes)) {
--- a/src/coordination/sharding/shard-assignment.ts
+++ b/src/coordination/sharding/shard-assignment.ts
@@ -1,142 +1,155 @@
 /**
- * Which controller should own which shard, and which shard each team belongs to. Pure and without
- * state: all controllers compute the same from the same records; `ShardReconciler` carries it out.
+ * Decides which controller should own which shard, and which shard each team belongs to. Pure
+ * functions: all controllers compute the same result from the same records. `ShardReconciler`
+ * carries out the result.
  */
 import { type ControllerLabel, type ShardId, shardId, type TeamName } from "@umberfold/ids";
 import type { ControllerId } from "../../storage/records.js";
 
-/** A shard is handed over only to a controller that owns at least this many fewer. */
-const MIN_IMBALANCE = 2;
+/** A shard is handed over only to a controller that owns at least this many shards fewer. */
+const MIN_SHARD_COUNT_DIFFERENCE = 2;
 
-const byLabel = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
+const compareStrings = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
 /**
- * Which shard each team belongs to, for good. The record that holds it only ever grows: a team
- * that changed its shard while it had open attempts could pass its limit under two owners. New
- * teams go to the shard with the fewest, in name order. (A hash of the name, as first designed,
- * put seven of ten teams of one deployment on one shard.)
+ * Assigns teams that have no home shard yet, in the order of their names, each to the shard with
+ * the fewest teams. (Hashing the name put seven of ten teams of one deployment on one shard.)
+ *
+ * An assignment is permanent: if a team with open attempts changed its shard, two owners could
+ * start attempts of it and together exceed its limit.
+ *
+ * @param recorded the assignments so far; the result contains all of them
+ * @param names the teams of the settings
  */
 export const assignTeams = (
-  known: ReadonlyMap<TeamName, ShardId>,
+  recorded: ReadonlyMap<TeamName, ShardId>,
   names: readonly TeamName[],
   shardCount: number,
 ): ReadonlyMap<TeamName, ShardId> => {
-  const assigned = new Map(known);
+  const assigned = new Map(recorded);
   const teamCounts = Array.from({ length: shardCount }, () => 0);
   const countTeam = (shard: number): void => {
     teamCounts[shard] = (teamCounts[shard] ?? 0) + 1;
   };
-  // The record may name shards beyond today's count.
-  for (const shard of known.values()) if (shard < shardCount) countTeam(shard);
-  for (const name of [...names].sort(byLabel)) {
+  // The record may name shards beyond the current shard count.
+  for (const shard of recorded.values()) if (shard < shardCount) countTeam(shard);
+  for (const name of [...names].sort(compareStrings)) {
     if (assigned.has(name)) continue;
-    const emptiest = teamCounts.indexOf(Math.min(...teamCounts));
-    countTeam(emptiest);
-    assigned.set(name, shardId(emptiest));
+    const leastLoaded = teamCounts.indexOf(Math.min(...teamCounts));
+    countTeam(leastLoaded);
+    assigned.set(name, shardId(leastLoaded));
   }
   return assigned;
 };
 
-/** What a controller does about one shard: make itself the owner, or make another one. */
+/** A change of a shard's owner: a controller claims the shard, or hands it over to another. */
 export type ShardAction =
   | { readonly kind: "claim"; readonly shard: ShardId }
   | { readonly kind: "hand_over"; readonly shard: ShardId; readonly to: ControllerId };
 
-/** The records that the plan follows from, as one controller sees them. */
-export interface ShardView {
+/** The state from which one controller computes its plan. */
+export interface ShardPlanInput {
   readonly self: ControllerId;
   readonly shardCount: number;
-  /** The owner of each shard by its record; absent for shards that were never claimed. */
-  readonly shards: ReadonlyMap<ShardId, ControllerId>;
-  /** Live members, this controller among them. */
+  /** The recorded owner of each shard, alive or not; absent for shards that were never claimed. */
+  readonly shardOwners: ReadonlyMap<ShardId, ControllerId>;
+  /** All live controllers, including this one. */
   readonly members: ReadonlyMap<ControllerLabel, ControllerId>;
-  /** Members present for long enough to be trusted with a shard that works where it is. */
+  /** Members that have been present for long enough to have a shard handed over to them. */
   readonly stableMembers: ReadonlySet<ControllerLabel>;
 }
 
-/** How many shards each member owns. The order is that of the labels, which breaks ties. */
+/** How many shards each member owns, in the order of the labels, which breaks ties. */
 type ShardCounts = Map<ControllerLabel, number>;
 
 const countShard = (counts: ShardCounts, owner: ControllerLabel): void => {
   counts.set(owner, (counts.get(owner) ?? 0) + 1);
 };
 
-/** The shards of a view by what their owner is. */
-interface ShardCensus {
+/** The shards, classified by their owner. */
+interface ShardSummary {
   readonly counts: ShardCounts;
-  /** Shards without an owner, or whose owner is not alive. */
+  /** Shards that have no owner or whose owner is not alive. */
   readonly unowned: readonly ShardId[];
-  /** Shards whose owner has this controller's label. */
-  readonly own: readonly ShardId[];
-  /** Those of `own` that an earlier, dead start of this label claimed. */
-  readonly ownOfEarlierStart: readonly ShardId[];
+  /** Shards whose recorded owner has this controller's label. */
+  readonly owned: readonly ShardId[];
+  /** Those of `owned` that an earlier incarnation of this controller claimed before a restart. */
+  readonly ownedByEarlierIncarnation: readonly ShardId[];
 }
 
-const takeCensus = (view: ShardView): ShardCensus => {
+const summarizeShards = (input: ShardPlanInput): ShardSummary => {
   const counts: ShardCounts = new Map();
-  for (const label of [...view.members.keys()].sort(byLabel)) counts.set(label, 0);
+  for (const label of [...input.members.keys()].sort(compareStrings)) counts.set(label, 0);
   const unowned: ShardId[] = [];
-  const own: ShardId[] = [];
-  const ownOfEarlierStart: ShardId[] = [];
-  for (let n = 0; n < view.shardCount; n++) {
+  const owned: ShardId[] = [];
+  const ownedByEarlierIncarnation: ShardId[] = [];
+  for (let n = 0; n < input.shardCount; n++) {
     const shard = shardId(n);
-    const owner = view.shards.get(shard);
-    if (owner === undefined || !view.members.has(owner.label)) {
+    const owner = input.shardOwners.get(shard);
+    if (owner === undefined || !input.members.has(owner.label)) {
       unowned.push(shard);
       continue;
     }
     countShard(counts, owner.label);
-    if (owner.label !== view.self.label) continue;
-    own.push(shard);
-    if (owner.incarnation !== view.self.incarnation) ownOfEarlierStart.push(shard);
+    if (owner.label !== input.self.label) continue;
+    owned.push(shard);
+    if (owner.incarnation !== input.self.incarnation) ownedByEarlierIncarnation.push(shard);
   }
-  return { counts, unowned, own, ownOfEarlierStart };
+  return { counts, unowned, owned, ownedByEarlierIncarnation };
 };
 
-/** The member with the fewest shards, the first by label among equals. */
-const leastLoaded = (counts: ShardCounts, self: ControllerLabel): ControllerLabel => {
+/** The member with the fewest shards; among equals the first by label. */
+const leastLoadedMember = (counts: ShardCounts, self: ControllerLabel): ControllerLabel => {
   const fewest = Math.min(counts.get(self) ?? 0, ...counts.values());
   for (const [label, count] of counts) if (count === fewest) return label;
   return self;
 };
 
-/** The shards that this controller claims: its own of an earlier start, and its part of the rest. */
-const shardsToClaim = (view: ShardView, census: ShardCensus): readonly ShardId[] => {
-  const { label: self } = view.self;
-  const claimed = [...census.ownOfEarlierStart];
-  const counts = new Map(census.counts);
-  for (const shard of census.unowned) {
-    const claimant = leastLoaded(counts, self);
+/**
+ * The shards that this controller claims: those of its earlier incarnation, and its part of the
+ * unowned shards, which go one by one to the member that has the fewest shards by then.
+ */
+const shardsToClaim = (input: ShardPlanInput, summary: ShardSummary): readonly ShardId[] => {
+  const { label: self } = input.self;
+  const claimed = [...summary.ownedByEarlierIncarnation];
+  const counts = new Map(summary.counts);
+  for (const shard of summary.unowned) {
+    const claimant = leastLoadedMember(counts, self);
     countShard(counts, claimant);
     if (claimant === self) claimed.push(shard);
   }
   return claimed;
 };
 
-/** At most one shard, from this controller to a stable member that owns clearly fewer. */
-const handOver = (view: ShardView, census: ShardCensus): ShardAction | undefined => {
-  const [emptiest] = [...census.counts]
-    .filter(([label]) => view.stableMembers.has(label))
+/**
+ * The hand-over of one shard to the stable member with the fewest shards, if that member owns at
+ * least `MIN_SHARD_COUNT_DIFFERENCE` fewer than this controller.
+ */
+const planHandOver = (input: ShardPlanInput, summary: ShardSummary): ShardAction | undefined => {
+  const [leastLoaded] = [...summary.counts]
+    .filter(([label]) => input.stableMembers.has(label))
     .sort((a, b) => a[1] - b[1]);
-  if (emptiest === undefined) return undefined;
-  const [label, count] = emptiest;
-  const ownCount = census.counts.get(view.self.label) ?? 0;
-  if (label === view.self.label || ownCount < count + MIN_IMBALANCE) return undefined;
-  const to = view.members.get(label);
-  const shard = census.own.at(-1);
+  if (leastLoaded === undefined) return undefined;
+  const [label, count] = leastLoaded;
+  const ownedCount = summary.counts.get(input.self.label) ?? 0;
+  if (label === input.self.label || ownedCount < count + MIN_SHARD_COUNT_DIFFERENCE)
+    return undefined;
+  const to = input.members.get(label);
+  const shard = summary.owned.at(-1);
   return to === undefined || shard === undefined ? undefined : { kind: "hand_over", shard, to };
 };
 
 /**
- * What this controller should do about the shards. All controllers compute the same from the
- * same records, so claims seldom collide; when they do, the conditional write decides.
+ * The shards that this controller should claim or hand over. All controllers compute the same plan
+ * from the same records, so two of them seldom claim the same shard; if they do, only one of the
+ * conditional writes succeeds.
  */
-export const planShardActions = (view: ShardView): readonly ShardAction[] => {
-  const census = takeCensus(view);
-  const claims = shardsToClaim(view, census);
-  // One hand-over at a time, and never while any shard is being claimed.
-  if (claims.length > 0 || census.unowned.length > 0)
+export const planShardActions = (input: ShardPlanInput): readonly ShardAction[] => {
+  const summary = summarizeShards(input);
+  const claims = shardsToClaim(input, summary);
+  // Hand over one shard at a time, and none while any shard is unowned or about to be claimed.
+  if (claims.length > 0 || summary.unowned.length > 0)
     return claims.map((shard) => ({ kind: "claim", shard }));
-  const transfer = handOver(view, census);
-  return transfer === undefined ? [] : [transfer];
+  const handOver = planHandOver(input, summary);
+  return handOver === undefined ? [] : [handOver];
 };
--- a/src/service/controller-tasks.ts
+++ b/src/service/controller-tasks.ts
@@ -45,7 +45,7 @@
 /** Plans the fleet; spans of a time at which load spreading was on are drained home as well. */
 const planFleet = ({ ctx, leader, loadSpread, packages }: PeriodicParts): Promise<void> => {
   const planned = leader.plan();
-  const hasLeftOverSpans = !packages.loadSpread.enabled && ctx.quotas.divided;
+  const hasLeftOverSpans = !packages.loadSpread.enabled && ctx.quotas.hasDividedQuotas;
   return hasLeftOverSpans ? planned.then(() => loadSpread.tick()) : planned;
 };
 
--- a/src/service/load-spread-loader.ts
+++ b/src/service/load-spread-loader.ts
@@ -27,7 +27,7 @@
 
   /** Runs the package's periodic work once, and loads it before the first time. */
   async tick(): Promise<void> {
-    if (!this.settings.enabled && !this.ctx.quotas.divided) return;
+    if (!this.settings.enabled && !this.ctx.quotas.hasDividedQuotas) return;
     this.#loading ??= this.#load();
     await (await this.#loading).tick();
   }
--- a/test/coordination/sharding/shard-assignment.test.ts
+++ b/test/coordination/sharding/shard-assignment.test.ts
@@ -1,4 +1,4 @@
-/** Which shards a controller claims and hands over, and which shard each team belongs to. */
+/** Which shards a controller claims or hands over, and which home shard each team is assigned. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { controllerLabel, incarnation, shardId, teamName } from "@umberfold/ids";
@@ -11,15 +11,15 @@
 
 const SHARD_COUNT = 3;
 
-const controller = (label: string, start = `${label}-1`): ControllerId => ({
+const controller = (label: string, incarnationId = `${label}-1`): ControllerId => ({
   label: controllerLabel(label),
-  incarnation: incarnation(start),
+  incarnation: incarnation(incarnationId),
 });
 const A = controller("a");
 const B = controller("b");
 const C = controller("c");
 
-/** What controller `a` plans, by who owns which shard and who is alive. */
+/** The expected plan of controller `a`, given the shard owners and the live members. */
 interface PlanCase {
   readonly name: string;
   readonly owners: readonly (readonly [number, ControllerId])[];
@@ -30,7 +30,7 @@
 
 const planCases: readonly PlanCase[] = [
   {
-    name: "each controller claims its part of the unowned shards",
+    name: "each controller claims an equal part of the unowned shards",
     owners: [],
     members: [A, B, C],
     plan: ["claim 0"],
@@ -52,7 +52,7 @@
     plan: ["claim 2"],
   },
   {
-    name: "a shard of its own earlier start is claimed at once",
+    name: "a shard of its own earlier incarnation is claimed",
     owners: [
       [0, controller("a", "a-0")],
       [1, B],
@@ -62,7 +62,7 @@
     plan: ["claim 0"],
   },
   {
-    name: "a shard of another's earlier start is left to that one",
+    name: "a shard of another controller's earlier incarnation is left to that controller",
     owners: [
       [0, A],
       [1, controller("b", "b-0")],
@@ -72,7 +72,7 @@
     plan: [],
   },
   {
-    name: "a stable member without a shard is handed one",
+    name: "one shard is handed over to a stable member without a shard",
     owners: [
       [0, A],
       [1, A],
@@ -83,7 +83,7 @@
     plan: ["hand_over 1 c"],
   },
   {
-    name: "a member that has only just joined is handed none",
+    name: "no shard is handed over to a member that has only just joined",
     owners: [
       [0, A],
       [1, A],
@@ -94,7 +94,7 @@
     plan: [],
   },
   {
-    name: "nothing is handed over while a shard is unowned",
+    name: "no shard is handed over while another is unowned",
     owners: [
       [0, A],
       [1, A],
@@ -105,7 +105,7 @@
   },
 ];
 
-const textOf = (action: ShardAction): string =>
+const describeAction = (action: ShardAction): string =>
   action.kind === "claim"
     ? `claim ${action.shard}`
     : `hand_over ${action.shard} ${action.to.label}`;
@@ -115,14 +115,14 @@
     const actions = planShardActions({
       self: A,
       shardCount: SHARD_COUNT,
-      shards: new Map(owners.map(([n, owner]) => [shardId(n), owner])),
+      shardOwners: new Map(owners.map(([n, owner]) => [shardId(n), owner])),
       members: new Map(members.map((member) => [member.label, member])),
       stableMembers: new Set((stable ?? []).map(controllerLabel)),
     });
-    assert.deepEqual(actions.map(textOf), plan);
+    assert.deepEqual(actions.map(describeAction), plan);
   });
 
-test("teams spread evenly over the shards, and a known team never changes its own", () => {
+test("teams are spread evenly over the shards, and an assigned team never changes its shard", () => {
   const names = Array.from({ length: 10 }, (_, i) => teamName(`team-0${i}`));
   const first = assignTeams(new Map(), names, SHARD_COUNT);
   const load = [0, 1, 2].map((n) => [...first.values()].filter((s) => s === n).length);
--- a/test/coordination/sharding/shard-quotas.test.ts
+++ b/test/coordination/sharding/shard-quotas.test.ts
@@ -1,4 +1,4 @@
-/** Limits and guarantees of one team as they hold in each shard, by its span. */
+/** The limits and guarantees of one team within each shard, depending on its span. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { revision, shardId, teamName } from "@umberfold/ids";
@@ -23,35 +23,35 @@
   ],
 };
 
-/** What of a limit of 24 and a guarantee of 8 processors each shard may use. */
+/** How much of a limit of 24 and a guarantee of 8 processors each shard may use. */
 const cases: readonly {
   readonly name: string;
   readonly span?: unknown;
   readonly limits: readonly number[];
   readonly guarantees: readonly number[];
 }[] = [
-  // No other team has a span either: each shard is asked about its own teams alone.
-  { name: "without a span, the whole quota", limits: [24, 24, 24], guarantees: [8, 8, 8] },
+  // No team has a span, so nothing is divided: a shard is queried only for its own teams.
+  { name: "no team has a span: the whole quota", limits: [24, 24, 24], guarantees: [8, 8, 8] },
   {
-    name: "a span of halves, half the quota in each of its shards",
+    name: "a span of two halves: half the quota in each of its shards",
     span: halves,
     limits: [12, 12, 0],
     guarantees: [4, 4, 0],
   },
   {
-    name: "a span that can't be read, nothing",
+    name: "a span that can't be read: no quota in any shard",
     span: { f: 2 },
     limits: [0, 0, 0],
     guarantees: [0, 0, 0],
   },
   {
-    name: "a span of another home, nothing",
+    name: "a span with another home shard: no quota in any shard",
     span: { f: 1, h: 1, e: [[1, 0, WHOLE, WHOLE, 0]] },
     limits: [0, 0, 0],
     guarantees: [0, 0, 0],
   },
   {
-    name: "a span with a shard beyond the last, nothing",
+    name: "a span with a shard that doesn't exist: no quota in any shard",
     span: {
       f: 1,
       h: 0,
@@ -79,14 +79,14 @@
   test(`quotas by shard: ${name}`, () => {
     const quotas = quotasOf(span, 24);
     for (let n = 0; n < SHARDS; n++) {
-      const team = quotas.teamsIn(shardId(n)).get(TEAM);
+      const team = quotas.teamsForShard(shardId(n)).get(TEAM);
       assert.equal(team?.cpusMax, limits[n]);
       assert.equal(team?.cpus, guarantees[n]);
       assert.equal(team?.gpusMax, UNLIMITED);
     }
   });
 
-test("a changed limit in the settings holds at once, divided as before", () => {
-  assert.equal(quotasOf(halves, 10).teamsIn(shardId(1)).get(TEAM)?.cpusMax, 5);
-  assert.equal(quotasOf(halves, UNLIMITED).teamsIn(shardId(1)).get(TEAM)?.cpusMax, UNLIMITED);
+test("after a change of the limit in the settings, the span divides the new limit", () => {
+  assert.equal(quotasOf(halves, 10).teamsForShard(shardId(1)).get(TEAM)?.cpusMax, 5);
+  assert.equal(quotasOf(halves, UNLIMITED).teamsForShard(shardId(1)).get(TEAM)?.cpusMax, UNLIMITED);
 });
