--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -67,8 +67,8 @@
 
   /**
    * Whether a user may be told that the job is cancelled, given its record at revision
-   * `notice.rev`. False means not yet: the user has to ask again. A controller that can't be
-   * reached doesn't reject the promise.
+   * `notice.rev`. False means not yet: the user has to ask again. The promise doesn't reject if
+   * a controller can't be reached.
    */
   confirm(notice: CancellationNotice): Promise<boolean> {
     return this.#confirmations.confirm(notice);
--- a/src/coordination/cancellation/notice-outbox.ts
+++ b/src/coordination/cancellation/notice-outbox.ts
@@ -19,7 +19,7 @@
 /** Notices beyond this number go into the next message. */
 const MAX_NOTICES_PER_MESSAGE = 500;
 
-/** A notice to be sent, with the promises to resolve with whether it was acknowledged. */
+/** A notice to be sent, and the callbacks that tell its senders whether it was acknowledged. */
 interface QueuedNotice {
   readonly notice: CancellationNotice;
   readonly resolvers: ((acknowledged: boolean) => void)[];
--- a/src/coordination/cancellation/unreachable-owner-enforcement.ts
+++ b/src/coordination/cancellation/unreachable-owner-enforcement.ts
@@ -60,7 +60,7 @@
   oldestAgeMs: number;
 }
 
-/** Whether the machine's own status has proved that none of the tasks runs on it. */
+/** Whether the machine's status has proved that none of the cancelled tasks still runs on it. */
 type StopResult = "all_stopped" | "not_proved";
 
 /** Stops cancelled tasks on the machines of owners that don't answer. */
