--- a/src/coordination/membership/lease-keeper.ts
+++ b/src/coordination/membership/lease-keeper.ts
@@ -115,7 +115,7 @@
     this.#step({ kind: "granted", lease: { id, renewedAt: monotonicNow() } });
     // Others may have claimed shards since the old lease expired, and the watch may show that much
     // later: read the records before acting on them.
-    if (!this.ctx.synced || (await rereadKeys(this.ctx, this.#ownershipKeys())))
+    if (!this.ctx.isReplicaSynced || (await rereadKeys(this.ctx, this.#ownershipKeys())))
       this.availability.onOwnershipConfirmed(requestSentAt);
   }
 
--- a/src/coordination/membership/shard-reconciler.ts
+++ b/src/coordination/membership/shard-reconciler.ts
@@ -54,7 +54,7 @@
    */
   async reconcile(): Promise<void> {
     const lease = this.dependencies.lease.leaseId;
-    if (this.#isReconciling || lease === undefined || !this.ctx.synced) return;
+    if (this.#isReconciling || lease === undefined || !this.ctx.isReplicaSynced) return;
     this.#isReconciling = true;
     try {
       await this.#runPass(lease);
@@ -96,7 +96,9 @@
     return planShardActions({
       self: ctx.self,
       shardCount: ctx.settings.shardCount,
-      shards: new Map([...ctx.replica.shardOwners].map(([shard, owner]) => [shard, owner.value])),
+      shardOwners: new Map(
+        [...ctx.replica.shardOwners].map(([shard, owner]) => [shard, owner.value]),
+      ),
       members,
       stableMembers,
     });
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -207,7 +207,7 @@
     const { state } = this;
     const { membership } = state;
     const { store } = state.ctx;
-    for (let n = 0; n < MAX_FINISH_TRANSACTIONS_PER_ROUND && !state.ctx.stopping; n++) {
+    for (let n = 0; n < MAX_FINISH_TRANSACTIONS_PER_ROUND && !state.ctx.isShuttingDown; n++) {
       if (this.commit.isReplicaBehind || !membership.holdsValidLease()) return;
       const batch = this.#newBatch();
       // Read again for each transaction: a shard may have changed its owner during the last write.
