--- a/src/coordination/ownership/job-backoff.ts
+++ b/src/coordination/ownership/job-backoff.ts
@@ -7,22 +7,22 @@
 import { type MachineId, type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
 /** A job that failed on so many machines is at fault itself, for all that is known. */
-export const JOB_FAULT_MACHINES = 3;
-const BACKOFF_BASE_MS = 1000;
-const BACKOFF_MAX_MS = 30_000;
-const BACKOFF_MAX_DOUBLINGS = 5;
+export const MIN_MACHINES_FOR_JOB_FAULT = 3;
+const BASE_BACKOFF_DELAY_MS = 1000;
+const MAX_BACKOFF_DELAY_MS = 30_000;
+const MAX_BACKOFF_DOUBLINGS = 5;
 /** After an attempt that ended for a reason other than an error of its own. */
-const RETRY_MS = 500;
+const INTERRUPTION_RETRY_DELAY_MS = 500;
 
 /** The failed attempts of one job. */
 export class JobBackoff {
-  #failures = 0;
+  #failureCount = 0;
   #retryAt: MonotonicMs = monotonicMs(0);
   readonly #failedOn = new Set<MachineId>();
 
   /** Failed attempts in a row, with no task of the job completing in between. */
-  get failures(): number {
-    return this.#failures;
+  get failureCount(): number {
+    return this.#failureCount;
   }
 
   /** No task of the job starts before this time. */
@@ -37,26 +37,29 @@
 
   /** It failed on so many machines that it is at fault, and not they. */
   get isJobAtFault(): boolean {
-    return this.#failedOn.size >= JOB_FAULT_MACHINES;
+    return this.#failedOn.size >= MIN_MACHINES_FOR_JOB_FAULT;
   }
 
   /** A task of the job completed. */
   recordCompletion(): void {
-    this.#failures = 0;
+    this.#failureCount = 0;
   }
 
   /** An attempt ended with an error on this machine. */
   recordFailure(machine: MachineId, now: MonotonicMs): void {
-    this.#failures++;
+    this.#failureCount++;
     this.#failedOn.add(machine);
     if (!this.isJobAtFault) return;
-    const doublings = Math.min(BACKOFF_MAX_DOUBLINGS, this.#failures - JOB_FAULT_MACHINES);
-    const waitMs = Math.min(BACKOFF_MAX_MS, BACKOFF_BASE_MS * 2 ** doublings);
-    this.#retryAt = monotonicMs(now + waitMs);
+    const doublings = Math.min(
+      MAX_BACKOFF_DOUBLINGS,
+      this.#failureCount - MIN_MACHINES_FOR_JOB_FAULT,
+    );
+    const delayMs = Math.min(MAX_BACKOFF_DELAY_MS, BASE_BACKOFF_DELAY_MS * 2 ** doublings);
+    this.#retryAt = monotonicMs(now + delayMs);
   }
 
   /** An attempt ended early, but not by an error of its own. */
   recordInterruption(now: MonotonicMs): void {
-    this.#retryAt = monotonicMs(now + RETRY_MS);
+    this.#retryAt = monotonicMs(now + INTERRUPTION_RETRY_DELAY_MS);
   }
 }
--- a/src/coordination/ownership/machine-faults.ts
+++ b/src/coordination/ownership/machine-faults.ts
@@ -5,35 +5,35 @@
 import type { JobId } from "@umberfold/ids";
 
 /** Jobs that fail on one machine, with none completing in between, until it is quarantined. */
-const QUARANTINE_JOBS = 2;
+const MIN_FAILED_JOBS_FOR_QUARANTINE = 2;
 
 /** The failed attempts of one machine. */
 export class MachineFaults {
-  #failures = 0;
+  #failureCount = 0;
   readonly #failedJobs = new Set<JobId>();
 
   /** Failed attempts in a row, of whatever job. */
-  get failures(): number {
-    return this.#failures;
+  get failureCount(): number {
+    return this.#failureCount;
   }
 
   /** So many jobs failed here that the machine is at fault, not they. */
   get isQuarantineDue(): boolean {
-    return this.#failedJobs.size >= QUARANTINE_JOBS;
+    return this.#failedJobs.size >= MIN_FAILED_JOBS_FOR_QUARANTINE;
   }
 
   /**
    * An attempt ended with an error. A job that fails on one machine after the other says nothing
-   * against the next of them, and isn't counted (`jobAtFault`).
+   * against the next of them, and isn't counted (`isJobAtFault`).
    */
-  recordFailure(job: JobId, jobAtFault: boolean): void {
-    this.#failures++;
-    if (!jobAtFault) this.#failedJobs.add(job);
+  recordFailure(job: JobId, isJobAtFault: boolean): void {
+    this.#failureCount++;
+    if (!isJobAtFault) this.#failedJobs.add(job);
   }
 
   /** An attempt completed: what failed before was not the machine's fault. */
   recordCompletion(): void {
-    this.#failures = 0;
+    this.#failureCount = 0;
     this.#failedJobs.clear();
   }
 }
--- a/src/coordination/ownership/machine-health.ts
+++ b/src/coordination/ownership/machine-health.ts
@@ -9,24 +9,24 @@
 
 /** The evidence for and against one machine being alive and reachable. */
 export class MachineHealth {
-  #failedCalls = 0;
-  #unreachableCalls = 0;
-  #unreachableSince: MonotonicMs = monotonicMs(0);
+  #failedCallsSinceStatus = 0;
+  #failedCallsSinceAnswer = 0;
+  #firstUnansweredCallAt: MonotonicMs = monotonicMs(0);
   #lastHeartbeatAt: MonotonicMs | null = null;
 
   /** Direct calls in a row without an answer, with no status from the machine in between. */
-  get failedCalls(): number {
-    return this.#failedCalls;
+  get failedCallsSinceStatus(): number {
+    return this.#failedCallsSinceStatus;
   }
 
   /** Direct calls in a row without an answer, whatever heartbeats came in between. */
-  get unreachableCalls(): number {
-    return this.#unreachableCalls;
+  get failedCallsSinceAnswer(): number {
+    return this.#failedCallsSinceAnswer;
   }
 
   /** When the first of `unreachableCalls` was sent; without meaning while there are none. */
-  get unreachableSince(): MonotonicMs {
-    return this.#unreachableSince;
+  get firstUnansweredCallAt(): MonotonicMs {
+    return this.#firstUnansweredCallAt;
   }
 
   /**
@@ -39,20 +39,20 @@
 
   /** A direct call, sent at this time, was lost or refused, or its answer was no status. */
   recordFailedCall(sentAt: MonotonicMs): void {
-    this.#failedCalls++;
-    if (this.#unreachableCalls++ === 0) this.#unreachableSince = sentAt;
+    this.#failedCallsSinceStatus++;
+    if (this.#failedCallsSinceAnswer++ === 0) this.#firstUnansweredCallAt = sentAt;
   }
 
   /** A direct call was answered with a status of the machine, be it an old one. */
   recordAnsweredCall(): void {
-    this.#unreachableCalls = 0;
+    this.#failedCallsSinceAnswer = 0;
   }
 
   /** A status newer than all before arrived. */
   recordStatus(via: "heartbeat" | "direct", now: MonotonicMs): void {
-    this.#failedCalls = 0;
+    this.#failedCallsSinceStatus = 0;
     if (via === "heartbeat") this.#lastHeartbeatAt = now;
-    if (via === "direct") this.#unreachableCalls = 0;
+    if (via === "direct") this.#failedCallsSinceAnswer = 0;
   }
 
   /** Heartbeats are due from now on, if none has come yet. */
@@ -62,9 +62,9 @@
 
   /** Forgets all that speaks against the machine: the controller itself was cut off or paused. */
   reset(): void {
-    this.#failedCalls = 0;
-    this.#unreachableCalls = 0;
-    this.#unreachableSince = monotonicMs(0);
+    this.#failedCallsSinceStatus = 0;
+    this.#failedCallsSinceAnswer = 0;
+    this.#firstUnansweredCallAt = monotonicMs(0);
     this.#lastHeartbeatAt = null;
   }
 }
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -164,7 +164,7 @@
   /** Jobs that failed on several machines in a row, with no task completing in between. */
   *failingJobs(): Iterable<JobId> {
     for (const [id, backoff] of this.jobBackoffs)
-      if (backoff.failures > 0 && backoff.isJobAtFault && this.ctx.replica.accepted.has(id))
+      if (backoff.failureCount > 0 && backoff.isJobAtFault && this.ctx.replica.accepted.has(id))
         yield id;
   }
 
--- a/src/coordination/rounds/attempt-outcome.ts
+++ b/src/coordination/rounds/attempt-outcome.ts
@@ -54,6 +54,6 @@
 const quarantineIfDue = (state: ShardState, machine: MachineId): void => {
   const { faults, departure } = state.machineState(machine);
   if (!faults.isQuarantineDue || departure.decommission !== null) return;
-  state.ctx.log.info("machine quarantined", { machine, failures: faults.failures });
+  state.ctx.log.info("machine quarantined", { machine, failures: faults.failureCount });
   departure.step({ kind: "decommission_requested", reason: "faulty" });
 };
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -58,7 +58,8 @@
   const { departure, health } = state.machineState(id);
   if (departure.isPending) return false;
   return (
-    health.unreachableCalls <= MAX_UNANSWERED_CALLS && !state.heartbeatOverdue(id, monotonicNow())
+    health.failedCallsSinceAnswer <= MAX_UNANSWERED_CALLS &&
+    !state.heartbeatOverdue(id, monotonicNow())
   );
 };
 
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -66,7 +66,7 @@
     if (job === undefined) continue;
     const attemptState = state.attemptStates.get(attempt.key);
     // A job that fails everywhere would draw tasks back and forth, so it does not count in n.
-    const isFailing = (state.jobBackoffs.get(attempt.job)?.failures ?? 0) > 0;
+    const isFailing = (state.jobBackoffs.get(attempt.job)?.failureCount ?? 0) > 0;
     if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
       use = subtract(use, job.spec.resources);
       continue;
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -84,7 +84,8 @@
 
 const shouldProbe = (machine: WatchedMachine, { now, overdueMs }: DetectionTimes): boolean => {
   const { health, call } = machine.soft;
-  const due = machine.silentMs > overdueMs || awaitsToken(machine) || health.unreachableCalls > 0;
+  const due =
+    machine.silentMs > overdueMs || awaitsToken(machine) || health.failedCallsSinceAnswer > 0;
   return due && now - call.lastCallAt >= PROBE_PERIOD_MS;
 };
 
@@ -95,8 +96,8 @@
 };
 
 const isUnreached = ({ soft, silentMs }: WatchedMachine, heartbeatPeriodMs: number): boolean =>
-  (soft.health.failedCalls > 0 && silentMs > heartbeatPeriodMs) ||
-  soft.health.unreachableCalls >= UNANSWERED_CALLS_UNTIL_SILENT;
+  (soft.health.failedCallsSinceStatus > 0 && silentMs > heartbeatPeriodMs) ||
+  soft.health.failedCallsSinceAnswer >= UNANSWERED_CALLS_UNTIL_SILENT;
 
 /** Watches the machines of one controller. */
 export class FailureDetector {
--- a/src/coordination/workers/machine-failure.ts
+++ b/src/coordination/workers/machine-failure.ts
@@ -39,10 +39,13 @@
   now: MonotonicMs,
   limits: FailureLimits,
 ): MachineFailure | undefined => {
-  if (silentMs >= limits.patienceMs && health.failedCalls >= UNANSWERED_CALLS_UNTIL_SILENT)
+  if (
+    silentMs >= limits.patienceMs &&
+    health.failedCallsSinceStatus >= UNANSWERED_CALLS_UNTIL_SILENT
+  )
     return "silent";
-  const unreachableMs = now - health.unreachableSince;
-  if (health.unreachableCalls >= UNREACHABLE_CALLS && unreachableMs >= limits.silenceMs)
+  const unreachableMs = now - health.firstUnansweredCallAt;
+  if (health.failedCallsSinceAnswer >= UNREACHABLE_CALLS && unreachableMs >= limits.silenceMs)
     return "unreachable";
   const { lastHeartbeatAt } = health;
   return lastHeartbeatAt !== null && now - lastHeartbeatAt > limits.heartbeatMs
--- a/test/coordination/ownership/job-backoff.test.ts
+++ b/test/coordination/ownership/job-backoff.test.ts
@@ -35,7 +35,7 @@
 test("job backoff: a completion ends the row of failures, and the job stays under suspicion", () => {
   const backoff = failedOn("a", "b", "c");
   backoff.recordCompletion();
-  assert.equal(backoff.failures, 0);
+  assert.equal(backoff.failureCount, 0);
   assert.equal(backoff.isJobAtFault, true);
   backoff.recordFailure(machineId("a"), NOW);
   assert.equal(backoff.retryAt - NOW, 250);
@@ -45,5 +45,5 @@
   const backoff = new JobBackoff();
   backoff.recordInterruption(NOW);
   assert.equal(backoff.retryAt - NOW, 500);
-  assert.equal(backoff.failures, 0);
+  assert.equal(backoff.failureCount, 0);
 });
--- a/test/coordination/ownership/machine-soft-state.test.ts
+++ b/test/coordination/ownership/machine-soft-state.test.ts
@@ -33,7 +33,7 @@
   assert.equal(faults.isQuarantineDue, false);
   faults.recordFailure(jobId("wk-2"), false);
   assert.equal(faults.isQuarantineDue, true);
-  assert.equal(faults.failures, 3);
+  assert.equal(faults.failureCount, 3);
 });
 
 test("machine faults: a job that is itself at fault doesn't count", () => {
@@ -49,7 +49,7 @@
   faults.recordCompletion();
   faults.recordFailure(jobId("wk-2"), false);
   assert.equal(faults.isQuarantineDue, false);
-  assert.equal(faults.failures, 1);
+  assert.equal(faults.failureCount, 1);
 });
 
 const failingHealth = (): MachineHealth => {
@@ -62,25 +62,25 @@
 test("machine health: a heartbeat ends the silence, but doesn't prove the machine reachable", () => {
   const health = failingHealth();
   health.recordStatus("heartbeat", monotonicMs(3000));
-  assert.equal(health.failedCalls, 0);
-  assert.equal(health.unreachableCalls, 2);
-  assert.equal(health.unreachableSince, 1000);
+  assert.equal(health.failedCallsSinceStatus, 0);
+  assert.equal(health.failedCallsSinceAnswer, 2);
+  assert.equal(health.firstUnansweredCallAt, 1000);
   assert.equal(health.lastHeartbeatAt, 3000);
 });
 
 test("machine health: an answered call proves the machine reachable, and is no heartbeat", () => {
   const health = failingHealth();
   health.recordStatus("direct", monotonicMs(3000));
-  assert.equal(health.failedCalls, 0);
-  assert.equal(health.unreachableCalls, 0);
+  assert.equal(health.failedCallsSinceStatus, 0);
+  assert.equal(health.failedCallsSinceAnswer, 0);
   assert.equal(health.lastHeartbeatAt, null);
 });
 
 test("machine health: an old status in an answer ends unreachability alone", () => {
   const health = failingHealth();
   health.recordAnsweredCall();
-  assert.equal(health.failedCalls, 2);
-  assert.equal(health.unreachableCalls, 0);
+  assert.equal(health.failedCallsSinceStatus, 2);
+  assert.equal(health.failedCallsSinceAnswer, 0);
 });
 
 test("machine health: unreachability counts from the first call after an answer", () => {
@@ -88,7 +88,7 @@
   health.recordAnsweredCall();
   health.recordFailedCall(monotonicMs(5000));
   health.recordFailedCall(monotonicMs(6000));
-  assert.equal(health.unreachableSince, 5000);
+  assert.equal(health.firstUnansweredCallAt, 5000);
 });
 
 test("machine health: an expected heartbeat counts from the first time it is expected", () => {
@@ -102,7 +102,7 @@
   const health = failingHealth();
   health.recordStatus("heartbeat", monotonicMs(3000));
   health.reset();
-  assert.equal(health.failedCalls, 0);
-  assert.equal(health.unreachableCalls, 0);
+  assert.equal(health.failedCallsSinceStatus, 0);
+  assert.equal(health.failedCallsSinceAnswer, 0);
   assert.equal(health.lastHeartbeatAt, null);
 });
--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -81,7 +81,7 @@
   ownedShards.push(shardId(0));
   state.syncSessions(monotonicMs(3));
   assert.equal(state.sessions.get(ID)?.lastHeardAt, 3);
-  assert.equal(state.machineState(ID).health.failedCalls, 0);
+  assert.equal(state.machineState(ID).health.failedCallsSinceStatus, 0);
 });
 
 test("the first stop request of an attempt stands, and makes its machine dirty once", () => {
--- a/test/coordination/workers/direct-command-sender.test.ts
+++ b/test/coordination/workers/direct-command-sender.test.ts
@@ -97,8 +97,8 @@
     const { sender, health, lastCall } = setUp();
     sender.call(MACHINE, false);
     await lastCall().answer(result);
-    assert.equal(health.failedCalls, failedCalls);
-    assert.equal(health.unreachableCalls, failedCalls);
+    assert.equal(health.failedCallsSinceStatus, failedCalls);
+    assert.equal(health.failedCallsSinceAnswer, failedCalls);
   });
   test(`direct call: with commands, ${name}`, async () => {
     const { sender, health, lastCall } = setUp();
@@ -109,8 +109,8 @@
     sender.call(MACHINE, false);
     assert.equal((lastCall().body as { orders: readonly unknown[] }).orders.length, 1);
     await lastCall().answer(result);
-    assert.equal(health.failedCalls, failedCalls);
-    assert.equal(health.unreachableCalls, failedCalls);
+    assert.equal(health.failedCallsSinceStatus, failedCalls);
+    assert.equal(health.failedCallsSinceAnswer, failedCalls);
   });
 }
 
@@ -119,7 +119,7 @@
   sender.call(MACHINE, false);
   await lastCall().answer(answered(409, statusBody(1, 11)));
   assert.equal(session()?.status, undefined);
-  assert.equal(health.failedCalls, 0);
+  assert.equal(health.failedCallsSinceStatus, 0);
 });
 
 test("direct call: a machine that is proved gone is not called", () => {
