--- a/src/coordination/cancellation/own-machine-enforcement.ts
+++ b/src/coordination/cancellation/own-machine-enforcement.ts
@@ -77,7 +77,7 @@
   #decommission(machine: MachineId): void {
     const { state } = this.owner;
     const { departure } = state.machineState(machine);
-    if (departure.decommission?.force === true) return;
+    if (departure.decommission?.isForced === true) return;
     departure.step({ kind: "decommission_forced", reason: "cancelled task stays" });
     state.dirtyMachines.add(machine);
     state.wake();
--- a/src/coordination/ownership/machine-departure.ts
+++ b/src/coordination/ownership/machine-departure.ts
@@ -20,7 +20,7 @@
   /** It goes as soon as nothing runs there, rather than now or not at all. */
   readonly whenEmpty: boolean;
   /** When the request expires. */
-  readonly until: MonotonicMs;
+  readonly expiresAt: MonotonicMs;
 }
 
 /** The machine is to be returned to the cloud. */
@@ -28,7 +28,7 @@
   /** For the log. */
   readonly reason: string;
   /** It is returned at once, and not only when its last open attempt is terminated. */
-  readonly force: boolean;
+  readonly isForced: boolean;
 }
 
 /** The state of one machine; nothing new starts there in any but `staying`. */
@@ -70,13 +70,13 @@
       if (state.kind === "decommission_pending") return state;
       return {
         kind: "decommission_pending",
-        decommission: { reason: event.reason, force: false },
+        decommission: { reason: event.reason, isForced: false },
         transfer: transferOf(state),
       };
     case "decommission_forced":
       return {
         kind: "decommission_pending",
-        decommission: { reason: event.reason, force: true },
+        decommission: { reason: event.reason, isForced: true },
         transfer: transferOf(state),
       };
   }
--- a/src/coordination/ownership/reservations.ts
+++ b/src/coordination/ownership/reservations.ts
@@ -6,9 +6,9 @@
 
 /** Room kept on a machine. */
 export interface Reservation {
-  readonly to: MachineId;
+  readonly machine: MachineId;
   /** When it expires, whether the task has started or not. */
-  readonly until: MonotonicMs;
+  readonly expiresAt: MonotonicMs;
 }
 
 /** The reservations of one owner, at most one for a task; iterated in the order they were made. */
@@ -26,7 +26,7 @@
   }
 
   /** Keeps room for a task, in place of what was kept for it before. */
-  add(task: TaskId, reservation: Reservation): void {
+  set(task: TaskId, reservation: Reservation): void {
     this.#byTask.set(task, reservation);
   }
 
@@ -36,8 +36,9 @@
   }
 
   /** Drops all that have expired. */
-  expire(now: MonotonicMs): void {
-    for (const [task, { until }] of this.#byTask) if (until <= now) this.#byTask.delete(task);
+  deleteExpired(now: MonotonicMs): void {
+    for (const [task, { expiresAt }] of this.#byTask)
+      if (expiresAt <= now) this.#byTask.delete(task);
   }
 
   /** All reservations with their tasks. */
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -194,8 +194,8 @@
   }
 
   /** Keeps room for a task on a machine for so many milliseconds. */
-  reserve(task: TaskId, to: MachineId, ms: number): void {
-    this.reservations.add(task, { to, until: monotonicMs(monotonicNow() + ms) });
+  reserve(task: TaskId, machine: MachineId, ms: number): void {
+    this.reservations.set(task, { machine, expiresAt: monotonicMs(monotonicNow() + ms) });
   }
 
   /** The counters, the number of sessions in each state, and the owned shards, for operators. */
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -121,7 +121,7 @@
   candidates: ReadonlyMap<MachineId, CandidateMachine>,
 ): void => {
   for (const [task, reservation] of state.reservations) {
-    const candidate = candidates.get(reservation.to);
+    const candidate = candidates.get(reservation.machine);
     const resources = shardJobs.jobs.get(splitTask(task).job)?.spec.resources;
     if (candidate !== undefined && resources !== undefined) addUse(candidate, resources);
   }
--- a/src/coordination/rounds/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -67,7 +67,7 @@
 export const drainRequestedMachines = (state: ShardState, now: MonotonicMs): void => {
   for (const [id, { departure }] of state.machineStates) {
     if (departure.transfer === null) continue;
-    if (departure.transfer.until <= now) departure.step({ kind: "transfer_ended" });
+    if (departure.transfer.expiresAt <= now) departure.step({ kind: "transfer_ended" });
     else if (departure.transfer.drain) drain(state, id);
   }
 };
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -159,7 +159,8 @@
   #takeReservation(task: TaskId, placement: JobPlacement): CandidateMachine | null {
     const { spec } = placement.queued.job;
     const reservation = this.state.reservations.get(task);
-    const machine = reservation === undefined ? undefined : this.candidates.get(reservation.to);
+    const machine =
+      reservation === undefined ? undefined : this.candidates.get(reservation.machine);
     if (machine === undefined || !isPermitted(spec, machine, placement.zones)) return null;
     // The reservation itself is counted in the machine's use.
     const useByOthers = subtract(machine.use, spec.resources);
--- a/src/coordination/rounds/machine-record-changes.ts
+++ b/src/coordination/rounds/machine-record-changes.ts
@@ -51,7 +51,7 @@
   const session = state.sessions.get(id);
   if (session === undefined || record.phase !== "up") return undefined;
   const { decommission } = state.machineState(id).departure;
-  if (decommission !== null && (decommission.force || openCount === 0)) {
+  if (decommission !== null && (decommission.isForced || openCount === 0)) {
     log.info("machine decommissioned", { machine: id, reason: decommission.reason });
     return { kind: "update", record: { ...record, phase: "retiring" }, maxDelayMs: 0 };
   }
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -77,7 +77,7 @@
     if (this.commit.isReplicaBehind) return { pauseMs: CATCH_UP_MS };
     const writeWaitMs = store.writeWaitMs(MIN_ROUND_WRITES);
     if (writeWaitMs > 0) return { pauseMs: writeWaitMs };
-    state.reservations.expire(now);
+    state.reservations.deleteExpired(now);
     // A task that is stopped to make room could not be started again while nothing can be written.
     const canWrite = !store.isFailing();
     this.#evict(now, canWrite);
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -85,8 +85,8 @@
   /** The leader wants a machine for another shard. Ignored for machines that are not owned here. */
   requestTransfer({ machine, to, drain, whenEmpty = false }: MachineTransferRequest): void {
     if (!this.state.sessions.has(machine)) return;
-    const until = monotonicMs(monotonicNow() + TRANSFER_REQUEST_MS);
-    const transfer = { to, drain, whenEmpty, until };
+    const expiresAt = monotonicMs(monotonicNow() + TRANSFER_REQUEST_MS);
+    const transfer = { to, drain, whenEmpty, expiresAt };
     this.state.machineState(machine).departure.step({ kind: "transfer_requested", transfer });
     this.state.dirtyMachines.add(machine);
     this.state.wake();
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -92,7 +92,7 @@
 /** Heartbeats are due from it: it has sent a status or has an endpoint, and isn't leaving. */
 const shouldSendHeartbeats = ({ session, record, soft }: WatchedMachine): boolean => {
   if (record.endpoint === "" && session.status === undefined) return false;
-  return record.phase === "up" && soft.departure.decommission?.force !== true;
+  return record.phase === "up" && soft.departure.decommission?.isForced !== true;
 };
 
 const isUnreached = ({ soft, silentMs }: WatchedMachine, heartbeatPeriodMs: number): boolean =>
--- a/test/coordination/ownership/machine-departure.test.ts
+++ b/test/coordination/ownership/machine-departure.test.ts
@@ -14,7 +14,7 @@
   to: shardId(shard),
   drain: false,
   whenEmpty: true,
-  until: monotonicMs(1000),
+  expiresAt: monotonicMs(1000),
 });
 const FIRST = transferTo(1);
 const SECOND = transferTo(2);
@@ -23,11 +23,11 @@
 const TRANSFER: DepartureState = { kind: "transfer_pending", transfer: FIRST };
 const decommission = (
   reason: string,
-  force: boolean,
+  isForced: boolean,
   transfer: PendingTransfer | null = null,
 ): DepartureState => ({
   kind: "decommission_pending",
-  decommission: { reason, force },
+  decommission: { reason, isForced },
   transfer,
 });
 
--- a/test/coordination/ownership/reservations.test.ts
+++ b/test/coordination/ownership/reservations.test.ts
@@ -8,23 +8,23 @@
 
 const setUp = (): Reservations => {
   const reservations = new Reservations();
-  reservations.add(FIRST, { to: machineId("m-1"), until: monotonicMs(1000) });
-  reservations.add(SECOND, { to: machineId("m-2"), until: monotonicMs(2000) });
+  reservations.set(FIRST, { machine: machineId("m-1"), expiresAt: monotonicMs(1000) });
+  reservations.set(SECOND, { machine: machineId("m-2"), expiresAt: monotonicMs(2000) });
   return reservations;
 };
 
 test("reservations: those whose time has come expire, and the others stay", () => {
   const reservations = setUp();
-  reservations.expire(monotonicMs(1000));
+  reservations.deleteExpired(monotonicMs(1000));
   assert.equal(reservations.has(FIRST), false);
-  assert.equal(reservations.get(SECOND)?.to, "m-2");
+  assert.equal(reservations.get(SECOND)?.machine, "m-2");
 });
 
 test("reservations: a later one for the same task replaces the earlier", () => {
   const reservations = setUp();
-  reservations.add(FIRST, { to: machineId("m-3"), until: monotonicMs(3000) });
+  reservations.set(FIRST, { machine: machineId("m-3"), expiresAt: monotonicMs(3000) });
   assert.deepEqual(
-    [...reservations].map(([task, { to }]) => `${task} ${to}`),
+    [...reservations].map(([task, { machine }]) => `${task} ${machine}`),
     ["wk-1/0 m-3", "wk-2/0 m-2"],
   );
 });
--- a/test/coordination/rounds/machine-record-changes.test.ts
+++ b/test/coordination/rounds/machine-record-changes.test.ts
@@ -55,7 +55,7 @@
 const requestTransfer = (state: ShardState, to = OTHER_SHARD): void =>
   state.machineState(MACHINE).departure.step({
     kind: "transfer_requested",
-    transfer: { to, drain: false, whenEmpty: true, until: monotonicMs(9000) },
+    transfer: { to, drain: false, whenEmpty: true, expiresAt: monotonicMs(9000) },
   });
 
 const RETIRING: MachineRecordChange = {
--- a/test/coordination/workers/failure-detector.test.ts
+++ b/test/coordination/workers/failure-detector.test.ts
@@ -32,7 +32,7 @@
     for (let call = 0; call < count; call++) state.machineState(id).health.recordFailedCall(sentAt);
   };
   const givenUp = (): readonly MachineId[] =>
-    ids.filter((id) => state.machineStates.get(id)?.departure.decommission?.force === true);
+    ids.filter((id) => state.machineStates.get(id)?.departure.decommission?.isForced === true);
   return { ...owner, detector, called, ids, hear, failCalls, givenUp };
 };
 
