--- a/src/coordination/ownership/attempt-observation.ts
+++ b/src/coordination/ownership/attempt-observation.ts
@@ -1,7 +1,7 @@
 /** What the owner may conclude about an attempt from the newest status of its worker. */
 import { type AttemptNumber, attemptKey, type TaskId } from "@umberfold/ids";
 import type { TaskStatus } from "../../protocol/workers.js";
-import { canForget, isSettled } from "./start-delivery.js";
+import { canForgetAttempt, isStartSettled } from "./start-delivery.js";
 import type { WorkerSession } from "./worker-session.js";
 
 /** What is proved of an open attempt. */
@@ -26,7 +26,7 @@
   const status = session.tasks.get(task);
   if (status !== undefined && status.attempt === attempt)
     return { kind: "present", report: status };
-  return { kind: isSettled(session, key) ? "absent" : "unsettled" };
+  return { kind: isStartSettled(session, key) ? "absent" : "unsettled" };
 };
 
 /** An earlier attempt of the task is still known to the worker and can't be forgotten yet. */
@@ -37,5 +37,5 @@
 ): boolean => {
   const status = session.tasks.get(task);
   if (status === undefined || status.attempt === attempt) return false;
-  return !canForget(session, attemptKey(task, status.attempt));
+  return !canForgetAttempt(session, attemptKey(task, status.attempt));
 };
--- a/src/coordination/ownership/reconciliation.ts
+++ b/src/coordination/ownership/reconciliation.ts
@@ -5,7 +5,7 @@
 import { type AttemptNumber, attemptKey, type TaskId } from "@umberfold/ids";
 import type { TaskStatus, WorkerCommand } from "../../protocol/workers.js";
 import { isBlockedByEarlierAttempt } from "./attempt-observation.js";
-import { canForget } from "./start-delivery.js";
+import { canForgetAttempt } from "./start-delivery.js";
 import type { WorkerSession } from "./worker-session.js";
 
 /** An attempt that the records show open on this machine, and what is wanted of it. */
@@ -15,7 +15,7 @@
   /** Null: it may run. Otherwise it should stop, given this many seconds to save. */
   readonly stopGraceS: number | null;
   /** Its termination is being written, or the machine is leaving: never start it (again). */
-  readonly startForbidden: boolean;
+  readonly isStartForbidden: boolean;
 }
 
 /** The desired attempts of one machine, by task. */
@@ -34,19 +34,19 @@
 const stopOrForget = (session: WorkerSession, status: TaskStatus): WorkerCommand | undefined => {
   const { task, attempt, phase } = status;
   if (phase !== "ended") return { op: "stop", task, attempt, graceS: 0 };
-  return canForget(session, attemptKey(task, attempt))
+  return canForgetAttempt(session, attemptKey(task, attempt))
     ? { op: "forget", task, attempt }
     : undefined;
 };
 
 /** Whether a desired attempt is to be started with this message. */
 const needsStart = (session: WorkerSession, desired: DesiredAttempt): boolean => {
-  const { task, attempt, stopGraceS, startForbidden } = desired;
-  if (stopGraceS !== null || startForbidden) return false;
+  const { task, attempt, stopGraceS, isStartForbidden } = desired;
+  if (stopGraceS !== null || isStartForbidden) return false;
   if (session.tasks.get(task)?.attempt === attempt) return false;
   if (isBlockedByEarlierAttempt(session, task, attempt)) return false;
   // Still unanswered: a second copy would only be one more to keep track of.
-  return session.startDeliveries.get(attemptKey(task, attempt))?.direct !== "pending";
+  return session.startDeliveries.get(attemptKey(task, attempt))?.directDelivery !== "pending";
 };
 
 /**
@@ -74,5 +74,5 @@
 };
 
 /** The keys of the attempts that these commands start. */
-export const startKeys = (commands: readonly WorkerCommand[]): readonly string[] =>
+export const startedAttemptKeys = (commands: readonly WorkerCommand[]): readonly string[] =>
   commands.filter(({ op }) => op === "start").map(({ task, attempt }) => attemptKey(task, attempt));
--- a/src/coordination/ownership/start-delivery.ts
+++ b/src/coordination/ownership/start-delivery.ts
@@ -15,8 +15,8 @@
 /** How one attempt's start was sent. */
 export interface StartDelivery {
   /** The session's count of heartbeats when an answer carried the start, or null. */
-  readonly heartbeatMark: number | null;
-  readonly direct: DirectDelivery;
+  readonly sentAtHeartbeatCount: number | null;
+  readonly directDelivery: DirectDelivery;
   /** The token under which it was last sent. */
   readonly token: FencingToken;
 }
@@ -28,14 +28,14 @@
 export interface DeliveryTracking {
   readonly startDeliveries: StartDeliveries;
   /** Heartbeats received in this session. */
-  readonly heartbeats: number;
+  readonly heartbeatCount: number;
 }
 
 /** What happened to start commands. */
 export type StartDeliveryEvent =
   | {
       readonly kind: "heartbeat_answered";
-      readonly heartbeats: number;
+      readonly heartbeatCount: number;
       readonly token: FencingToken;
     }
   | { readonly kind: "command_sent"; readonly token: FencingToken }
@@ -54,23 +54,23 @@
   switch (event.kind) {
     case "heartbeat_answered":
       return {
-        heartbeatMark: event.heartbeats,
-        direct: delivery?.direct ?? "unsent",
+        sentAtHeartbeatCount: event.heartbeatCount,
+        directDelivery: delivery?.directDelivery ?? "unsent",
         token: event.token,
       };
     case "command_sent":
       return {
-        heartbeatMark: delivery?.heartbeatMark ?? null,
-        direct: "pending",
+        sentAtHeartbeatCount: delivery?.sentAtHeartbeatCount ?? null,
+        directDelivery: "pending",
         token: event.token,
       };
     case "command_answered":
-      return delivery && { ...delivery, direct: "answered" };
+      return delivery && { ...delivery, directDelivery: "answered" };
     case "command_not_sent":
-      if (delivery === undefined || delivery.heartbeatMark === null) return undefined;
-      return { ...delivery, direct: "unsent" };
+      if (delivery === undefined || delivery.sentAtHeartbeatCount === null) return undefined;
+      return { ...delivery, directDelivery: "unsent" };
     case "command_lost":
-      return delivery && { ...delivery, direct: "lost" };
+      return delivery && { ...delivery, directDelivery: "lost" };
   }
 };
 
@@ -91,7 +91,7 @@
 };
 
 /** The deliveries that fulfil a condition; the same object if all do. */
-export const keepDeliveries = (
+export const filterDeliveries = (
   deliveries: StartDeliveries,
   keep: (key: string, delivery: StartDelivery) => boolean,
 ): StartDeliveries => {
@@ -101,11 +101,13 @@
 };
 
 /** No start command for this attempt can still be in flight to the machine. */
-export const isSettled = (session: DeliveryTracking, key: string): boolean => {
+export const isStartSettled = (session: DeliveryTracking, key: string): boolean => {
   const delivery = session.startDeliveries.get(key);
   if (delivery === undefined) return true;
-  if (delivery.direct === "pending" || delivery.direct === "lost") return false;
-  return delivery.heartbeatMark === null || session.heartbeats > delivery.heartbeatMark;
+  if (delivery.directDelivery === "pending" || delivery.directDelivery === "lost") return false;
+  return (
+    delivery.sentAtHeartbeatCount === null || session.heartbeatCount > delivery.sentAtHeartbeatCount
+  );
 };
 
 /**
@@ -114,11 +116,11 @@
  * repeated direct start under the token in force would run it afresh, beside the one that was
  * opened elsewhere since. (A simulated day with repetitions ended with `ran_twice`.)
  */
-export const canForget = (session: DeliveryTracking, key: string): boolean =>
-  isSettled(session, key) && session.startDeliveries.get(key)?.direct !== "answered";
+export const canForgetAttempt = (session: DeliveryTracking, key: string): boolean =>
+  isStartSettled(session, key) && session.startDeliveries.get(key)?.directDelivery !== "answered";
 
 /** No start command at all can still be in flight to the machine. */
 export const hasNoStartInFlight = (session: DeliveryTracking): boolean => {
-  for (const key of session.startDeliveries.keys()) if (!isSettled(session, key)) return false;
+  for (const key of session.startDeliveries.keys()) if (!isStartSettled(session, key)) return false;
   return true;
 };
--- a/src/coordination/ownership/token-raise-request.ts
+++ b/src/coordination/ownership/token-raise-request.ts
@@ -8,7 +8,7 @@
   #pending = false;
 
   /** A higher token is asked for. */
-  get pending(): boolean {
+  get isPending(): boolean {
     return this.#pending;
   }
 
--- a/src/coordination/ownership/token-raise.ts
+++ b/src/coordination/ownership/token-raise.ts
@@ -3,7 +3,7 @@
  * higher token can't execute any start that was sent under a lower one.
  */
 import { attemptKey } from "@umberfold/ids";
-import { canForget } from "./start-delivery.js";
+import { canForgetAttempt } from "./start-delivery.js";
 import type { WorkerSession } from "./worker-session.js";
 
 /** Ended attempts that wait for a higher token to be forgotten: so many make it worth raising. */
@@ -14,13 +14,13 @@
   if (session.startDeliveries.size < RAISE_WORTH_ATTEMPTS) return false;
   let waiting = 0;
   for (const { task, attempt, phase } of session.tasks.values())
-    if (phase === "ended" && !canForget(session, attemptKey(task, attempt))) waiting++;
+    if (phase === "ended" && !canForgetAttempt(session, attemptKey(task, attempt))) waiting++;
   return waiting >= RAISE_WORTH_ATTEMPTS;
 };
 
 /** A start was lost under the token in force: it must rise before absence proves anything. */
 export const mustRaiseToken = (session: WorkerSession): boolean => {
-  for (const { direct, token } of session.startDeliveries.values())
-    if (direct === "lost" && token === session.token) return true;
+  for (const { directDelivery, token } of session.startDeliveries.values())
+    if (directDelivery === "lost" && token === session.token) return true;
   return false;
 };
--- a/src/coordination/ownership/worker-session.ts
+++ b/src/coordination/ownership/worker-session.ts
@@ -11,8 +11,8 @@
 import type { FencingToken, MonotonicMs, TaskId } from "@umberfold/ids";
 import type { TaskStatus, WorkerStatus } from "../../protocol/workers.js";
 import {
-  canForget,
-  keepDeliveries,
+  canForgetAttempt,
+  filterDeliveries,
   NO_DELIVERIES,
   type StartDeliveries,
   type StartDeliveryEvent,
@@ -40,7 +40,7 @@
   /** When its newest status arrived, or when silence began to count anew. */
   readonly lastHeardAt: MonotonicMs;
   /** Heartbeats received in this session, without those that came late. */
-  readonly heartbeats: number;
+  readonly heartbeatCount: number;
   /** Start commands that may still be in flight, or be executed if they are repeated. */
   readonly startDeliveries: StartDeliveries;
 }
@@ -82,7 +82,7 @@
   status: undefined,
   tasks: NO_TASKS,
   lastHeardAt: now,
-  heartbeats: 0,
+  heartbeatCount: 0,
   startDeliveries: NO_DELIVERIES,
 });
 
@@ -104,7 +104,7 @@
   if (session.status !== undefined && status.epoch > session.status.epoch) return NO_DELIVERIES;
   if (status.token < session.token) return session.startDeliveries;
   // Commands under a token below the one that it has seen can't be executed any more.
-  return keepDeliveries(session.startDeliveries, (_, { token }) => token >= session.token);
+  return filterDeliveries(session.startDeliveries, (_, { token }) => token >= session.token);
 };
 
 const onTokenAssigned = (
@@ -128,16 +128,19 @@
     status,
     tasks: new Map(status.tasks.map((task) => [task.task, task])),
     lastHeardAt: now,
-    heartbeats: via === "heartbeat" ? session.heartbeats + 1 : session.heartbeats,
+    heartbeatCount: via === "heartbeat" ? session.heartbeatCount + 1 : session.heartbeatCount,
     startDeliveries: deliveriesAfterStatus(session, status),
   };
   // What is settled need not be remembered, or it grows with every task ever started there; but
   // what was answered may be repeated, and is remembered until the token has risen.
-  const startDeliveries = keepDeliveries(next.startDeliveries, (key) => !canForget(next, key));
+  const startDeliveries = filterDeliveries(
+    next.startDeliveries,
+    (key) => !canForgetAttempt(next, key),
+  );
   return startDeliveries === next.startDeliveries ? next : { ...next, startDeliveries };
 };
 
-const onStartsDelivered = (
+const onDeliveryEvent = (
   session: WorkerSession,
   starts: readonly string[],
   event: StartDeliveryEvent,
@@ -151,20 +154,20 @@
   session: WorkerSession,
   event: WorkerSessionEvent,
 ): WorkerSession => {
-  const { token, heartbeats } = session;
+  const { token, heartbeatCount } = session;
   switch (event.kind) {
     case "token_assigned":
       return onTokenAssigned(session, event.token, event.now);
     case "status_received":
       return onStatusReceived(session, event);
     case "heartbeat_answered":
-      return onStartsDelivered(session, event.starts, { kind: event.kind, heartbeats, token });
+      return onDeliveryEvent(session, event.starts, { kind: event.kind, heartbeatCount, token });
     case "command_sent":
-      return onStartsDelivered(session, event.starts, { kind: event.kind, token });
+      return onDeliveryEvent(session, event.starts, { kind: event.kind, token });
     case "command_answered":
     case "command_not_sent":
     case "command_lost":
-      return onStartsDelivered(session, event.starts, { kind: event.kind });
+      return onDeliveryEvent(session, event.starts, { kind: event.kind });
     case "became_unresponsive":
       return session.state === "unresponsive" ? session : { ...session, state: "unresponsive" };
     case "timers_reset":
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -147,7 +147,7 @@
    */
   #requestTokenRaise(machine: CandidateMachine): void {
     const { tokenRaise } = this.state.machineState(machine.id);
-    if (!tokenRaise.pending) this.state.dirtyMachines.add(machine.id);
+    if (!tokenRaise.isPending) this.state.dirtyMachines.add(machine.id);
     tokenRaise.request();
   }
 
--- a/src/coordination/rounds/machine-record-changes.ts
+++ b/src/coordination/rounds/machine-record-changes.ts
@@ -95,7 +95,7 @@
   if (!hasDeliveries) tokenRaise.clear();
   const isUrgent =
     mustRaiseToken(session) ||
-    (hasDeliveries && (tokenRaise.pending || hasBlockedTask(state, round, id, session)));
+    (hasDeliveries && (tokenRaise.isPending || hasBlockedTask(state, round, id, session)));
   if (!isUrgent && !(shouldRaiseToken(session) && isReady)) return undefined;
   const tokenFloor = raisedTokenFloor(state, record);
   if (tokenFloor === undefined) return undefined;
--- a/src/coordination/workers/desired-attempts.ts
+++ b/src/coordination/workers/desired-attempts.ts
@@ -19,8 +19,8 @@
     // Nothing of a cancelled job is of use: its attempts stop without saving.
     const stopGraceS =
       job === undefined || job.cancelledAt !== null ? 0 : (stopRequest?.graceS ?? null);
-    const startForbidden = !takesStarts || state.terminating.has(key);
-    desired.set(task, { task, attempt, stopGraceS, startForbidden });
+    const isStartForbidden = !takesStarts || state.terminating.has(key);
+    desired.set(task, { task, attempt, stopGraceS, isStartForbidden });
   }
   return desired;
 };
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -14,7 +14,7 @@
 import { monotonicNow } from "../../transport/clock.js";
 import { socketParts } from "../../transport/sockets.js";
 import type { MachineSoftState } from "../ownership/machine-soft-state.js";
-import { reconcileCommands, startKeys } from "../ownership/reconciliation.js";
+import { reconcileCommands, startedAttemptKeys } from "../ownership/reconciliation.js";
 import type { ShardState } from "../ownership/shard-state.js";
 import type { WorkerSession } from "../ownership/worker-session.js";
 import { desiredAttemptsOn } from "./desired-attempts.js";
@@ -143,7 +143,7 @@
     const commands = reconcileCommands(session, desiredAttemptsOn(this.state, id));
     if (session.state === "ready" && commands.length === 0) return { kind: "ask_status" };
     const body = commandsBody(session.token, session.status.epoch, commands);
-    return { kind: "command", body, starts: startKeys(commands), session };
+    return { kind: "command", body, starts: startedAttemptKeys(commands), session };
   }
 
   #onStatusResult(
--- a/src/coordination/workers/heartbeat-handler.ts
+++ b/src/coordination/workers/heartbeat-handler.ts
@@ -12,7 +12,7 @@
 } from "../../protocol/workers.js";
 import { monotonicNow } from "../../transport/clock.js";
 import type { HttpResponse } from "../../transport/server.js";
-import { reconcileCommands, startKeys } from "../ownership/reconciliation.js";
+import { reconcileCommands, startedAttemptKeys } from "../ownership/reconciliation.js";
 import type { ShardState } from "../ownership/shard-state.js";
 import { desiredAttemptsOn } from "./desired-attempts.js";
 import type { StatusRecorder } from "./status-recorder.js";
@@ -101,7 +101,10 @@
       session.status === status
         ? reconcileCommands(session, desiredAttemptsOn(state, machine))
         : [];
-    state.stepSession(machine, { kind: "heartbeat_answered", starts: startKeys(commands) });
+    state.stepSession(machine, {
+      kind: "heartbeat_answered",
+      starts: startedAttemptKeys(commands),
+    });
     return { status: 200, body: heartbeatResponseBody(token, commands) };
   }
 }
--- a/test/coordination/ownership/reconciliation.test.ts
+++ b/test/coordination/ownership/reconciliation.test.ts
@@ -12,9 +12,9 @@
 const desiredTask = (
   attempt: number,
   stopGraceS: number | null,
-  startForbidden = false,
+  isStartForbidden = false,
 ): ReadonlyMap<TaskId, DesiredAttempt> =>
-  new Map([[TASK, { task: TASK, attempt: attemptNumber(attempt), stopGraceS, startForbidden }]]);
+  new Map([[TASK, { task: TASK, attempt: attemptNumber(attempt), stopGraceS, isStartForbidden }]]);
 
 const reconciliations: readonly {
   name: string;
--- a/test/coordination/rounds/machine-record-changes.test.ts
+++ b/test/coordination/rounds/machine-record-changes.test.ts
@@ -130,5 +130,5 @@
   const state = ownerOf(RECORD);
   state.machineState(MACHINE).tokenRaise.request();
   assert.equal(changeIn(state, RECORD), undefined);
-  assert.equal(state.machineState(MACHINE).tokenRaise.pending, false);
+  assert.equal(state.machineState(MACHINE).tokenRaise.isPending, false);
 });
