--- a/src/coordination/cancellation/own-machine-enforcement.ts
+++ b/src/coordination/cancellation/own-machine-enforcement.ts
@@ -58,7 +58,7 @@
     now: MonotonicMs,
   ): CancellationAction {
     const observation = observeAttempt(session, taskId(job, open.index), open.attempt);
-    const ended = observation.kind === "present" && observation.report.phase === "ended";
+    const ended = observation.kind === "present" && observation.status.phase === "ended";
     const awaitsStatus = session.state === "unknown" || session.state === "fencing";
     return decideCancellationAction({
       provedGone: observation.kind === "absent" || ended,
--- a/src/coordination/ownership/attempt-observation.ts
+++ b/src/coordination/ownership/attempt-observation.ts
@@ -13,7 +13,7 @@
   /** It is not there, but a start command may still arrive. */
   | { readonly kind: "unsettled" }
   /** It is there, in this phase. */
-  | { readonly kind: "present"; readonly report: TaskStatus };
+  | { readonly kind: "present"; readonly status: TaskStatus };
 
 /** @param key the attempt's key, for those who have it at hand */
 export const observeAttempt = (
@@ -24,8 +24,7 @@
 ): AttemptObservation => {
   if (session.state !== "ready") return { kind: "unknown" };
   const status = session.tasks.get(task);
-  if (status !== undefined && status.attempt === attempt)
-    return { kind: "present", report: status };
+  if (status !== undefined && status.attempt === attempt) return { kind: "present", status };
   return { kind: isStartSettled(session, key) ? "absent" : "unsettled" };
 };
 
--- a/src/coordination/ownership/machine-soft-state.ts
+++ b/src/coordination/ownership/machine-soft-state.ts
@@ -18,7 +18,7 @@
   /** Attempts that failed there. */
   readonly faults = new MachineFaults();
   /** The images that it should have in its cache. */
-  readonly images = new ImageCache();
+  readonly imageCache = new ImageCache();
   /** Whether it is to be transferred or decommissioned. */
   readonly departure = new MachineDeparture();
   /** The direct call to its worker, if one is in flight. */
--- a/src/coordination/ownership/run-time-ratios.ts
+++ b/src/coordination/ownership/run-time-ratios.ts
@@ -7,7 +7,7 @@
 const MIN_RATIO = 0.1;
 const MAX_RATIO = 10;
 /** The weight of the newest run in the average. */
-const SMOOTHING = 0.05;
+const SMOOTHING_FACTOR = 0.05;
 
 /** The ratio of real to expected run time of each job class. */
 export class RunTimeRatios {
@@ -18,7 +18,10 @@
     if (spec.expectedRunS <= 0) return;
     const ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, ranMs / 1000 / spec.expectedRunS));
     const old = this.#byClass.get(spec.jobClass);
-    this.#byClass.set(spec.jobClass, old === undefined ? ratio : old + (ratio - old) * SMOOTHING);
+    this.#byClass.set(
+      spec.jobClass,
+      old === undefined ? ratio : old + (ratio - old) * SMOOTHING_FACTOR,
+    );
   }
 
   /** A task's run time in seconds: its user's estimate, corrected by what its class took. */
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -29,7 +29,7 @@
 import { WorkerSessions } from "./worker-sessions.js";
 
 /** Without a heartbeat for this part of the worker's lease its machine is given nothing new. */
-const HEARTBEAT_OVERDUE_PART = 0.5;
+const OVERDUE_HEARTBEAT_LEASE_FRACTION = 0.5;
 
 /** The value of a key, made and kept if there is none. */
 const getOrCreate = <K, V>(map: Map<K, V>, key: K, create: () => V): V => {
@@ -60,7 +60,7 @@
    * Keys of attempts whose termination is decided and not yet known to be written. A status showed
    * them absent; a start sent after that would run what the record is about to call gone.
    */
-  readonly terminating = new Set<string>();
+  readonly terminatingAttempts = new Set<string>();
   /** Room kept for tasks that move, and for those that others were preempted for. */
   readonly reservations = new Reservations();
   /** Machines of which something changed since the last round: the next one looks at them. */
@@ -154,11 +154,11 @@
    * commands don't renew that, so it is given nothing new, and what it killed is started elsewhere.
    * (Started there again, tasks longer than a lease never came to their end.)
    */
-  heartbeatOverdue(id: MachineId, now: MonotonicMs): boolean {
+  isHeartbeatOverdue(id: MachineId, now: MonotonicMs): boolean {
     const lastHeartbeatAt = this.machineStates.get(id)?.health.lastHeartbeatAt ?? null;
     const silentMs =
       lastHeartbeatAt === null ? 0 : this.ctx.loopLag.readUpTo(now) - lastHeartbeatAt;
-    return silentMs > this.ctx.settings.workers.leaseS * 1000 * HEARTBEAT_OVERDUE_PART;
+    return silentMs > this.ctx.settings.workers.leaseS * 1000 * OVERDUE_HEARTBEAT_LEASE_FRACTION;
   }
 
   /** Jobs that failed on several machines in a row, with no task completing in between. */
@@ -169,7 +169,7 @@
   }
 
   /** Asks for an attempt's stop, with so many seconds to save; the first request stands. */
-  stop(key: string, machine: MachineId, reason: StopReason, graceS: number): void {
+  requestStop(key: string, machine: MachineId, reason: StopReason, graceS: number): void {
     if (this.attemptState(key, machine).requestStop({ reason, graceS }))
       this.dirtyMachines.add(machine);
   }
--- a/src/coordination/ownership/token-raise.ts
+++ b/src/coordination/ownership/token-raise.ts
@@ -7,15 +7,15 @@
 import type { WorkerSession } from "./worker-session.js";
 
 /** Ended attempts that wait for a higher token to be forgotten: so many make it worth raising. */
-const RAISE_WORTH_ATTEMPTS = 16;
+const MIN_BLOCKED_ATTEMPTS_FOR_RAISE = 16;
 
 /** So many ended attempts can't be forgotten that a write for a higher token pays. */
 export const shouldRaiseToken = (session: WorkerSession): boolean => {
-  if (session.startDeliveries.size < RAISE_WORTH_ATTEMPTS) return false;
-  let waiting = 0;
+  if (session.startDeliveries.size < MIN_BLOCKED_ATTEMPTS_FOR_RAISE) return false;
+  let blockedCount = 0;
   for (const { task, attempt, phase } of session.tasks.values())
-    if (phase === "ended" && !canForgetAttempt(session, attemptKey(task, attempt))) waiting++;
-  return waiting >= RAISE_WORTH_ATTEMPTS;
+    if (phase === "ended" && !canForgetAttempt(session, attemptKey(task, attempt))) blockedCount++;
+  return blockedCount >= MIN_BLOCKED_ATTEMPTS_FOR_RAISE;
 };
 
 /** A start was lost under the token in force: it must rise before absence proves anything. */
--- a/src/coordination/ownership/worker-sessions.ts
+++ b/src/coordination/ownership/worker-sessions.ts
@@ -29,7 +29,7 @@
 export class WorkerSessions {
   readonly #sessions = new Map<MachineId, WorkerSession>();
   /** Machines missing from the replica, and the revision by which the watch must have shown them. */
-  readonly #vanished = new Map<MachineId, Revision>();
+  readonly #missingSince = new Map<MachineId, Revision>();
   #syncedFleetVersion = -1;
   #syncedShards = "";
 
@@ -62,7 +62,7 @@
     const shards = ownedShards.join();
     const unchanged =
       replica.fleetVersion === this.#syncedFleetVersion && shards === this.#syncedShards;
-    if (unchanged && this.#vanished.size === 0) return undefined;
+    if (unchanged && this.#missingSince.size === 0) return undefined;
     this.#syncedFleetVersion = replica.fleetVersion;
     this.#syncedShards = shards;
     const owned = new Set(ownedShards);
@@ -77,7 +77,7 @@
     for (const id of this.#sessions.keys()) {
       const machine = replica.machines.get(id);
       if (machine === undefined && this.#mayReappear(id, replica)) continue;
-      this.#vanished.delete(id);
+      this.#missingSince.delete(id);
       if (machine !== undefined && owned.has(machine.shard)) continue;
       this.#sessions.delete(id);
       ended.push(id);
@@ -87,8 +87,8 @@
 
   /** The replica isn't synced up to where the machine was first found missing. */
   #mayReappear(id: MachineId, replica: Replica): boolean {
-    const knownBy = this.#vanished.get(id) ?? replica.latestSeenRevision;
-    this.#vanished.set(id, knownBy);
-    return replica.syncedRevision < knownBy;
+    const missingSince = this.#missingSince.get(id) ?? replica.latestSeenRevision;
+    this.#missingSince.set(id, missingSince);
+    return replica.syncedRevision < missingSince;
   }
 }
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -163,7 +163,7 @@
   { id, job }: TerminatedJob,
   { key, index, machine, evidence }: TerminatedAttempt,
 ): void => {
-  state.terminating.add(key);
+  state.terminatingAttempts.add(key);
   round.terminatedKeys.push(key);
   const terminatedTasks = round.terminatedByMachine.get(machine) ?? new Set<TaskId>();
   terminatedTasks.add(taskId(id, index));
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -59,7 +59,7 @@
   if (departure.isPending) return false;
   return (
     health.failedCallsSinceAnswer <= MAX_UNANSWERED_CALLS &&
-    !state.heartbeatOverdue(id, monotonicNow())
+    !state.isHeartbeatOverdue(id, monotonicNow())
   );
 };
 
@@ -170,7 +170,7 @@
       price,
       isCostly: pricePerCpu(price, type.capacity.cpus) > COSTLY_PRICE_RATIO * cheapest,
       fetchGbPerS: type.fetchGbPerS,
-      images: state.machineState(id).images,
+      images: state.machineState(id).imageCache,
       competingShapes,
     });
   }
--- a/src/coordination/rounds/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -42,7 +42,7 @@
     const savesCheckpoints = spec.checkpointIntervalS > 0;
     if (!savesCheckpoints && endsInTime(attempt, spec, leftS, now)) continue;
     const graceS = spec.checkpointSaveS < leftS ? spec.checkpointSaveS : 0;
-    state.stop(key, id, "notice", graceS);
+    state.requestStop(key, id, "notice", graceS);
   }
 };
 
@@ -76,6 +76,6 @@
   for (const { job, key } of state.ctx.replica.openAttemptsOn(id).values()) {
     const isStopping = state.attemptStates.get(key)?.stopRequest != null;
     if (!isStopping) state.counters.preempted++;
-    state.stop(key, id, "preempted", specOf(state, job)?.checkpointSaveS ?? 0);
+    state.requestStop(key, id, "preempted", specOf(state, job)?.checkpointSaveS ?? 0);
   }
 };
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -104,7 +104,7 @@
       const attempt = shardJobs.openAttemptsOn(plan.machine).get(victim.task);
       const job = attempt === undefined ? undefined : shardJobs.jobs.get(attempt.job);
       if (attempt === undefined || job === undefined) continue;
-      state.stop(attempt.key, plan.machine, "preempted", job.spec.checkpointSaveS);
+      state.requestStop(attempt.key, plan.machine, "preempted", job.spec.checkpointSaveS);
       state.counters.preempted++;
     }
     const machine = this.candidates.get(plan.machine);
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -114,7 +114,7 @@
       return await this.#cycle.run();
     } finally {
       this.#isCommitting = false;
-      this.state.terminating.clear();
+      this.state.terminatingAttempts.clear();
     }
   }
 
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -85,7 +85,7 @@
     const attempt = shardJobs.openAttemptsOn(from).get(task);
     const job = attempt === undefined ? undefined : shardJobs.jobs.get(attempt.job);
     if (attempt === undefined || job === undefined) continue;
-    state.stop(attempt.key, from, "moved", job.spec.checkpointSaveS);
+    state.requestStop(attempt.key, from, "moved", job.spec.checkpointSaveS);
     state.reserve(task, to, RESERVATION_MS);
     state.counters.moves++;
     state.ctx.log.debug("swarm move", { task, from, to });
--- a/src/coordination/rounds/termination-evidence.ts
+++ b/src/coordination/rounds/termination-evidence.ts
@@ -83,7 +83,7 @@
     state.attemptStates.get(key)?.stopRequest != null;
   const observation = observeAttempt(machine.session, task, attempt, key);
   if (observation.kind === "present") {
-    const { report: status } = observation;
+    const { status } = observation;
     if (status.phase === "ended") return { kind: "ended", status };
     repeatStop(state, round, id, isStopping);
     return NO_EVIDENCE;
@@ -91,6 +91,6 @@
   if (observation.kind !== "absent") return NO_EVIDENCE;
   // Absent, but it may be started there (again) unless it or its machine is on the way out.
   const mayNotStart =
-    isStopping || machine.record.phase !== "up" || state.heartbeatOverdue(id, round.now);
+    isStopping || machine.record.phase !== "up" || state.isHeartbeatOverdue(id, round.now);
   return mayNotStart ? LOST : NO_EVIDENCE;
 };
--- a/src/coordination/workers/desired-attempts.ts
+++ b/src/coordination/workers/desired-attempts.ts
@@ -11,7 +11,7 @@
   const machine = replica.machines.get(id);
   if (machine === undefined) return desired;
   const takesStarts =
-    machine.phase === "up" && !replica.isGone(id) && !state.heartbeatOverdue(id, monotonicNow());
+    machine.phase === "up" && !replica.isGone(id) && !state.isHeartbeatOverdue(id, monotonicNow());
   const work = replica.shardJobs(machine.shard);
   for (const [task, { job: jobOfTask, attempt, key }] of work.openAttemptsOn(id)) {
     const job = work.jobs.get(jobOfTask);
@@ -19,7 +19,7 @@
     // Nothing of a cancelled job is of use: its attempts stop without saving.
     const stopGraceS =
       job === undefined || job.cancelledAt !== null ? 0 : (stopRequest?.graceS ?? null);
-    const isStartForbidden = !takesStarts || state.terminating.has(key);
+    const isStartForbidden = !takesStarts || state.terminatingAttempts.has(key);
     desired.set(task, { task, attempt, stopGraceS, isStartForbidden });
   }
   return desired;
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -86,7 +86,7 @@
 
   /** Queues a call to a machine, at the front if it is urgent; or after the one in flight. */
   call(id: MachineId, urgent: boolean): void {
-    if (!this.state.machineState(id).call.request(monotonicNow())) return;
+    if (!this.state.machineState(id).call.requestCall(monotonicNow())) return;
     if (urgent) this.#queue.unshift(id);
     else this.#queue.push(id);
     this.#sendQueued();
@@ -156,7 +156,7 @@
     this.#onAnswer(id, machineState, bodyOf(result));
     // Its epoch is known now: the next call can show it our token.
     if (call.kind === "introduce" && this.state.sessions.get(id)?.state === "fencing")
-      machineState.call.repeat();
+      machineState.call.requestRepeat();
   }
 
   #onCommandResult(
@@ -177,7 +177,7 @@
     const after = state.sessions.get(id);
     if (session.state !== "fencing" || after?.state !== "ready") return;
     if (reconcileCommands(after, desiredAttemptsOn(state, id)).length > 0)
-      machineState.call.repeat();
+      machineState.call.requestRepeat();
   }
 
   #onFailedCall(id: MachineId, { health, call }: MachineSoftState): void {
--- a/src/coordination/workers/status-recorder.ts
+++ b/src/coordination/workers/status-recorder.ts
@@ -71,6 +71,6 @@
     const typeName = replica.machines.get(machine)?.type;
     const type = replica.machineTypes?.value.find(({ name }) => name === typeName);
     const { image, imageGb } = job.spec;
-    state.machineState(machine).images.recordUse(image, imageGb, type?.cacheGb ?? 0);
+    state.machineState(machine).imageCache.recordUse(image, imageGb, type?.cacheGb ?? 0);
   }
 }
--- a/test/coordination/ownership/direct-call-state.test.ts
+++ b/test/coordination/ownership/direct-call-state.test.ts
@@ -11,17 +11,17 @@
 
 const transitions: readonly (readonly [DirectCallPhase, DirectCallEvent, DirectCallPhase])[] = [
   ["idle", "requested", "in_flight"],
-  ["in_flight", "requested", "in_flight_again"],
-  ["in_flight_again", "requested", "in_flight_again"],
-  ["repeat_wanted", "requested", "in_flight_again"],
-  ["idle", "repeat", "repeat_wanted"],
-  ["in_flight", "repeat", "in_flight_again"],
-  ["in_flight_again", "repeat", "in_flight_again"],
-  ["repeat_wanted", "repeat", "repeat_wanted"],
+  ["in_flight", "requested", "in_flight_repeat_due"],
+  ["in_flight_repeat_due", "requested", "in_flight_repeat_due"],
+  ["repeat_due", "requested", "in_flight_repeat_due"],
+  ["idle", "repeat_requested", "repeat_due"],
+  ["in_flight", "repeat_requested", "in_flight_repeat_due"],
+  ["in_flight_repeat_due", "repeat_requested", "in_flight_repeat_due"],
+  ["repeat_due", "repeat_requested", "repeat_due"],
   ["idle", "ended", "idle"],
   ["in_flight", "ended", "idle"],
-  ["in_flight_again", "ended", "idle"],
-  ["repeat_wanted", "ended", "idle"],
+  ["in_flight_repeat_due", "ended", "idle"],
+  ["repeat_due", "ended", "idle"],
 ];
 
 for (const [from, event, to] of transitions)
@@ -31,8 +31,8 @@
 
 test("direct call: a request while one is in flight is not queued, but follows it", () => {
   const call = new DirectCallState();
-  assert.equal(call.request(monotonicMs(10)), true);
-  assert.equal(call.request(monotonicMs(20)), false);
+  assert.equal(call.requestCall(monotonicMs(10)), true);
+  assert.equal(call.requestCall(monotonicMs(20)), false);
   assert.equal(call.lastCallAt, 10, "only a call that is queued counts");
   assert.equal(call.end(), true);
   assert.equal(call.phase, "idle");
@@ -40,7 +40,7 @@
 
 test("direct call: nothing follows a call during which nobody asked for another", () => {
   const call = new DirectCallState();
-  call.request(monotonicMs(10));
+  call.requestCall(monotonicMs(10));
   call.markSent(monotonicMs(15));
   assert.equal(call.lastCallAt, 15);
   assert.equal(call.end(), false);
@@ -48,7 +48,7 @@
 
 test("direct call: a call that ends under a new soft state can ask for another", () => {
   const call = new DirectCallState();
-  call.repeat();
-  assert.equal(call.request(monotonicMs(5)), true, "its request is queued at once");
+  call.requestRepeat();
+  assert.equal(call.requestCall(monotonicMs(5)), true, "its request is queued at once");
   assert.equal(call.end(), true);
 });
--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -86,10 +86,10 @@
 
 test("the first stop request of an attempt stands, and makes its machine dirty once", () => {
   const { state } = setUp();
-  state.stop("key", ID, "preempted", 5);
+  state.requestStop("key", ID, "preempted", 5);
   assert.deepEqual([...state.dirtyMachines], [ID]);
   state.dirtyMachines.clear();
-  state.stop("key", ID, "notice", 0);
+  state.requestStop("key", ID, "notice", 0);
   assert.deepEqual([...state.dirtyMachines], []);
   assert.deepEqual(state.attemptStates.get("key")?.stopRequest, { reason: "preempted", graceS: 5 });
 });
@@ -124,7 +124,7 @@
     const { state } = setUp();
     if (heartbeatAt !== null)
       state.machineState(ID).health.recordStatus("heartbeat", monotonicMs(heartbeatAt));
-    assert.equal(state.heartbeatOverdue(ID, monotonicMs(now)), overdue);
+    assert.equal(state.isHeartbeatOverdue(ID, monotonicMs(now)), overdue);
   });
 
 /**
--- a/test/coordination/rounds/termination-evidence.test.ts
+++ b/test/coordination/rounds/termination-evidence.test.ts
@@ -73,7 +73,7 @@
     const status = { ...worker, ...order, tasks };
     state.stepSession(MACHINE, { kind: "status_received", status, via: "heartbeat", now: NOW });
   }
-  if (situation.stopRequested) state.stop(KEY, MACHINE, "preempted", 0);
+  if (situation.stopRequested) state.requestStop(KEY, MACHINE, "preempted", 0);
   state.dirtyMachines.clear();
   return state;
 };
--- a/test/scenarios/combined-faults.test.ts
+++ b/test/scenarios/combined-faults.test.ts
@@ -197,7 +197,7 @@
   });
 
 test("tasks longer than a lease end on other machines than those whose heartbeats don't arrive", async () => {
-  // With ShardState.heartbeatOverdue always false 35 starts go to muted machines on this day, each to end with a lease.
+  // With ShardState.isHeartbeatOverdue always false 35 starts go to muted machines on this day, each to end with a lease.
   const simulation = new Simulation(
     82,
     { ...NO_FAULTS, mutedForGood: true },
