--- a/src/coordination/ownership/attempt-observation.ts
+++ b/src/coordination/ownership/attempt-observation.ts
@@ -1,21 +1,25 @@
-/** What the owner may conclude about an attempt from the newest status of its worker. */
+/** What the owner may conclude about an open attempt from the newest status of its worker. */
 import { type AttemptNumber, attemptKey, type TaskId } from "@umberfold/ids";
 import type { TaskStatus } from "../../protocol/workers.js";
 import { canForgetAttempt, isStartSettled } from "./start-delivery.js";
 import type { WorkerSession } from "./worker-session.js";
 
-/** What is proved of an open attempt. */
+/** What the newest status proves about an open attempt. */
 export type AttemptObservation =
-  /** Nothing: the worker has sent no status, or has not shown our token. */
+  /** Nothing: the worker has sent no status, hasn't reported our token, or is unresponsive. */
   | { readonly kind: "unknown" }
-  /** It is not there, and no command for it can still be in flight. */
+  /** The worker doesn't list it, and no start command for it can still be in flight. */
   | { readonly kind: "absent" }
-  /** It is not there, but a start command may still arrive. */
+  /** The worker doesn't list it, but a start command for it may still arrive. */
   | { readonly kind: "unsettled" }
-  /** It is there, in this phase. */
+  /** The worker lists it, with this status. */
   | { readonly kind: "present"; readonly status: TaskStatus };
 
-/** @param key the attempt's key, for those who have it at hand */
+/**
+ * What the session proves about an attempt.
+ *
+ * @param key the attempt's key; pass it if it is at hand, so that it isn't built again
+ */
 export const observeAttempt = (
   session: WorkerSession,
   task: TaskId,
@@ -28,7 +32,7 @@
   return { kind: isStartSettled(session, key) ? "absent" : "unsettled" };
 };
 
-/** An earlier attempt of the task is still known to the worker and can't be forgotten yet. */
+/** Whether the worker still lists another attempt of the task, which can't be forgotten yet. */
 export const isBlockedByEarlierAttempt = (
   session: WorkerSession,
   task: TaskId,
--- a/src/coordination/ownership/attempt-soft-state.ts
+++ b/src/coordination/ownership/attempt-soft-state.ts
@@ -1,13 +1,13 @@
 /**
  * What the owner of a shard keeps in memory about one open attempt: whether it should stop, and
- * since when it is seen running.
+ * when it was first seen running.
  */
 import type { MachineId, MonotonicMs } from "@umberfold/ids";
 
-/** Why an attempt is stopped. */
+/** Why an attempt is stopped. `notice`: a preemption notice of the cloud for its machine. */
 export type StopReason = "preempted" | "moved" | "notice" | "unfit";
 
-/** An attempt should stop, with this time to save its checkpoint. */
+/** An attempt should stop, with `graceS` seconds to save its checkpoint. */
 export interface StopRequest {
   readonly reason: StopReason;
   readonly graceS: number;
@@ -18,27 +18,27 @@
   #stopRequest: StopRequest | null = null;
   #runningSince: MonotonicMs | null = null;
 
-  /** @param machine where the attempt was started */
+  /** @param machine the machine on which the attempt was started */
   constructor(readonly machine: MachineId) {}
 
-  /** Why and how it should stop, or null if it may run on. */
+  /** The request to stop it, or null if it may continue. */
   get stopRequest(): StopRequest | null {
     return this.#stopRequest;
   }
 
-  /** When a status first showed it running, or null. */
+  /** When a status first showed it running, or null if none has. */
   get runningSince(): MonotonicMs | null {
     return this.#runningSince;
   }
 
-  /** Asks for its stop. The first request stands: false if there was one. */
+  /** Requests its stop. Returns false, and keeps the earlier request, if there already is one. */
   requestStop(request: StopRequest): boolean {
     if (this.#stopRequest !== null) return false;
     this.#stopRequest = request;
     return true;
   }
 
-  /** A status shows it running for the first time. */
+  /** A status showed it running for the first time. */
   markRunning(now: MonotonicMs): void {
     this.#runningSince = now;
   }
--- a/src/coordination/ownership/direct-call-state.ts
+++ b/src/coordination/ownership/direct-call-state.ts
@@ -1,20 +1,27 @@
 /**
- * The direct calls to one machine: one at a time, and one more after it if something came up
- * meanwhile.
+ * The direct calls to one machine: at most one is queued or in flight, and another follows it if
+ * one was requested meanwhile.
  *
- * `repeat_due` exists because a call can outlive the soft state under which it was queued: when
- * a machine leaves and comes back, that call ends under a new soft state in which none is in
- * flight.
+ * `repeat_due` exists because a call can outlive the soft state under which it was queued. When a
+ * machine leaves the shard and returns, that call may request a repeat in the machine's new soft
+ * state, where no call is in flight.
  */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
-/** Whether a direct call is queued or under way, and whether another follows it. */
+/**
+ * `idle`: no call. `in_flight`: one is queued or in flight. `in_flight_repeat_due`: one is queued
+ * or in flight, and another has to follow. `repeat_due`: another has to follow a call that this
+ * state doesn't know of.
+ */
 export type DirectCallPhase = "idle" | "in_flight" | "in_flight_repeat_due" | "repeat_due";
 
-/** `requested`: somebody wants a call. `repeat`: the call itself found that another is needed. */
+/**
+ * `requested`: a call is wanted. `repeat_requested`: the outcome of a call showed that another has
+ * to follow. `ended`: the call is over.
+ */
 export type DirectCallEvent = "requested" | "repeat_requested" | "ended";
 
-/** The one place where the phase changes. */
+/** The only function that changes the phase. */
 export const stepDirectCall = (phase: DirectCallPhase, event: DirectCallEvent): DirectCallPhase => {
   switch (event) {
     case "requested":
@@ -33,7 +40,7 @@
   #phase: DirectCallPhase = "idle";
   #lastCallAt: MonotonicMs = monotonicMs(0);
 
-  /** Whether a call is in flight. */
+  /** Whether a call is in flight, and whether another has to follow. */
   get phase(): DirectCallPhase {
     return this.#phase;
   }
@@ -43,7 +50,9 @@
     return this.#lastCallAt;
   }
 
-  /** A call is wanted. True if it is to be queued now; else it follows the one in flight. */
+  /**
+   * Requests a call. Returns true if the caller must queue it; else it follows the one in flight.
+   */
   requestCall(now: MonotonicMs): boolean {
     const queueNow = this.#phase === "idle" || this.#phase === "repeat_due";
     this.#phase = stepDirectCall(this.#phase, "requested");
@@ -51,17 +60,17 @@
     return queueNow;
   }
 
-  /** The call goes out, after it waited in the queue. */
+  /** The queued call is being sent. */
   markSent(now: MonotonicMs): void {
     this.#lastCallAt = now;
   }
 
-  /** The call in flight found that another has to follow. */
+  /** The outcome of the call showed that another has to follow. */
   requestRepeat(): void {
     this.#phase = stepDirectCall(this.#phase, "repeat_requested");
   }
 
-  /** The call is over. True if another has to follow. */
+  /** The call is over. Returns true if another has to follow. */
   end(): boolean {
     const again = this.#phase === "in_flight_repeat_due" || this.#phase === "repeat_due";
     this.#phase = stepDirectCall(this.#phase, "ended");
--- a/src/coordination/ownership/machine-departure.ts
+++ b/src/coordination/ownership/machine-departure.ts
@@ -1,37 +1,40 @@
 /**
- * Whether a machine is to leave its shard: the state machine of transfer and decommission.
+ * Whether a machine has to leave its shard: the state machine of transfers and decommissions.
  *
  *     staying --transfer_requested--> transfer_pending --transfer_ended--> staying
  *        \                                  |
  *         `--decommission_*--> decommission_pending <--decommission_*--'
  *
- * A decommission is never withdrawn, and one that is forced replaces one that is not. A transfer
- * may be asked for while a decommission is pending: its drain still empties the machine, and so
- * `decommission_pending` remembers it until it has ended.
+ * A decommission is never withdrawn, and a forced one replaces one that is not forced. A transfer
+ * may be requested while a decommission is pending. `decommission_pending` keeps it until it has
+ * ended, because the drain that belongs to it still empties the machine.
  */
 import type { MonotonicMs, ShardId } from "@umberfold/ids";
 
-/** The leader wants the machine for another shard. */
+/** The leader has requested the machine for another shard. */
 export interface PendingTransfer {
-  /** The shard that it should go to. */
+  /** The shard to which it should be transferred. */
   readonly to: ShardId;
-  /** Its tasks are evicted for it. */
+  /** Its tasks are evicted, so that it becomes empty. */
   readonly drain: boolean;
-  /** It goes as soon as nothing runs there, rather than now or not at all. */
+  /**
+   * Unless this or `drain` is set, the request is dropped when the machine is found not empty. With
+   * it, the transfer waits until nothing runs there.
+   */
   readonly whenEmpty: boolean;
-  /** When the request expires. */
+  /** When the request expires, if the transfer hasn't been written. */
   readonly expiresAt: MonotonicMs;
 }
 
-/** The machine is to be returned to the cloud. */
+/** The machine has to be returned to the cloud. */
 export interface PendingDecommission {
-  /** For the log. */
+  /** Why, for the log. */
   readonly reason: string;
-  /** It is returned at once, and not only when its last open attempt is terminated. */
+  /** It is returned at once, instead of after the termination of its last open attempt. */
   readonly isForced: boolean;
 }
 
-/** The state of one machine; nothing new starts there in any but `staying`. */
+/** The state of one machine. New attempts may start on it only while it is `staying`. */
 export type DepartureState =
   | { readonly kind: "staying" }
   | { readonly kind: "transfer_pending"; readonly transfer: PendingTransfer }
@@ -41,15 +44,17 @@
       readonly transfer: PendingTransfer | null;
     };
 
-/** What makes a machine leave, or stay. */
+/** What changes whether a machine leaves. */
 export type DepartureEvent =
-  /** The leader asks for it; a request that came before is replaced. */
+  /** The leader requested a transfer; it replaces an earlier request. */
   | { readonly kind: "transfer_requested"; readonly transfer: PendingTransfer }
-  /** The transfer is being written, expired, was given up, or the machine is returned instead. */
+  /**
+   * The transfer is being written, has expired, was abandoned, or the machine is returned instead.
+   */
   | { readonly kind: "transfer_ended" }
-  /** It goes once it is empty; an earlier decommission, with its reason, stands. */
+  /** Return the machine once it is empty. Ignored if a decommission is already pending. */
   | { readonly kind: "decommission_requested"; readonly reason: string }
-  /** It goes at once, whatever was asked before. */
+  /** Return the machine at once. Replaces a pending decommission. */
   | { readonly kind: "decommission_forced"; readonly reason: string };
 
 const STAYING: DepartureState = { kind: "staying" };
@@ -57,7 +62,7 @@
 const transferOf = (state: DepartureState): PendingTransfer | null =>
   state.kind === "staying" ? null : state.transfer;
 
-/** The one place where the departure of a machine changes. */
+/** The only function that changes a machine's departure. */
 export const stepDeparture = (state: DepartureState, event: DepartureEvent): DepartureState => {
   switch (event.kind) {
     case "transfer_requested":
@@ -86,27 +91,27 @@
 export class MachineDeparture {
   #state: DepartureState = STAYING;
 
-  /** Whether it stays, and for what it leaves otherwise. */
+  /** Whether the machine stays, is to be transferred, or is to be decommissioned. */
   get state(): DepartureState {
     return this.#state;
   }
 
-  /** The machine is to be transferred or returned: nothing new starts there. */
+  /** A transfer or a decommission is pending, so nothing new may start on the machine. */
   get isPending(): boolean {
     return this.#state.kind !== "staying";
   }
 
-  /** The decommission that is pending, or null. */
+  /** The pending decommission, or null. */
   get decommission(): PendingDecommission | null {
     return this.#state.kind === "decommission_pending" ? this.#state.decommission : null;
   }
 
-  /** The transfer that is pending, or null; a decommission may be pending besides. */
+  /** The pending transfer, or null. A decommission may be pending at the same time. */
   get transfer(): PendingTransfer | null {
     return transferOf(this.#state);
   }
 
-  /** Takes an event in. */
+  /** Applies an event. */
   step(event: DepartureEvent): void {
     this.#state = stepDeparture(this.#state, event);
   }
--- a/src/coordination/ownership/machine-faults.ts
+++ b/src/coordination/ownership/machine-faults.ts
@@ -1,37 +1,39 @@
 /**
- * Attempts that failed on a machine since something last completed there: what its quarantine
- * follows from.
+ * Attempts that failed on a machine since an attempt last completed there. They decide whether the
+ * machine is quarantined.
  */
 import type { JobId } from "@umberfold/ids";
 
-/** Jobs that fail on one machine, with none completing in between, until it is quarantined. */
+/** A machine is quarantined when this many jobs failed on it with no completion in between. */
 const MIN_FAILED_JOBS_FOR_QUARANTINE = 2;
 
-/** The failed attempts of one machine. */
+/** The failures on one machine. */
 export class MachineFaults {
   #failureCount = 0;
   readonly #failedJobs = new Set<JobId>();
 
-  /** Failed attempts in a row, of whatever job. */
+  /** Failed attempts of any job since the last completion. */
   get failureCount(): number {
     return this.#failureCount;
   }
 
-  /** So many jobs failed here that the machine is at fault, not they. */
+  /** Enough different jobs failed here to blame the machine instead of the jobs. */
   get isQuarantineDue(): boolean {
     return this.#failedJobs.size >= MIN_FAILED_JOBS_FOR_QUARANTINE;
   }
 
   /**
-   * An attempt ended with an error. A job that fails on one machine after the other says nothing
-   * against the next of them, and isn't counted (`isJobAtFault`).
+   * An attempt ended with an error.
+   *
+   * @param isJobAtFault the job has failed on several machines (see `JobBackoff`), so this failure
+   *   doesn't count towards the quarantine of the machine
    */
   recordFailure(job: JobId, isJobAtFault: boolean): void {
     this.#failureCount++;
     if (!isJobAtFault) this.#failedJobs.add(job);
   }
 
-  /** An attempt completed: what failed before was not the machine's fault. */
+  /** An attempt completed, so earlier failures are not blamed on the machine. */
   recordCompletion(): void {
     this.#failureCount = 0;
     this.#failedJobs.clear();
--- a/src/coordination/ownership/machine-health.ts
+++ b/src/coordination/ownership/machine-health.ts
@@ -1,66 +1,70 @@
 /**
- * How a machine answers: direct calls without an answer, and its newest heartbeat.
+ * The health of one machine: failed direct calls, and when its newest heartbeat arrived.
  *
- * Two counts of unanswered calls are kept. `failedCalls` starts again whenever a status arrives;
- * `unreachableCalls` only when a call is answered, for heartbeats alone don't prove that commands
- * get through. The failure detector gives a machine up on these and nothing else.
+ * Failed calls are counted twice. Any new status resets `failedCallsSinceStatus`. Only an answered
+ * call resets `failedCallsSinceAnswer`, because a heartbeat doesn't prove that commands reach the
+ * machine. The failure detector judges a machine by these counts, the time of its newest heartbeat
+ * and the time since its newest status.
  */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 
-/** The evidence for and against one machine being alive and reachable. */
+/** Whether one machine is alive and reachable, as far as calls and heartbeats show. */
 export class MachineHealth {
   #failedCallsSinceStatus = 0;
   #failedCallsSinceAnswer = 0;
   #firstUnansweredCallAt: MonotonicMs = monotonicMs(0);
   #lastHeartbeatAt: MonotonicMs | null = null;
 
-  /** Direct calls in a row without an answer, with no status from the machine in between. */
+  /** Direct calls that have failed since the newest status of the machine, however it arrived. */
   get failedCallsSinceStatus(): number {
     return this.#failedCallsSinceStatus;
   }
 
-  /** Direct calls in a row without an answer, whatever heartbeats came in between. */
+  /** Direct calls that have failed since one was answered; heartbeats don't reset this count. */
   get failedCallsSinceAnswer(): number {
     return this.#failedCallsSinceAnswer;
   }
 
-  /** When the first of `unreachableCalls` was sent; without meaning while there are none. */
+  /** When the first of `failedCallsSinceAnswer` was sent; meaningless while that count is 0. */
   get firstUnansweredCallAt(): MonotonicMs {
     return this.#firstUnansweredCallAt;
   }
 
   /**
-   * The newest heartbeat since this controller owns the machine, or null. A machine that answers
-   * calls and sends no heartbeats is of no use: its lease expires whatever it is sent.
+   * When the newest heartbeat arrived since this controller owns the machine, or when the first one
+   * became due; null before either. A machine that answers calls but sends no heartbeats is
+   * unusable: answers don't renew the worker's lease, so it expires.
    */
   get lastHeartbeatAt(): MonotonicMs | null {
     return this.#lastHeartbeatAt;
   }
 
-  /** A direct call, sent at this time, was lost or refused, or its answer was no status. */
+  /**
+   * A direct call, sent at `sentAt`, failed: it was lost or refused, or answered without a status.
+   */
   recordFailedCall(sentAt: MonotonicMs): void {
     this.#failedCallsSinceStatus++;
     if (this.#failedCallsSinceAnswer++ === 0) this.#firstUnansweredCallAt = sentAt;
   }
 
-  /** A direct call was answered with a status of the machine, be it an old one. */
+  /** A direct call was answered with a status of the machine, possibly an outdated one. */
   recordAnsweredCall(): void {
     this.#failedCallsSinceAnswer = 0;
   }
 
-  /** A status newer than all before arrived. */
+  /** A status arrived that is newer than all earlier ones. */
   recordStatus(via: "heartbeat" | "direct", now: MonotonicMs): void {
     this.#failedCallsSinceStatus = 0;
     if (via === "heartbeat") this.#lastHeartbeatAt = now;
     if (via === "direct") this.#failedCallsSinceAnswer = 0;
   }
 
-  /** Heartbeats are due from now on, if none has come yet. */
+  /** Heartbeats are due: if none has arrived, their absence counts from the first call of this. */
   expectHeartbeats(now: MonotonicMs): void {
     this.#lastHeartbeatAt ??= now;
   }
 
-  /** Forgets all that speaks against the machine: the controller itself was cut off or paused. */
+  /** Clears everything, because the controller itself was disconnected or paused meanwhile. */
   reset(): void {
     this.#failedCallsSinceStatus = 0;
     this.#failedCallsSinceAnswer = 0;
--- a/src/coordination/ownership/machine-soft-state.ts
+++ b/src/coordination/ownership/machine-soft-state.ts
@@ -1,8 +1,8 @@
 /**
  * What the owner of a shard keeps in memory about one machine, besides its worker session.
  *
- * Each concern is a part of its own, changed only by that part's methods. All of it may be lost
- * with the process: it steers choices and proves nothing.
+ * Each concern is a separate object, which changes only by its own methods. All of it is lost with
+ * the process, so it may guide scheduling decisions but is never evidence that an attempt is gone.
  */
 import { DirectCallState } from "./direct-call-state.js";
 import { ImageCache } from "./image-cache.js";
@@ -11,18 +11,18 @@
 import { MachineHealth } from "./machine-health.js";
 import { TokenRaiseRequest } from "./token-raise-request.js";
 
-/** The soft state of one machine: its parts never change, only what is in them. */
+/** The soft state of one machine. The objects stay the same; only their contents change. */
 export class MachineSoftState {
-  /** Unanswered calls and the newest heartbeat. */
+  /** Failed calls and the newest heartbeat. */
   readonly health = new MachineHealth();
-  /** Attempts that failed there. */
+  /** Attempts that failed on it. */
   readonly faults = new MachineFaults();
-  /** The images that it should have in its cache. */
+  /** The images presumed to be in its cache. */
   readonly imageCache = new ImageCache();
   /** Whether it is to be transferred or decommissioned. */
   readonly departure = new MachineDeparture();
-  /** The direct call to its worker, if one is in flight. */
+  /** Whether a direct call to its worker is in flight, and whether another is due. */
   readonly call = new DirectCallState();
-  /** Whether a task waits for its fencing token to rise. */
+  /** Whether a task waits for its fencing token to be raised. */
   readonly tokenRaise = new TokenRaiseRequest();
 }
--- a/src/coordination/ownership/reconciliation.ts
+++ b/src/coordination/ownership/reconciliation.ts
@@ -1,6 +1,7 @@
 /**
- * Reconciliation of one worker with the records: what it runs against what it should run. The
- * commands are derived anew for every message, so one that was lost repeats itself.
+ * Reconciliation of one worker with the records: compares the attempts that it reports with those
+ * that it should run. The commands are computed again for each message, so a lost command is resent
+ * without any bookkeeping.
  */
 import { type AttemptNumber, attemptKey, type TaskId } from "@umberfold/ids";
 import type { TaskStatus, WorkerCommand } from "../../protocol/workers.js";
@@ -8,29 +9,35 @@
 import { canForgetAttempt } from "./start-delivery.js";
 import type { WorkerSession } from "./worker-session.js";
 
-/** An attempt that the records show open on this machine, and what is wanted of it. */
+/** An attempt that the records show open on this machine, and its desired state. */
 export interface DesiredAttempt {
   readonly task: TaskId;
   readonly attempt: AttemptNumber;
-  /** Null: it may run. Otherwise it should stop, given this many seconds to save. */
+  /**
+   * Null if it may run. Otherwise it should stop, with this many seconds to save its checkpoint.
+   */
   readonly stopGraceS: number | null;
-  /** Its termination is being written, or the machine is leaving: never start it (again). */
+  /**
+   * It must not be started (again): its termination is being written, or the machine doesn't take
+   * starts.
+   */
   readonly isStartForbidden: boolean;
 }
 
 /** The desired attempts of one machine, by task. */
 export type DesiredAttempts = ReadonlyMap<TaskId, DesiredAttempt>;
 
-/** The stop that brings an attempt on the worker to what is desired of it, if it needs one. */
+/** The stop command for an attempt that should stop, if one is needed now. */
 const stopDesired = (status: TaskStatus, desired: DesiredAttempt): WorkerCommand | undefined => {
   const { task, attempt, phase } = status;
   const graceS = desired.stopGraceS;
   if (graceS === null || phase === "ended") return undefined;
-  // One that saves already is left to it, unless what it saves is of no use any more.
+  // An attempt that is saving its checkpoint may finish, unless the checkpoint isn't needed any
+  // more.
   return phase === "saving" && graceS !== 0 ? undefined : { op: "stop", task, attempt, graceS };
 };
 
-/** The stop or forget for an attempt on the worker that no record shows open. */
+/** The stop or forget command for an attempt on the worker that no record shows open. */
 const stopOrForget = (session: WorkerSession, status: TaskStatus): WorkerCommand | undefined => {
   const { task, attempt, phase } = status;
   if (phase !== "ended") return { op: "stop", task, attempt, graceS: 0 };
@@ -39,19 +46,20 @@
     : undefined;
 };
 
-/** Whether a desired attempt is to be started with this message. */
+/** Whether the next message should start a desired attempt. */
 const needsStart = (session: WorkerSession, desired: DesiredAttempt): boolean => {
   const { task, attempt, stopGraceS, isStartForbidden } = desired;
   if (stopGraceS !== null || isStartForbidden) return false;
   if (session.tasks.get(task)?.attempt === attempt) return false;
   if (isBlockedByEarlierAttempt(session, task, attempt)) return false;
-  // Still unanswered: a second copy would only be one more to keep track of.
+  // A direct call with the start is still in flight; a second copy would have to be tracked as
+  // well.
   return session.startDeliveries.get(attemptKey(task, attempt))?.directDelivery !== "pending";
 };
 
 /**
- * The commands that make a worker do what the records say: forgets and stops, then starts. None in
- * any state but `ready`.
+ * The commands that bring a worker in line with the records: forgets and stops, then starts. None
+ * unless the session is `ready`.
  */
 export const reconcileCommands = (
   session: WorkerSession,
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -1,10 +1,11 @@
 /**
- * All that a controller keeps in memory about the shards it owns: worker sessions, the soft state
- * of machines, attempts and jobs, reservations and counters. It composes these parts and decides
- * nothing; rounds, the worker channel and cancellations read it and change it through the methods
- * of its parts.
+ * Everything that a controller keeps in memory about the shards it owns: worker sessions, the soft
+ * state of machines, attempts and jobs, reservations and counters. It only holds these objects and
+ * makes no decisions. Rounds, the worker channel and cancellations read them and change them by
+ * their methods.
  *
- * Nothing here outlives the process, and nothing but the worker sessions proves anything.
+ * Everything here is lost with the process. Only a worker session may serve as evidence of what
+ * runs on a machine; soft state merely guides decisions.
  */
 import {
   type FencingToken,
@@ -28,10 +29,10 @@
 import type { WorkerSession, WorkerSessionEvent } from "./worker-session.js";
 import { WorkerSessions } from "./worker-sessions.js";
 
-/** Without a heartbeat for this part of the worker's lease its machine is given nothing new. */
+/** After this fraction of the worker's lease without a heartbeat its machine gets no new tasks. */
 const OVERDUE_HEARTBEAT_LEASE_FRACTION = 0.5;
 
-/** The value of a key, made and kept if there is none. */
+/** The value of a key, created and inserted if there is none. */
 const getOrCreate = <K, V>(map: Map<K, V>, key: K, create: () => V): V => {
   let value = map.get(key);
   if (value === undefined) {
@@ -41,31 +42,32 @@
   return value;
 };
 
-/** What one controller remembers of the shards it owns. */
+/** The in-memory state of the shards that one controller owns. */
 export class ShardState {
   readonly #sessions = new WorkerSessions();
   readonly #runTimeRatios = new RunTimeRatios();
   readonly #machineStates = new Map<MachineId, MachineSoftState>();
   readonly #attemptStates = new Map<string, AttemptSoftState>();
   readonly #jobBackoffs = new Map<JobId, JobBackoff>();
-  /** The worker session of each machine; changed by `stepSession`, `assignToken`, `syncSessions`. */
+  /** The session of each machine; changed by `stepSession`, `assignToken` and `syncSessions`. */
   readonly sessions: ReadonlyMap<MachineId, WorkerSession> = this.#sessions.all;
-  /** The soft state of machines that have any, in the order in which they first had. */
+  /** The soft state of the machines that have any, in insertion order. */
   readonly machineStates: ReadonlyMap<MachineId, MachineSoftState> = this.#machineStates;
-  /** The soft state of open attempts that have any, by attempt key. */
+  /** The soft state of the open attempts that have any, by attempt key. */
   readonly attemptStates: ReadonlyMap<string, AttemptSoftState> = this.#attemptStates;
-  /** The backoff of jobs that had an attempt end here. */
+  /** The backoff of the jobs of which an attempt ended under this owner. */
   readonly jobBackoffs: ReadonlyMap<JobId, JobBackoff> = this.#jobBackoffs;
   /**
-   * Keys of attempts whose termination is decided and not yet known to be written. A status showed
-   * them absent; a start sent after that would run what the record is about to call gone.
+   * Keys of attempts whose termination the current round has decided, but may not have written yet.
+   * They must not be started: a status showed them absent, and a start sent now would run an
+   * attempt that the record is about to show as terminated.
    */
   readonly terminatingAttempts = new Set<string>();
-  /** Room kept for tasks that move, and for those that others were preempted for. */
+  /** Capacity reserved for tasks that move, and for tasks for which others were preempted. */
   readonly reservations = new Reservations();
-  /** Machines of which something changed since the last round: the next one looks at them. */
+  /** Machines that have changed since the last round; the next round examines them. */
   readonly dirtyMachines = new Set<MachineId>();
-  /** Counts since the start of the process, for `stats()`. */
+  /** Totals since the start of the process, for `stats()`. */
   readonly counters = {
     preempted: 0,
     starts: 0,
@@ -79,9 +81,9 @@
   };
 
   /**
-   * @param ctx what all parts of the controller share
-   * @param membership tells which shards are owned here
-   * @param wake asks for a round soon
+   * @param ctx the context that all parts of the controller share
+   * @param membership knows which shards this controller owns
+   * @param wake requests a round soon
    */
   constructor(
     readonly ctx: ControllerContext,
@@ -89,23 +91,25 @@
     readonly wake: () => void,
   ) {}
 
-  /** The fencing token under which a machine is commanded: its shard's owner's, or its floor. */
+  /**
+   * The fencing token for commands to a machine: its shard owner's, or its token floor if higher.
+   */
   fencingTokenOf(machine: MachineRecord): FencingToken {
     const owner = this.ctx.replica.shardOwners.get(machine.shard);
     return fencingToken(Math.max(owner?.rev ?? 0, machine.tokenFloor));
   }
 
-  /** Takes an event into a machine's session. The session after it, or undefined if none. */
+  /** Applies an event to a machine's session. Returns the new session, or undefined if none. */
   stepSession(id: MachineId, event: WorkerSessionEvent): WorkerSession | undefined {
     return this.#sessions.step(id, event);
   }
 
-  /** The machine is commanded under this token from now on; a session begins if there is none. */
+  /** Sets the fencing token for commands to the machine, and begins a session if there is none. */
   assignToken(id: MachineId, token: FencingToken, now: MonotonicMs): void {
     this.#sessions.assignToken(id, token, now);
   }
 
-  /** Brings sessions in line with the records, and drops soft state of what is no longer there. */
+  /** Brings sessions in line with the records, and removes soft state that has become obsolete. */
   syncSessions(now: MonotonicMs): void {
     const { replica } = this.ctx;
     const ended = this.#sessions.sync(
@@ -117,42 +121,45 @@
       now,
     );
     if (ended === undefined) return;
-    // Its next owner receives its heartbeats: what was counted against it here must not count when
-    // it comes back. (Some 140 machines were returned the moment their shard was handed back.)
+    // While another controller owns the machine, its heartbeats arrive there. Failures counted here
+    // must not count when the shard comes back. (About 140 machines were once returned to the cloud
+    // at the moment their shard was handed back.)
     for (const id of ended) this.#machineStates.delete(id);
     for (const id of this.#machineStates.keys())
       if (!replica.machines.has(id)) this.#machineStates.delete(id);
     for (const id of this.#jobBackoffs.keys())
       if (!replica.accepted.has(id)) this.#jobBackoffs.delete(id);
-    // Attempts that another owner terminated after a shard was handed over.
+    // Another owner terminated these after a handover, so `forgetAttempt` was never called for
+    // them.
     for (const [key, attempt] of this.#attemptStates)
       if (!replica.machines.has(attempt.machine)) this.#attemptStates.delete(key);
   }
 
-  /** The soft state of a machine, made if it has none. */
+  /** The soft state of a machine, created if it has none. */
   machineState(id: MachineId): MachineSoftState {
     return getOrCreate(this.#machineStates, id, () => new MachineSoftState());
   }
 
-  /** The soft state of an attempt on this machine, made if it has none. */
+  /** The soft state of an attempt on this machine, created if it has none. */
   attemptState(key: string, machine: MachineId): AttemptSoftState {
     return getOrCreate(this.#attemptStates, key, () => new AttemptSoftState(machine));
   }
 
-  /** The attempt's termination is written: nothing of it needs to be remembered. */
+  /** Removes the soft state of an attempt whose termination has been written. */
   forgetAttempt(key: string): void {
     this.#attemptStates.delete(key);
   }
 
-  /** The backoff of a job, made if it has none. */
+  /** The backoff of a job, created if it has none. */
   jobBackoff(id: JobId): JobBackoff {
     return getOrCreate(this.#jobBackoffs, id, () => new JobBackoff());
   }
 
   /**
-   * The machine answers calls, but has sent no heartbeat for a good part of its lease. Answers to
-   * commands don't renew that, so it is given nothing new, and what it killed is started elsewhere.
-   * (Started there again, tasks longer than a lease never came to their end.)
+   * Whether the machine has sent no heartbeat for a large fraction of its lease, even if it answers
+   * direct calls. Answers don't renew the lease, so the worker kills its tasks when the lease
+   * expires. The machine gets no new tasks, and the killed ones are started elsewhere: if they were
+   * started there again, tasks longer than a lease would never complete.
    */
   isHeartbeatOverdue(id: MachineId, now: MonotonicMs): boolean {
     const lastHeartbeatAt = this.machineStates.get(id)?.health.lastHeartbeatAt ?? null;
@@ -161,20 +168,22 @@
     return silentMs > this.ctx.settings.workers.leaseS * 1000 * OVERDUE_HEARTBEAT_LEASE_FRACTION;
   }
 
-  /** Jobs that failed on several machines in a row, with no task completing in between. */
+  /** Jobs that are at fault themselves and have failed since a task of theirs last completed. */
   *failingJobs(): Iterable<JobId> {
     for (const [id, backoff] of this.jobBackoffs)
       if (backoff.failureCount > 0 && backoff.isJobAtFault && this.ctx.replica.accepted.has(id))
         yield id;
   }
 
-  /** Asks for an attempt's stop, with so many seconds to save; the first request stands. */
+  /**
+   * Requests that an attempt stops, with `graceS` seconds to save; ignored if already requested.
+   */
   requestStop(key: string, machine: MachineId, reason: StopReason, graceS: number): void {
     if (this.attemptState(key, machine).requestStop({ reason, graceS }))
       this.dirtyMachines.add(machine);
   }
 
-  /** Seconds of work that stopping an attempt now would throw away. */
+  /** Seconds of work that would be lost if the attempt were stopped now. */
   lossS(job: LiveJob, attempt: AttemptSoftState | undefined, now: MonotonicMs): number {
     if (attempt === undefined || attempt.runningSince === null) return 0;
     const ranS = (now - attempt.runningSince) / 1000;
@@ -182,20 +191,20 @@
     return checkpointIntervalS > 0 ? Math.min(ranS % checkpointIntervalS, checkpointSaveS) : ranS;
   }
 
-  /** An attempt of the job completed: its class's run time is corrected by how long it ran. */
+  /** Records the run time of a completed attempt, to correct the estimates of its job class. */
   recordRunTime(spec: JobSpec, attempt: AttemptSoftState | undefined, now: MonotonicMs): void {
     if (attempt === undefined || attempt.runningSince === null) return;
     this.#runTimeRatios.record(spec, now - attempt.runningSince);
   }
 
-  /** A task's run time in seconds: its user's estimate, corrected by what its class took. */
+  /** A task's run time in seconds: the user's estimate, corrected by the runs of its job class. */
   expectedRunS(spec: JobSpec): number {
     return this.#runTimeRatios.expectedRunS(spec);
   }
 
-  /** Keeps room for a task on a machine for so many milliseconds. */
-  reserve(task: TaskId, machine: MachineId, ms: number): void {
-    this.reservations.set(task, { machine, expiresAt: monotonicMs(monotonicNow() + ms) });
+  /** Reserves capacity for a task on a machine, for `durationMs`. */
+  reserve(task: TaskId, machine: MachineId, durationMs: number): void {
+    this.reservations.set(task, { machine, expiresAt: monotonicMs(monotonicNow() + durationMs) });
   }
 
   /** The counters, the number of sessions in each state, and the owned shards, for operators. */
--- a/src/coordination/ownership/start-delivery.ts
+++ b/src/coordination/ownership/start-delivery.ts
@@ -1,37 +1,38 @@
 /**
- * How the start command of an attempt was sent, to tell whether it may still be in flight: a start
- * that arrives after its attempt was believed absent runs the task a second time.
+ * Tracks how the start command of an attempt was sent, to tell whether it may still be in flight. A
+ * start that arrives after its attempt was concluded to be absent would run the task a second time.
  *
- * A start goes out in the answer to a heartbeat, in a direct call, or both. The answer is settled
- * by the next heartbeat, which the worker sends only after it has read the answer. A direct call
- * is settled by its own answer; one that was lost may be executed minutes later, until the worker
- * has shown a higher fencing token or a later epoch.
+ * A start is sent in the response to a heartbeat, in a direct call, or in both. The start in a
+ * response is settled (can no longer arrive) once the next heartbeat is received, because the
+ * worker sends that only after reading the response. The start in a direct call is settled when the
+ * call is answered. If the call was lost, it may be executed even minutes later, until the worker
+ * has reported a higher fencing token or a later epoch.
  */
 import type { FencingToken } from "@umberfold/ids";
 
-/** What became of the direct call that carried a start; `unsent` if none did. */
+/** The state of the last direct call that carried a start; `unsent` if there was none. */
 export type DirectDelivery = "unsent" | "pending" | "answered" | "lost";
 
 /** How one attempt's start was sent. */
 export interface StartDelivery {
-  /** The session's count of heartbeats when an answer carried the start, or null. */
+  /** The session's heartbeat count when a heartbeat response carried the start, or null. */
   readonly sentAtHeartbeatCount: number | null;
   readonly directDelivery: DirectDelivery;
-  /** The token under which it was last sent. */
+  /** The fencing token under which it was last sent. */
   readonly token: FencingToken;
 }
 
-/** The starts that must be remembered, by attempt key. */
+/** The deliveries that must be remembered, by attempt key. */
 export type StartDeliveries = ReadonlyMap<string, StartDelivery>;
 
-/** What a session knows of the starts it sent. */
+/** What a worker session knows about the starts it sent. */
 export interface DeliveryTracking {
   readonly startDeliveries: StartDeliveries;
-  /** Heartbeats received in this session. */
+  /** How many heartbeats were received in this session. */
   readonly heartbeatCount: number;
 }
 
-/** What happened to start commands. */
+/** What happened to a message that carried start commands. */
 export type StartDeliveryEvent =
   | {
       readonly kind: "heartbeat_answered";
@@ -43,10 +44,10 @@
   | { readonly kind: "command_not_sent" }
   | { readonly kind: "command_lost" };
 
-/** The deliveries of a session that sent no start. */
+/** The deliveries of a session that has sent no starts. */
 export const NO_DELIVERIES: StartDeliveries = new Map();
 
-/** The one place where a delivery changes. Undefined: nothing of it needs to be remembered. */
+/** The only function that changes a delivery. Undefined if nothing needs to be remembered. */
 export const stepStartDelivery = (
   delivery: StartDelivery | undefined,
   event: StartDeliveryEvent,
@@ -74,7 +75,7 @@
   }
 };
 
-/** The deliveries after something happened to these starts. */
+/** The deliveries after the event was applied to the attempts whose keys are in `starts`. */
 export const stepStartDeliveries = (
   deliveries: StartDeliveries,
   starts: readonly string[],
@@ -90,7 +91,7 @@
   return next;
 };
 
-/** The deliveries that fulfil a condition; the same object if all do. */
+/** The deliveries for which `keep` is true; the same object if that is all of them. */
 export const filterDeliveries = (
   deliveries: StartDeliveries,
   keep: (key: string, delivery: StartDelivery) => boolean,
@@ -100,7 +101,7 @@
   return kept.length === deliveries.size ? deliveries : new Map(kept);
 };
 
-/** No start command for this attempt can still be in flight to the machine. */
+/** Whether no start command for this attempt can still be in flight to the machine. */
 export const isStartSettled = (session: DeliveryTracking, key: string): boolean => {
   const delivery = session.startDeliveries.get(key);
   if (delivery === undefined) return true;
@@ -111,15 +112,16 @@
 };
 
 /**
- * The attempt may be forgotten: neither can its start still be in flight, nor would a repetition
- * of it be executed. The worker knows an attempt only as long as it lists it; once forgotten, a
- * repeated direct start under the token in force would run it afresh, beside the one that was
- * opened elsewhere since. (A simulated day with repetitions ended with `ran_twice`.)
+ * Whether the worker may be told to forget the attempt: its start can't be in flight any more, and
+ * a duplicate of it wouldn't be executed. A worker ignores a duplicate start only while it lists
+ * the attempt. If the attempt were forgotten, a duplicated direct call under the current token
+ * would run it again, beside a later attempt of the task on another machine. (A simulated day with
+ * duplicated calls failed with `ran_twice`.)
  */
 export const canForgetAttempt = (session: DeliveryTracking, key: string): boolean =>
   isStartSettled(session, key) && session.startDeliveries.get(key)?.directDelivery !== "answered";
 
-/** No start command at all can still be in flight to the machine. */
+/** Whether no start command of any attempt can still be in flight to the machine. */
 export const hasNoStartInFlight = (session: DeliveryTracking): boolean => {
   for (const key of session.startDeliveries.keys()) if (!isStartSettled(session, key)) return false;
   return true;
--- a/src/coordination/ownership/token-raise.ts
+++ b/src/coordination/ownership/token-raise.ts
@@ -1,15 +1,16 @@
 /**
- * When a machine's fencing token has to rise, or is worth raising: a worker that has shown a
- * higher token can't execute any start that was sent under a lower one.
+ * When a machine's fencing token must be raised, or is worth raising. A worker that has seen a
+ * higher token rejects every start that was sent under a lower one, so such starts no longer have
+ * to be remembered.
  */
 import { attemptKey } from "@umberfold/ids";
 import { canForgetAttempt } from "./start-delivery.js";
 import type { WorkerSession } from "./worker-session.js";
 
-/** Ended attempts that wait for a higher token to be forgotten: so many make it worth raising. */
+/** This many ended attempts that only a higher token allows to be forgotten justify a raise. */
 const MIN_BLOCKED_ATTEMPTS_FOR_RAISE = 16;
 
-/** So many ended attempts can't be forgotten that a write for a higher token pays. */
+/** Enough ended attempts can't be forgotten to justify the write that raises the token. */
 export const shouldRaiseToken = (session: WorkerSession): boolean => {
   if (session.startDeliveries.size < MIN_BLOCKED_ATTEMPTS_FOR_RAISE) return false;
   let blockedCount = 0;
@@ -18,7 +19,7 @@
   return blockedCount >= MIN_BLOCKED_ATTEMPTS_FOR_RAISE;
 };
 
-/** A start was lost under the token in force: it must rise before absence proves anything. */
+/** A start was lost under the current token: only a higher one makes absence conclusive again. */
 export const mustRaiseToken = (session: WorkerSession): boolean => {
   for (const { directDelivery, token } of session.startDeliveries.values())
     if (directDelivery === "lost" && token === session.token) return true;
--- a/src/coordination/ownership/worker-session.ts
+++ b/src/coordination/ownership/worker-session.ts
@@ -1,12 +1,15 @@
 /**
  * The owner's view of one worker: a state machine with one transition function,
- * `stepWorkerSession`, without I/O and without a clock of its own.
+ * `stepWorkerSession`, which does no I/O and reads no clock.
  *
  *     unknown --status_received--> fencing --status_received (our token)--> ready
  *     fencing, ready --token_assigned--> fencing     any --became_unresponsive--> unresponsive
  *
- * What must hold: only in `ready` may anything be concluded from an attempt's absence, or be
- * started; and a start that may be in flight is never forgotten (see start-delivery.ts).
+ * A status with our token or a higher one leads to `ready` from any state, one with a lower token
+ * to `fencing`.
+ *
+ * Invariants: only in `ready` may an attempt be started, or anything be concluded from an attempt's
+ * absence. A start that may be in flight is never forgotten (see start-delivery.ts).
  */
 import type { FencingToken, MonotonicMs, TaskId } from "@umberfold/ids";
 import type { TaskStatus, WorkerStatus } from "../../protocol/workers.js";
@@ -20,36 +23,36 @@
 } from "./start-delivery.js";
 
 /**
- * `unknown`: no status yet since this controller owns the machine. `fencing`: it has sent one, but the highest
- * token it has seen is below ours, so commands of an earlier owner may still be executed, and
- * nothing may be started or believed absent. `ready`: it has shown our token: no older command can
- * be executed, and its newest status is the whole truth. `unresponsive`: the failure detector gave
- * it up.
+ * `unknown`: the worker has sent no status since this controller began the session. `fencing`: it
+ * has sent one, but the highest token that it has seen is below ours. Commands of an earlier owner
+ * may still be executed, so nothing may be started or concluded to be absent. `ready`: it has
+ * reported our token, so it rejects commands under lower ones, and its newest status is conclusive.
+ * `unresponsive`: the failure detector has declared the machine failed.
  */
 export type WorkerSessionState = "unknown" | "fencing" | "ready" | "unresponsive";
 
-/** One worker as its owner sees it; never changed in place. */
+/** The owner's view of one worker; immutable. */
 export interface WorkerSession {
   readonly state: WorkerSessionState;
-  /** The fencing token under which it is commanded. */
+  /** The fencing token under which commands are sent to it. */
   readonly token: FencingToken;
-  /** Its newest status, by epoch and sequence, or undefined before the first. */
+  /** Its newest status by epoch and sequence, or undefined before the first. */
   readonly status: WorkerStatus | undefined;
   /** The tasks in that status. */
   readonly tasks: ReadonlyMap<TaskId, TaskStatus>;
-  /** When its newest status arrived, or when silence began to count anew. */
+  /** When its newest status arrived, or when the measurement of its silence was restarted. */
   readonly lastHeardAt: MonotonicMs;
-  /** Heartbeats received in this session, without those that came late. */
+  /** How many heartbeats arrived in this session, without those older than the newest status. */
   readonly heartbeatCount: number;
-  /** Start commands that may still be in flight, or be executed if they are repeated. */
+  /** Start commands that may still be in flight, or whose duplicates may still be executed. */
   readonly startDeliveries: StartDeliveries;
 }
 
-/** All that may change a session. `starts` are keys of attempts whose start was in a message. */
+/** The events of a session. `starts`: the keys of the attempts whose start is in the message. */
 export type WorkerSessionEvent =
-  /** Our token for the machine is now this one: after a failover, a transfer or a token raise. */
+  /** Our token for the machine has changed, after a failover, a transfer or a token raise. */
   | { readonly kind: "token_assigned"; readonly token: FencingToken; readonly now: MonotonicMs }
-  /** A status arrived, be it in a heartbeat or in the answer to a direct call. */
+  /** A status arrived, in a heartbeat or in the answer to a direct call. */
   | {
       readonly kind: "status_received";
       readonly status: WorkerStatus;
@@ -60,22 +63,22 @@
   | { readonly kind: "heartbeat_answered"; readonly starts: readonly string[] }
   /** A direct call is being sent. */
   | { readonly kind: "command_sent"; readonly starts: readonly string[] }
-  /** It was executed. */
+  /** The direct call was answered: its commands were executed. */
   | { readonly kind: "command_answered"; readonly starts: readonly string[] }
-  /** It never left, or the worker executed nothing of it. */
+  /** The direct call was never sent, or the worker refused it and executed none of its commands. */
   | { readonly kind: "command_not_sent"; readonly starts: readonly string[] }
-  /** Nobody knows: it may be executed minutes later. */
+  /** The outcome of the direct call is unknown: it may still be executed minutes later. */
   | { readonly kind: "command_lost"; readonly starts: readonly string[] }
-  /** The failure detector gave the machine up. */
+  /** The failure detector has declared the machine failed. */
   | { readonly kind: "became_unresponsive" }
-  /** The controller itself was paused or cut off: silence until now says nothing. */
+  /** The controller itself was paused or disconnected, so silence until now is no evidence. */
   | { readonly kind: "timers_reset"; readonly now: MonotonicMs };
 
 type StatusReceived = Extract<WorkerSessionEvent, { kind: "status_received" }>;
 
 const NO_TASKS: ReadonlyMap<TaskId, TaskStatus> = new Map();
 
-/** The session of a machine that is commanded under this token from now on. */
+/** The initial session of a machine that is commanded under this token. */
 export const newWorkerSession = (token: FencingToken, now: MonotonicMs): WorkerSession => ({
   state: "unknown",
   token,
@@ -86,24 +89,25 @@
   startDeliveries: NO_DELIVERIES,
 });
 
-/** The order of a worker's statuses. */
+/** What orders the statuses of one worker. */
 interface StatusOrder {
   readonly epoch: number;
   readonly sequence: number;
 }
 
-/** Whether the worker made `status` after `other`; they may arrive in any order. */
+/** Whether the worker created `status` after `other`; statuses may arrive out of order. */
 const isNewer = (status: StatusOrder, other: StatusOrder | undefined): boolean =>
   other === undefined ||
   status.epoch > other.epoch ||
   (status.epoch === other.epoch && status.sequence > other.sequence);
 
-/** Start commands that may matter yet, once this status has arrived. */
+/** The deliveries that still have to be remembered once this status has arrived. */
 const deliveriesAfterStatus = (session: WorkerSession, status: WorkerStatus): StartDeliveries => {
-  // With a new epoch the worker killed and forgot all, and drops commands meant for earlier ones.
+  // At the start of an epoch the worker killed and forgot all attempts, and it rejects commands
+  // that name an earlier epoch.
   if (session.status !== undefined && status.epoch > session.status.epoch) return NO_DELIVERIES;
   if (status.token < session.token) return session.startDeliveries;
-  // Commands under a token below the one that it has seen can't be executed any more.
+  // Commands under a token below the highest one that the worker has seen are rejected.
   return filterDeliveries(session.startDeliveries, (_, { token }) => token >= session.token);
 };
 
@@ -131,8 +135,9 @@
     heartbeatCount: via === "heartbeat" ? session.heartbeatCount + 1 : session.heartbeatCount,
     startDeliveries: deliveriesAfterStatus(session, status),
   };
-  // What is settled need not be remembered, or it grows with every task ever started there; but
-  // what was answered may be repeated, and is remembered until the token has risen.
+  // Settled deliveries are dropped; otherwise the map would grow with every task ever started
+  // there. Answered direct calls may be duplicated, so they are kept until the token has been
+  // raised.
   const startDeliveries = filterDeliveries(
     next.startDeliveries,
     (key) => !canForgetAttempt(next, key),
@@ -149,7 +154,7 @@
   return startDeliveries === session.startDeliveries ? session : { ...session, startDeliveries };
 };
 
-/** The one place where a session changes. The same object if nothing did. */
+/** The only function that changes a session. Returns the same object if nothing changed. */
 export const stepWorkerSession = (
   session: WorkerSession,
   event: WorkerSessionEvent,
--- a/src/coordination/ownership/worker-sessions.ts
+++ b/src/coordination/ownership/worker-sessions.ts
@@ -1,10 +1,11 @@
 /**
- * The worker sessions of all machines that are owned here, kept in line with the records.
+ * The worker sessions of all machines that this controller owns, kept in line with the records.
  *
- * A session must not end while its machine may still be owned: what was sent in it would be
- * forgotten, and a start that is still in flight be taken for absent. So a machine that is missing
- * from the replica counts as gone only once the replica has been synced up to what was known then:
- * it may stand in a page that was not read yet.
+ * A session must not end while its machine may still be owned: the start commands sent in it would
+ * be forgotten, and an attempt whose start is still in flight would be concluded to be absent. A
+ * machine that is missing from the replica may be in a page that hasn't been read yet. So it counts
+ * as gone only once the replica is synced up to the latest revision that was known when it was
+ * found missing.
  */
 import type { FencingToken, MachineId, MonotonicMs, Revision, ShardId } from "@umberfold/ids";
 import type { MachineRecord } from "../../storage/records.js";
@@ -16,10 +17,10 @@
   type WorkerSessionEvent,
 } from "./worker-session.js";
 
-/** What sessions are derived from. */
+/** The inputs from which sessions are derived. */
 export interface SessionSources {
   readonly replica: Replica;
-  /** The shards that this controller owns now. */
+  /** The shards that this controller currently owns. */
   readonly ownedShards: readonly ShardId[];
   /** The fencing token under which a machine is commanded. */
   readonly fencingTokenOf: (machine: MachineRecord) => FencingToken;
@@ -28,17 +29,19 @@
 /** The sessions of one controller. */
 export class WorkerSessions {
   readonly #sessions = new Map<MachineId, WorkerSession>();
-  /** Machines missing from the replica, and the revision by which the watch must have shown them. */
+  /**
+   * Machines missing from the replica, with the latest revision known when they were found missing.
+   */
   readonly #missingSince = new Map<MachineId, Revision>();
   #syncedFleetVersion = -1;
   #syncedShards = "";
 
-  /** All sessions by machine. */
+  /** All sessions, by machine. */
   get all(): ReadonlyMap<MachineId, WorkerSession> {
     return this.#sessions;
   }
 
-  /** Takes an event in. The session after it, or undefined if there is none. */
+  /** Applies an event. Returns the session after it, or undefined if the machine has none. */
   step(id: MachineId, event: WorkerSessionEvent): WorkerSession | undefined {
     const session = this.#sessions.get(id);
     if (session === undefined) return undefined;
@@ -47,15 +50,18 @@
     return next;
   }
 
-  /** The machine is commanded under this token from now on; a session begins if there is none. */
+  /** Sets the fencing token for commands to the machine, and begins a session if there is none. */
   assignToken(id: MachineId, token: FencingToken, now: MonotonicMs): void {
     if (this.#sessions.has(id)) this.step(id, { kind: "token_assigned", token, now });
     else this.#sessions.set(id, newWorkerSession(token, now));
   }
 
   /**
-   * Ends the sessions of machines that left, begins those of machines that came, and raises
-   * tokens. Undefined if nothing can have changed since the last time, else the machines that left.
+   * Ends the sessions of machines that are gone or no longer owned, begins sessions for new ones,
+   * and assigns the current tokens.
+   *
+   * @returns the machines whose sessions ended, or undefined if nothing can have changed since the
+   *   last call
    */
   sync(sources: SessionSources, now: MonotonicMs): readonly MachineId[] | undefined {
     const { replica, ownedShards } = sources;
@@ -85,7 +91,9 @@
     return ended;
   }
 
-  /** The replica isn't synced up to where the machine was first found missing. */
+  /**
+   * Whether the replica isn't synced yet up to the revision at which the machine was found missing.
+   */
   #mayReappear(id: MachineId, replica: Replica): boolean {
     const missingSince = this.#missingSince.get(id) ?? replica.latestSeenRevision;
     this.#missingSince.set(id, missingSince);
