--- a/test/coordination/ownership/attempt-observation.test.ts
+++ b/test/coordination/ownership/attempt-observation.test.ts
@@ -1,4 +1,4 @@
-/** What a worker's newest status proves of an attempt, after each order of messages. */
+/** What a worker's newest status proves about an attempt, for different message sequences. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { attemptNumber, fencingToken, monotonicMs } from "@umberfold/ids";
@@ -22,25 +22,25 @@
     observation: "unknown",
   },
   {
-    name: "absence below our token proves nothing, since an older command may still arrive",
+    name: "absence in a status below our token proves nothing: an older command may still arrive",
     events: [received(statusOf(1, 1, 9))],
     state: "fencing",
     observation: "unknown",
   },
   {
-    name: "absence at our token proves that it is absent",
+    name: "an attempt missing from a status with our token is absent",
     events: [received(statusOf(1, 1, 10))],
     state: "ready",
     observation: "absent",
   },
   {
-    name: "a start in a heartbeat's answer leaves it unsettled until the next heartbeat",
+    name: "a start in a heartbeat response is unsettled until the next heartbeat",
     events: [received(statusOf(1, 1, 10)), { kind: "heartbeat_answered", starts: [KEY] }],
     state: "ready",
     observation: "unsettled",
   },
   {
-    name: "the answer to a direct call in between leaves it unsettled",
+    name: "the answer to a direct call doesn't settle a start in a heartbeat response",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "heartbeat_answered", starts: [KEY] },
@@ -50,7 +50,7 @@
     observation: "unsettled",
   },
   {
-    name: "the next heartbeat without it proves that it is absent",
+    name: "the next heartbeat settles the start, and an attempt missing from it is absent",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "heartbeat_answered", starts: [KEY] },
@@ -60,7 +60,7 @@
     observation: "absent",
   },
   {
-    name: "a lost direct start leaves it unsettled, whatever later heartbeats show",
+    name: "a start in a lost direct call stays unsettled despite later heartbeats",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -72,7 +72,7 @@
     observation: "unsettled",
   },
   {
-    name: "a lost start is settled once the worker has seen a higher token",
+    name: "a lost start is settled once the worker has reported a higher token",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -84,7 +84,7 @@
     observation: "absent",
   },
   {
-    name: "a higher token that the worker hasn't seen yet settles nothing",
+    name: "a higher token doesn't settle a lost start until the worker has reported it",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -96,7 +96,7 @@
     observation: "unknown",
   },
   {
-    name: "a later epoch settles a lost start, whose command named the earlier epoch",
+    name: "a later epoch settles a lost start, whose command was for the earlier epoch",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -113,7 +113,7 @@
     observation: "present",
   },
   {
-    name: "a call that was not sent leaves nothing in flight",
+    name: "a direct call that was not sent leaves no start in flight",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
--- a/test/coordination/ownership/direct-call-state.test.ts
+++ b/test/coordination/ownership/direct-call-state.test.ts
@@ -1,4 +1,4 @@
-/** The state machine of direct calls: one in flight, and one more after it. */
+/** The state machine of direct calls: one in flight, and another after it if it was requested. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { monotonicMs } from "@umberfold/ids";
@@ -29,16 +29,16 @@
     assert.equal(stepDirectCall(from, event), to);
   });
 
-test("direct call: a request while one is in flight is not queued, but follows it", () => {
+test("direct call: a call requested while one is in flight is not queued, but follows it", () => {
   const call = new DirectCallState();
   assert.equal(call.requestCall(monotonicMs(10)), true);
   assert.equal(call.requestCall(monotonicMs(20)), false);
-  assert.equal(call.lastCallAt, 10, "only a call that is queued counts");
+  assert.equal(call.lastCallAt, 10, "only a queued call sets the time");
   assert.equal(call.end(), true);
   assert.equal(call.phase, "idle");
 });
 
-test("direct call: nothing follows a call during which nobody asked for another", () => {
+test("direct call: no call follows one during which none was requested", () => {
   const call = new DirectCallState();
   call.requestCall(monotonicMs(10));
   call.markSent(monotonicMs(15));
@@ -46,9 +46,9 @@
   assert.equal(call.end(), false);
 });
 
-test("direct call: a call that ends under a new soft state can ask for another", () => {
+test("direct call: a call that ends after its soft state was replaced can request a repeat", () => {
   const call = new DirectCallState();
   call.requestRepeat();
-  assert.equal(call.requestCall(monotonicMs(5)), true, "its request is queued at once");
+  assert.equal(call.requestCall(monotonicMs(5)), true, "the next request is queued at once");
   assert.equal(call.end(), true);
 });
--- a/test/coordination/ownership/machine-departure.test.ts
+++ b/test/coordination/ownership/machine-departure.test.ts
@@ -1,4 +1,4 @@
-/** The state machine of transfer and decommission: every event in every state. */
+/** The state machine of transfers and decommissions: every event in every state. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { monotonicMs, shardId } from "@umberfold/ids";
@@ -43,7 +43,7 @@
   to: DepartureState;
 }[] = [
   {
-    name: "a machine that stays is to be transferred once the leader asks for it",
+    name: "a transfer request makes a transfer pending on a machine that stays",
     from: STAYING,
     event: REQUEST_SECOND,
     to: { kind: "transfer_pending", transfer: SECOND },
@@ -55,51 +55,56 @@
     to: { kind: "transfer_pending", transfer: SECOND },
   },
   {
-    name: "a transfer request leaves a pending decommission as it is",
+    name: "a transfer request is kept beside a pending decommission, which doesn't change",
     from: decommission("surplus", false),
     event: REQUEST_SECOND,
     to: decommission("surplus", false, SECOND),
   },
-  { name: "the end of no transfer changes nothing", from: STAYING, event: END, to: STAYING },
+  {
+    name: "the end of a transfer changes nothing if none is pending",
+    from: STAYING,
+    event: END,
+    to: STAYING,
+  },
   { name: "a machine stays once its transfer has ended", from: TRANSFER, event: END, to: STAYING },
   {
-    name: "a decommission is still pending once a transfer has ended",
+    name: "a decommission stays pending when the transfer ends",
     from: decommission("surplus", false, FIRST),
     event: END,
     to: decommission("surplus", false),
   },
   {
-    name: "a machine that stays is to be decommissioned on request, once it is empty",
+    name: "a requested decommission of a machine that stays is not forced",
     from: STAYING,
     event: SURPLUS,
     to: decommission("surplus", false),
   },
   {
-    name: "a decommission remembers the transfer that was pending: its drain goes on",
+    name: "a requested decommission keeps the pending transfer, whose drain continues",
     from: TRANSFER,
     event: SURPLUS,
     to: decommission("surplus", false, FIRST),
   },
   {
-    name: "the first reason of a decommission stands",
+    name: "a second decommission request doesn't change the reason",
     from: decommission("notice", false),
     event: SURPLUS,
     to: decommission("notice", false),
   },
   {
-    name: "a forced decommission is not eased by a later request",
+    name: "a later request doesn't turn a forced decommission into one that isn't",
     from: decommission("unreachable", true),
     event: SURPLUS,
     to: decommission("unreachable", true),
   },
   {
-    name: "a machine that stays can be decommissioned at once",
+    name: "a decommission of a machine that stays can be forced",
     from: STAYING,
     event: SILENT,
     to: decommission("silent", true),
   },
   {
-    name: "a forced decommission remembers the pending transfer",
+    name: "a forced decommission keeps the pending transfer",
     from: TRANSFER,
     event: SILENT,
     to: decommission("silent", true, FIRST),
@@ -117,7 +122,7 @@
     assert.deepEqual(stepDeparture(from, event), to);
   });
 
-test("machine departure: nothing is pending for a new machine, and something after a request", () => {
+test("machine departure: a new machine stays until a request makes a transfer pending", () => {
   const departure = new MachineDeparture();
   assert.equal(departure.isPending, false);
   assert.equal(departure.transfer, null);
--- a/test/coordination/ownership/machine-soft-state.test.ts
+++ b/test/coordination/ownership/machine-soft-state.test.ts
@@ -1,4 +1,4 @@
-/** The parts of a machine's soft state that have no state machine of their own. */
+/** The parts of a machine's soft state that are not state machines. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { jobId, monotonicMs } from "@umberfold/ids";
@@ -6,7 +6,7 @@
 import { MachineFaults } from "../../../src/coordination/ownership/machine-faults.js";
 import { MachineHealth } from "../../../src/coordination/ownership/machine-health.js";
 
-test("image cache: the least recently used image is dropped when room is short", () => {
+test("image cache: the least recently used image is evicted when the cache is full", () => {
   const images = new ImageCache();
   images.recordUse("old", 4, 10);
   images.recordUse("kept", 4, 10);
@@ -18,7 +18,7 @@
   );
 });
 
-test("image cache: an image larger than the cache stays alone", () => {
+test("image cache: an image larger than the cache evicts all others and stays", () => {
   const images = new ImageCache();
   images.recordUse("small", 1, 10);
   images.recordUse("large", 20, 10);
@@ -26,7 +26,7 @@
   assert.equal(images.has("large"), true);
 });
 
-test("machine faults: quarantine is due when two jobs failed, and not when one failed twice", () => {
+test("machine faults: quarantine is due after two jobs failed, not after one failed twice", () => {
   const faults = new MachineFaults();
   faults.recordFailure(jobId("wk-1"), false);
   faults.recordFailure(jobId("wk-1"), false);
@@ -36,14 +36,14 @@
   assert.equal(faults.failureCount, 3);
 });
 
-test("machine faults: a job that is itself at fault doesn't count", () => {
+test("machine faults: failures of a job that is at fault don't count towards quarantine", () => {
   const faults = new MachineFaults();
   faults.recordFailure(jobId("wk-1"), false);
   faults.recordFailure(jobId("wk-2"), true);
   assert.equal(faults.isQuarantineDue, false);
 });
 
-test("machine faults: a completion clears them", () => {
+test("machine faults: a completion clears earlier failures", () => {
   const faults = new MachineFaults();
   faults.recordFailure(jobId("wk-1"), false);
   faults.recordCompletion();
@@ -52,15 +52,15 @@
   assert.equal(faults.failureCount, 1);
 });
 
-const failingHealth = (): MachineHealth => {
+const healthAfterTwoFailedCalls = (): MachineHealth => {
   const health = new MachineHealth();
   health.recordFailedCall(monotonicMs(1000));
   health.recordFailedCall(monotonicMs(2000));
   return health;
 };
 
-test("machine health: a heartbeat ends the silence, but doesn't prove the machine reachable", () => {
-  const health = failingHealth();
+test("machine health: a heartbeat resets only the failed calls since the newest status", () => {
+  const health = healthAfterTwoFailedCalls();
   health.recordStatus("heartbeat", monotonicMs(3000));
   assert.equal(health.failedCallsSinceStatus, 0);
   assert.equal(health.failedCallsSinceAnswer, 2);
@@ -68,38 +68,38 @@
   assert.equal(health.lastHeartbeatAt, 3000);
 });
 
-test("machine health: an answered call proves the machine reachable, and is no heartbeat", () => {
-  const health = failingHealth();
+test("machine health: a new status in an answer resets both counts, but is no heartbeat", () => {
+  const health = healthAfterTwoFailedCalls();
   health.recordStatus("direct", monotonicMs(3000));
   assert.equal(health.failedCallsSinceStatus, 0);
   assert.equal(health.failedCallsSinceAnswer, 0);
   assert.equal(health.lastHeartbeatAt, null);
 });
 
-test("machine health: an old status in an answer ends unreachability alone", () => {
-  const health = failingHealth();
+test("machine health: an old status in an answer resets only the calls since an answer", () => {
+  const health = healthAfterTwoFailedCalls();
   health.recordAnsweredCall();
   assert.equal(health.failedCallsSinceStatus, 2);
   assert.equal(health.failedCallsSinceAnswer, 0);
 });
 
-test("machine health: unreachability counts from the first call after an answer", () => {
-  const health = failingHealth();
+test("machine health: firstUnansweredCallAt is the first failed call after an answer", () => {
+  const health = healthAfterTwoFailedCalls();
   health.recordAnsweredCall();
   health.recordFailedCall(monotonicMs(5000));
   health.recordFailedCall(monotonicMs(6000));
   assert.equal(health.firstUnansweredCallAt, 5000);
 });
 
-test("machine health: an expected heartbeat counts from the first time it is expected", () => {
+test("machine health: the absence of heartbeats counts from when they were first expected", () => {
   const health = new MachineHealth();
   health.expectHeartbeats(monotonicMs(1000));
   health.expectHeartbeats(monotonicMs(2000));
   assert.equal(health.lastHeartbeatAt, 1000);
 });
 
-test("machine health: a reset forgets everything", () => {
-  const health = failingHealth();
+test("machine health: a reset clears all counts and times", () => {
+  const health = healthAfterTwoFailedCalls();
   health.recordStatus("heartbeat", monotonicMs(3000));
   health.reset();
   assert.equal(health.failedCallsSinceStatus, 0);
--- a/test/coordination/ownership/reconciliation.test.ts
+++ b/test/coordination/ownership/reconciliation.test.ts
@@ -1,4 +1,4 @@
-/** The commands that bring a worker to what the records say. */
+/** The commands that bring a worker in line with the records. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { attemptNumber, fencingToken, monotonicMs, type TaskId } from "@umberfold/ids";
@@ -23,7 +23,7 @@
   expected: readonly string[];
 }[] = [
   {
-    name: "no command is given while the worker is below our token",
+    name: "no command is sent while the worker reports a token below ours",
     events: [received(statusOf(1, 1, 9))],
     desired: desiredTask(1, null),
     expected: [],
@@ -35,7 +35,7 @@
     expected: ["start 1"],
   },
   {
-    name: "an attempt whose termination is being written is not started, since its absence is the evidence",
+    name: "an absent attempt is not started while its termination is written on that evidence",
     events: [received(statusOf(1, 1, 10))],
     desired: desiredTask(1, null, true),
     expected: [],
@@ -65,7 +65,7 @@
     expected: [],
   },
   {
-    name: "an ended attempt is not forgotten while its lost start may arrive: it would run afresh",
+    name: "an ended attempt is not forgotten while its lost start may arrive: it would run again",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -76,7 +76,7 @@
     expected: [],
   },
   {
-    name: "an ended attempt is not forgotten while a repetition of its start would be executed",
+    name: "an ended attempt is not forgotten while a duplicate of its start could be executed",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -87,7 +87,7 @@
     expected: [],
   },
   {
-    name: "a later attempt is not started beside one that can't be forgotten",
+    name: "a later attempt is not started while an earlier one can't be forgotten",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -98,7 +98,7 @@
     expected: [],
   },
   {
-    name: "an ended attempt is forgotten and a later one started once a higher token is shown",
+    name: "an ended attempt is forgotten and a later one started once a higher token is reported",
     events: [
       received(statusOf(1, 1, 10)),
       { kind: "command_sent", starts: [KEY] },
@@ -116,13 +116,13 @@
     expected: ["forget 1", "start 2"],
   },
   {
-    name: "an attempt that saves its checkpoint is left to save",
+    name: "an attempt that is saving its checkpoint is not stopped again",
     events: [received(statusOf(1, 1, 10, [[TASK, 1, "saving"]]))],
     desired: desiredTask(1, 5),
     expected: [],
   },
   {
-    name: "an attempt that saves is stopped at once when it is cancelled",
+    name: "an attempt that is saving its checkpoint is stopped at once if it is cancelled",
     events: [received(statusOf(1, 1, 10, [[TASK, 1, "saving"]]))],
     desired: desiredTask(1, 0),
     expected: ["stop 1"],
--- a/test/coordination/ownership/reservations.test.ts
+++ b/test/coordination/ownership/reservations.test.ts
@@ -1,4 +1,4 @@
-/** Room that is kept for tasks. */
+/** Capacity reserved for tasks. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, monotonicMs, type TaskId } from "@umberfold/ids";
@@ -13,14 +13,14 @@
   return reservations;
 };
 
-test("reservations: those whose time has come expire, and the others stay", () => {
+test("reservations: those that have expired are deleted, and the others stay", () => {
   const reservations = setUp();
   reservations.deleteExpired(monotonicMs(1000));
   assert.equal(reservations.has(FIRST), false);
   assert.equal(reservations.get(SECOND)?.machine, "m-2");
 });
 
-test("reservations: a later one for the same task replaces the earlier", () => {
+test("reservations: a later one for the same task replaces the earlier one", () => {
   const reservations = setUp();
   reservations.set(FIRST, { machine: machineId("m-3"), expiresAt: monotonicMs(3000) });
   assert.deepEqual(
@@ -29,7 +29,7 @@
   );
 });
 
-test("reservations: none is left for a task that started", () => {
+test("reservations: a task has none once its reservation is deleted", () => {
   const reservations = setUp();
   reservations.delete(FIRST);
   assert.equal(reservations.get(FIRST), undefined);
--- a/test/coordination/ownership/run-time-ratios.test.ts
+++ b/test/coordination/ownership/run-time-ratios.test.ts
@@ -1,4 +1,4 @@
-/** Run times of job classes, learned from what completed. */
+/** The ratio of actual to expected run time of job classes. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { RunTimeRatios } from "../../../src/coordination/ownership/run-time-ratios.js";
@@ -9,7 +9,7 @@
 
 const SPEC = specOf(100);
 
-test("run times: without any run the expected one holds", () => {
+test("run times: without a completed run the user's estimate is unchanged", () => {
   assert.equal(new RunTimeRatios().expectedRunS(SPEC), 100);
 });
 
@@ -21,7 +21,7 @@
   assert.equal(ratios.expectedRunS(SPEC), 195);
 });
 
-test("run times: one run counts as a tenth or ten times of what was expected at most", () => {
+test("run times: the ratio of a run is limited to between a tenth and ten", () => {
   const ratios = new RunTimeRatios();
   ratios.record(specOf(100, "slow"), 5_000_000);
   ratios.record(specOf(100, "fast"), 1);
@@ -29,7 +29,7 @@
   assert.equal(ratios.expectedRunS(specOf(100, "fast")), 10);
 });
 
-test("run times: a job without an expected run time teaches nothing", () => {
+test("run times: a job without an expected run time is ignored", () => {
   const ratios = new RunTimeRatios();
   ratios.record(specOf(0), 200_000);
   assert.equal(ratios.expectedRunS(SPEC), 100);
--- a/test/coordination/ownership/session-events.ts
+++ b/test/coordination/ownership/session-events.ts
@@ -1,4 +1,6 @@
-/** Worker statuses and session events for the tests of sessions and what follows from them. */
+/**
+ * Worker statuses and session events for the tests of sessions and of what is derived from them.
+ */
 import {
   attemptKey,
   attemptNumber,
@@ -15,15 +17,15 @@
 } from "../../../src/coordination/ownership/worker-session.js";
 import type { EndCause, TaskPhase, WorkerStatus } from "../../../src/protocol/workers.js";
 
-/** The task that all cases are about. */
+/** The task that all cases use. */
 export const TASK = "wk-000001/0" as TaskId;
 /** The key of its first attempt. */
 export const KEY = attemptKey(TASK, attemptNumber(1));
 
-/** One attempt in a worker's status: task, attempt, phase and, if it has ended, why. */
+/** One attempt in a worker's status: task, attempt, phase and, if it has ended, the cause. */
 export type AttemptRow = readonly [TaskId, number, TaskPhase, EndCause?];
 
-/** A worker's status, with the highest fencing token that it has seen. */
+/** A worker's status; `seenToken` is the highest fencing token that it has seen. */
 export const statusOf = (
   epoch: number,
   sequence: number,
@@ -48,7 +50,7 @@
   })),
 });
 
-/** The event that a status arrived. */
+/** The event of a status that arrived. */
 export const received = (
   status: WorkerStatus,
   via: "heartbeat" | "direct" = "heartbeat",
--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -1,4 +1,4 @@
-/** Worker sessions in line with the records, and machines without heartbeats. */
+/** `ShardState`: syncing worker sessions with the records, soft state, and overdue heartbeats. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, monotonicMs, revision, shardId, wallClockMs } from "@umberfold/ids";
@@ -45,11 +45,12 @@
 };
 
 /**
- * A write that puts a machine from one page into another was applied, its answer was lost, and the
- * one page was read again before the other. With its session went what had been sent there: a
- * start still on its way was taken for absent, and the task started a second time.
+ * Guards against a task that starts twice. A write that moves a machine from one page to another
+ * was applied, but its answer was lost, and the old page was read again before the new one. The
+ * session ended, and with it the record of the starts sent in it. An attempt whose start was still
+ * in flight was concluded to be absent, and its task was started a second time.
  */
-test("a session outlives its machine's absence between two pages", () => {
+test("a session survives while its machine is missing between the reads of two pages", () => {
   const { replica, state } = setUp();
   const before = state.sessions.get(ID);
   replica.apply({ kind: "delete", key: page("x"), rev: revision(12) });
@@ -61,7 +62,7 @@
   assert.equal(state.sessions.get(ID), before);
 });
 
-test("a session ends once the watch has shown that its machine is gone", () => {
+test("a session ends once the replica is synced and still lacks its machine", () => {
   const { replica, state } = setUp();
   replica.apply({ kind: "delete", key: page("x"), rev: revision(12) });
   state.syncSessions(monotonicMs(1));
@@ -70,8 +71,11 @@
   assert.equal(state.sessions.size, 0);
 });
 
-/** Some 140 machines were returned the moment their shard was handed back. */
-test("what was counted against a machine is forgotten when its shard is handed over", () => {
+/**
+ * Guards against returning healthy machines to the cloud. Failures counted before a handover still
+ * counted when the shard came back, and about 140 machines were returned at that moment.
+ */
+test("the failures of a machine are cleared when its shard is handed over", () => {
   const { state, ownedShards } = setUp();
   state.machineState(ID).health.recordFailedCall(monotonicMs(1));
   ownedShards.pop();
@@ -84,7 +88,7 @@
   assert.equal(state.machineState(ID).health.failedCallsSinceStatus, 0);
 });
 
-test("the first stop request of an attempt stands, and makes its machine dirty once", () => {
+test("a second stop request of an attempt is ignored and doesn't mark its machine dirty", () => {
   const { state } = setUp();
   state.requestStop("key", ID, "preempted", 5);
   assert.deepEqual([...state.dirtyMachines], [ID]);
@@ -101,19 +105,19 @@
   overdue: boolean;
 }[] = [
   {
-    name: "not overdue on a machine that never sent one here",
+    name: "not overdue on a machine that has sent none to this owner",
     heartbeatAt: null,
     now: 60_000,
     overdue: false,
   },
   {
-    name: "not overdue when one came lately",
+    name: "not overdue when one arrived recently",
     heartbeatAt: 50_000,
     now: 59_000,
     overdue: false,
   },
   {
-    name: "overdue when none came for more than half a lease",
+    name: "overdue when none arrived for more than half a lease",
     heartbeatAt: 40_000,
     now: 51_000,
     overdue: true,
@@ -128,10 +132,11 @@
   });
 
 /**
- * The watch shows our own changes too. Deletes of our own were taken for others' writes, and the
- * owner of a shard in which many jobs ended left half of the write limit unused.
+ * Guards against unused write capacity. The watch also delivers this controller's own changes. Its
+ * own deletes were taken for writes of others, so the owner of a shard in which many jobs ended
+ * left half of the write limit unused.
  */
-test("a change of our own is known when the watch shows it, a delete too", () => {
+test("a change of this controller is known once the watch delivers it, also a delete", () => {
   const { replica } = setUp();
   const key = "now/live/wk-1";
   const put = { kind: "put", key, value: {}, rev: revision(11) } as const;
--- a/test/coordination/ownership/token-raise.test.ts
+++ b/test/coordination/ownership/token-raise.test.ts
@@ -1,4 +1,4 @@
-/** When a fencing token has to rise. */
+/** When a fencing token must be raised. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { fencingToken, monotonicMs } from "@umberfold/ids";
@@ -12,11 +12,11 @@
   { kind: "command_lost", starts: [KEY] },
 ];
 
-test("token raise: a lost start demands a higher token", () => {
+test("token raise: a lost start requires a higher token", () => {
   assert.equal(mustRaiseToken(sessionAfter(10, LOST_START)), true);
 });
 
-test("token raise: a lost start demands nothing more once the token has risen", () => {
+test("token raise: a lost start requires no further raise once the token is higher", () => {
   const session = sessionAfter(10, [
     ...LOST_START,
     { kind: "token_assigned", token: fencingToken(20), now: monotonicMs(1) },
