--- a/src/coordination/ownership/direct-call-state.ts
+++ b/src/coordination/ownership/direct-call-state.ts
@@ -72,8 +72,8 @@
 
   /** The call is over. Returns true if another has to follow. */
   end(): boolean {
-    const again = this.#phase === "in_flight_repeat_due" || this.#phase === "repeat_due";
+    const mustRepeat = this.#phase === "in_flight_repeat_due" || this.#phase === "repeat_due";
     this.#phase = stepDirectCall(this.#phase, "ended");
-    return again;
+    return mustRepeat;
   }
 }
--- a/src/coordination/ownership/machine-faults.ts
+++ b/src/coordination/ownership/machine-faults.ts
@@ -26,7 +26,7 @@
    * An attempt ended with an error.
    *
    * @param isJobAtFault the job has failed on several machines (see `JobBackoff`), so this failure
-   *   doesn't count towards the quarantine of the machine
+   *   is no evidence against the machine and doesn't count towards its quarantine
    */
   recordFailure(job: JobId, isJobAtFault: boolean): void {
     this.#failureCount++;
--- a/src/coordination/ownership/reconciliation.ts
+++ b/src/coordination/ownership/reconciliation.ts
@@ -32,8 +32,7 @@
   const { task, attempt, phase } = status;
   const graceS = desired.stopGraceS;
   if (graceS === null || phase === "ended") return undefined;
-  // An attempt that is saving its checkpoint may finish, unless the checkpoint isn't needed any
-  // more.
+  // An attempt that is already saving may finish, unless its checkpoint isn't needed any more.
   return phase === "saving" && graceS !== 0 ? undefined : { op: "stop", task, attempt, graceS };
 };
 
@@ -52,8 +51,7 @@
   if (stopGraceS !== null || isStartForbidden) return false;
   if (session.tasks.get(task)?.attempt === attempt) return false;
   if (isBlockedByEarlierAttempt(session, task, attempt)) return false;
-  // A direct call with the start is still in flight; a second copy would have to be tracked as
-  // well.
+  // A direct call with the start is in flight; a second copy would have to be tracked as well.
   return session.startDeliveries.get(attemptKey(task, attempt))?.directDelivery !== "pending";
 };
 
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -129,8 +129,7 @@
       if (!replica.machines.has(id)) this.#machineStates.delete(id);
     for (const id of this.#jobBackoffs.keys())
       if (!replica.accepted.has(id)) this.#jobBackoffs.delete(id);
-    // Another owner terminated these after a handover, so `forgetAttempt` was never called for
-    // them.
+    // Another owner terminated these after a handover, so `forgetAttempt` wasn't called here.
     for (const [key, attempt] of this.#attemptStates)
       if (!replica.machines.has(attempt.machine)) this.#attemptStates.delete(key);
   }
