--- a/src/coordination/cancellation/own-machine-enforcement.ts
+++ b/src/coordination/cancellation/own-machine-enforcement.ts
@@ -66,7 +66,7 @@
       taskId(job, openAttempt.index),
       openAttempt.attempt,
     );
-    const hasEnded = observation.kind === "present" && observation.report.phase === "ended";
+    const hasEnded = observation.kind === "present" && observation.status.phase === "ended";
     const awaitsFirstStatus = session.state === "unknown" || session.state === "fencing";
     return decideCancellationAction({
       isProvedGone: observation.kind === "absent" || hasEnded,
@@ -86,7 +86,7 @@
   #decommission(machine: MachineId): void {
     const { state } = this.localShards;
     const { departure } = state.machineState(machine);
-    if (departure.decommission?.force === true) return;
+    if (departure.decommission?.isForced === true) return;
     departure.step({ kind: "decommission_forced", reason: "cancelled task stays" });
     state.dirtyMachines.add(machine);
     state.wake();
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -63,7 +63,8 @@
   const { departure, health } = state.machineState(id);
   if (departure.isPending) return false;
   return (
-    health.unreachableCalls <= MAX_UNANSWERED_CALLS && !state.heartbeatOverdue(id, monotonicNow())
+    health.failedCallsSinceAnswer <= MAX_UNANSWERED_CALLS &&
+    !state.isHeartbeatOverdue(id, monotonicNow())
   );
 };
 
@@ -125,7 +126,7 @@
   candidates: ReadonlyMap<MachineId, CandidateMachine>,
 ): void => {
   for (const [task, reservation] of state.reservations) {
-    const candidate = candidates.get(reservation.to);
+    const candidate = candidates.get(reservation.machine);
     const resources = shardJobs.jobs.get(splitTask(task).job)?.spec.resources;
     if (candidate !== undefined && resources !== undefined) addUse(candidate, resources);
   }
@@ -177,7 +178,7 @@
       price,
       isCostly: pricePerCpu(price, type.capacity.cpus) > COSTLY_PRICE_RATIO * lowestPricePerCpu,
       fetchGbPerS: type.fetchGbPerS,
-      images: state.machineState(id).images,
+      images: state.machineState(id).imageCache,
       competingShapes,
     });
   }
--- a/src/coordination/rounds/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -51,7 +51,7 @@
     if (!savesCheckpoints && completesBeforePreemption(attempt, spec, remainingNoticeS, now))
       continue;
     const graceS = spec.checkpointSaveS < remainingNoticeS ? spec.checkpointSaveS : 0;
-    state.stop(key, id, "notice", graceS);
+    state.requestStop(key, id, "notice", graceS);
   }
 };
 
@@ -76,7 +76,7 @@
 export const drainMachinesForTransfer = (state: ShardState, now: MonotonicMs): void => {
   for (const [id, { departure }] of state.machineStates) {
     if (departure.transfer === null) continue;
-    if (departure.transfer.until <= now) departure.step({ kind: "transfer_ended" });
+    if (departure.transfer.expiresAt <= now) departure.step({ kind: "transfer_ended" });
     else if (departure.transfer.drain) stopOpenAttempts(state, id);
   }
 };
@@ -85,6 +85,6 @@
   for (const { job, key } of state.ctx.replica.openAttemptsOn(id).values()) {
     const isStopping = state.attemptStates.get(key)?.stopRequest != null;
     if (!isStopping) state.counters.preempted++;
-    state.stop(key, id, "preempted", specOf(state, job)?.checkpointSaveS ?? 0);
+    state.requestStop(key, id, "preempted", specOf(state, job)?.checkpointSaveS ?? 0);
   }
 };
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -164,7 +164,7 @@
    */
   #requestTokenRaise(machine: CandidateMachine): void {
     const { tokenRaise } = this.state.machineState(machine.id);
-    if (!tokenRaise.pending) this.state.dirtyMachines.add(machine.id);
+    if (!tokenRaise.isPending) this.state.dirtyMachines.add(machine.id);
     tokenRaise.request();
   }
 
@@ -180,7 +180,8 @@
   #claimReservation(task: TaskId, placement: JobPlacement): CandidateMachine | null {
     const { spec } = placement.queued.job;
     const reservation = this.state.reservations.get(task);
-    const machine = reservation === undefined ? undefined : this.candidates.get(reservation.to);
+    const machine =
+      reservation === undefined ? undefined : this.candidates.get(reservation.machine);
     if (machine === undefined || !isPermitted(spec, machine, placement.zones)) return null;
     // The machine's use includes the reservation itself.
     const useByOthers = subtract(machine.use, spec.resources);
--- a/src/coordination/rounds/machine-record-changes.ts
+++ b/src/coordination/rounds/machine-record-changes.ts
@@ -55,7 +55,7 @@
   const session = state.sessions.get(id);
   if (session === undefined || record.phase !== "up") return undefined;
   const { decommission } = state.machineState(id).departure;
-  if (decommission !== null && (decommission.force || openCount === 0)) {
+  if (decommission !== null && (decommission.isForced || openCount === 0)) {
     log.info("machine decommissioned", { machine: id, reason: decommission.reason });
     return { kind: "update", record: { ...record, phase: "retiring" }, maxDelayMs: 0 };
   }
@@ -108,7 +108,7 @@
   if (!isReadyWithDeliveries) tokenRaise.clear();
   const isUrgent =
     mustRaiseToken(session) ||
-    (isReadyWithDeliveries && (tokenRaise.pending || hasBlockedTask(state, round, id, session)));
+    (isReadyWithDeliveries && (tokenRaise.isPending || hasBlockedTask(state, round, id, session)));
   if (!isUrgent && !(shouldRaiseToken(session) && isReady)) return undefined;
   const tokenFloor = raisedTokenFloor(state, record);
   if (tokenFloor === undefined) return undefined;
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -81,7 +81,7 @@
     if (this.commit.isReplicaBehind) return { pauseMs: REPLICA_CATCH_UP_PAUSE_MS };
     const writeWaitMs = store.writeWaitMs(MIN_WRITE_BUDGET_OPS);
     if (writeWaitMs > 0) return { pauseMs: writeWaitMs };
-    state.reservations.expire(now);
+    state.reservations.deleteExpired(now);
     // While the state store fails, no task is stopped to free capacity or to be moved: its next
     // start could not be committed.
     const canWrite = !store.isFailing();
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -88,8 +88,8 @@
    */
   requestTransfer({ machine, to, drain, whenEmpty = false }: MachineTransferRequest): void {
     if (!this.state.sessions.has(machine)) return;
-    const until = monotonicMs(monotonicNow() + TRANSFER_REQUEST_TTL_MS);
-    const transfer = { to, drain, whenEmpty, until };
+    const expiresAt = monotonicMs(monotonicNow() + TRANSFER_REQUEST_TTL_MS);
+    const transfer = { to, drain, whenEmpty, expiresAt };
     this.state.machineState(machine).departure.step({ kind: "transfer_requested", transfer });
     this.state.dirtyMachines.add(machine);
     this.state.wake();
@@ -118,7 +118,7 @@
       return await this.#cycle.run();
     } finally {
       this.#isCommitting = false;
-      this.state.terminating.clear();
+      this.state.terminatingAttempts.clear();
     }
   }
 
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -77,7 +77,7 @@
     const attemptState = state.attemptStates.get(attempt.key);
     // The tasks of a failing job are left out of the use (n in the paper): a job that fails on
     // every machine would otherwise cause other tasks to be moved back and forth.
-    const isFailing = (state.jobBackoffs.get(attempt.job)?.failures ?? 0) > 0;
+    const isFailing = (state.jobBackoffs.get(attempt.job)?.failureCount ?? 0) > 0;
     if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
       use = subtract(use, job.spec.resources);
       continue;
@@ -96,7 +96,7 @@
     const attempt = shardJobs.openAttemptsOn(from).get(task);
     const job = attempt === undefined ? undefined : shardJobs.jobs.get(attempt.job);
     if (attempt === undefined || job === undefined) continue;
-    state.stop(attempt.key, from, "moved", job.spec.checkpointSaveS);
+    state.requestStop(attempt.key, from, "moved", job.spec.checkpointSaveS);
     state.reserve(task, to, RESERVATION_TIMEOUT_MS);
     state.counters.moves++;
     state.ctx.log.debug("swarm move", { task, from, to });
--- a/src/coordination/rounds/termination-evidence.ts
+++ b/src/coordination/rounds/termination-evidence.ts
@@ -90,7 +90,7 @@
     state.attemptStates.get(key)?.stopRequest != null;
   const observation = observeAttempt(machine.session, task, attempt, key);
   if (observation.kind === "present") {
-    const { report: status } = observation;
+    const { status } = observation;
     if (status.phase === "ended") return { kind: "ended", status };
     retryStop(state, round, id, isStopping);
     return NO_EVIDENCE;
@@ -99,6 +99,6 @@
   // An absent attempt may yet be started there, unless it should stop, its machine is being
   // decommissioned, or the machine gets no starts because its heartbeat is overdue.
   const mayNotStart =
-    isStopping || machine.record.phase !== "up" || state.heartbeatOverdue(id, round.now);
+    isStopping || machine.record.phase !== "up" || state.isHeartbeatOverdue(id, round.now);
   return mayNotStart ? LOST : NO_EVIDENCE;
 };
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -84,19 +84,20 @@
 
 const shouldProbe = (machine: WatchedMachine, { now, overdueMs }: DetectionTimes): boolean => {
   const { health, call } = machine.soft;
-  const due = machine.silentMs > overdueMs || awaitsToken(machine) || health.unreachableCalls > 0;
+  const due =
+    machine.silentMs > overdueMs || awaitsToken(machine) || health.failedCallsSinceAnswer > 0;
   return due && now - call.lastCallAt >= PROBE_PERIOD_MS;
 };
 
 /** Heartbeats are due from it: it has sent a status or has an endpoint, and isn't leaving. */
 const shouldSendHeartbeats = ({ session, record, soft }: WatchedMachine): boolean => {
   if (record.endpoint === "" && session.status === undefined) return false;
-  return record.phase === "up" && soft.departure.decommission?.force !== true;
+  return record.phase === "up" && soft.departure.decommission?.isForced !== true;
 };
 
 const isUnreached = ({ soft, silentMs }: WatchedMachine, heartbeatPeriodMs: number): boolean =>
-  (soft.health.failedCalls > 0 && silentMs > heartbeatPeriodMs) ||
-  soft.health.unreachableCalls >= UNANSWERED_CALLS_UNTIL_SILENT;
+  (soft.health.failedCallsSinceStatus > 0 && silentMs > heartbeatPeriodMs) ||
+  soft.health.failedCallsSinceAnswer >= UNANSWERED_CALLS_UNTIL_SILENT;
 
 /** Watches the machines of one controller. */
 export class FailureDetector {
--- a/test/coordination/rounds/machine-record-changes.test.ts
+++ b/test/coordination/rounds/machine-record-changes.test.ts
@@ -55,7 +55,7 @@
 const requestTransfer = (state: ShardState, to = OTHER_SHARD): void =>
   state.machineState(MACHINE).departure.step({
     kind: "transfer_requested",
-    transfer: { to, drain: false, whenEmpty: true, until: monotonicMs(9000) },
+    transfer: { to, drain: false, whenEmpty: true, expiresAt: monotonicMs(9000) },
   });
 
 const RETIRE: MachineRecordChange = {
@@ -130,5 +130,5 @@
   const state = ownerState(RECORD);
   state.machineState(MACHINE).tokenRaise.request();
   assert.equal(changeFor(state, RECORD), undefined);
-  assert.equal(state.machineState(MACHINE).tokenRaise.pending, false);
+  assert.equal(state.machineState(MACHINE).tokenRaise.isPending, false);
 });
