--- a/src/coordination/membership/shard-reconciler.ts
+++ b/src/coordination/membership/shard-reconciler.ts
@@ -1,7 +1,8 @@
 /**
- * Reconciles the records of membership with who is alive: this controller's registration, the
- * leadership, the teams' shards and the shards' owners, in this order, and one concern a pass.
- * Owns only since when this controller has taken part in the distribution of shards.
+ * Reconciles the membership records with the live controllers: this controller's registration, the
+ * leadership, the shards of teams and the owners of shards, in this order. A pass that registers,
+ * claims leadership or assigns teams ends there. Owns the time when this controller joined the
+ * distribution of shards.
  */
 import type { LeaseId, MonotonicMs, ShardId, TeamName } from "@umberfold/ids";
 import type { Transaction } from "../../protocol/store.js";
@@ -16,14 +17,17 @@
 import type { MembershipWriter } from "./membership-writer.js";
 import type { WriteShare } from "./write-share.js";
 
-/** A newcomer leaves unowned shards to other newcomers for this long. */
-const JOIN_GRACE_MS = 600;
+/**
+ * For this long after joining, a controller claims no unowned shards, except those of its earlier
+ * incarnation, so that controllers that start at the same time can claim theirs.
+ */
+const JOIN_GRACE_PERIOD_MS = 600;
 
-const logEventOf = (action: ShardAction): string =>
+const logEventName = (action: ShardAction): string =>
   action.kind === "claim" ? "shard claimed" : "shard handed over";
 
-/** The other parts of membership that a pass uses. */
-export interface ReconcilerParts {
+/** The parts of membership that a reconciliation pass uses. */
+export interface ReconcilerDependencies {
   readonly lease: LeaseKeeper;
   readonly registry: MemberRegistry;
   readonly election: LeaderElection;
@@ -31,41 +35,44 @@
   readonly writeShare: WriteShare;
 }
 
-/** Makes the records of membership say what they should, a few writes a pass. */
+/** Brings the membership records in line with the live controllers, with a few writes per pass. */
 export class ShardReconciler {
-  /** When shards were first planned after the last registration; undefined before. */
+  /** When this controller first planned shards after its latest registration; undefined before. */
   #joinedAt: MonotonicMs | undefined;
-  /** Mutual exclusion: a pass decides on records that another one may be writing. */
+  /** Prevents concurrent passes, which would decide on records that another pass is writing. */
   #isReconciling = false;
 
-  /** The parts are shared with the facade, which answers from them. */
+  /** `dependencies` are shared with the facade, which answers queries from them. */
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly parts: ReconcilerParts,
+    private readonly dependencies: ReconcilerDependencies,
   ) {}
 
-  /** One pass. Does nothing during another, without a lease, or before the first scan. */
+  /**
+   * Runs one pass. Does nothing while another pass is in progress, without a lease, or before the
+   * replica holds the first scan.
+   */
   async reconcile(): Promise<void> {
-    const lease = this.parts.lease.leaseId;
-    if (this.#isReconciling || lease === undefined || !this.ctx.synced) return;
+    const lease = this.dependencies.lease.leaseId;
+    if (this.#isReconciling || lease === undefined || !this.ctx.isReplicaSynced) return;
     this.#isReconciling = true;
     try {
-      await this.#reconcile(lease);
+      await this.#runPass(lease);
     } finally {
       this.#isReconciling = false;
     }
   }
 
-  async #reconcile(lease: LeaseId): Promise<void> {
-    const { registry, election, writer } = this.parts;
+  async #runPass(lease: LeaseId): Promise<void> {
+    const { registry, election, writer } = this.dependencies;
     if (!registry.isRegistered()) {
       this.#joinedAt = undefined;
-      await writer.commit(registry.registration(lease));
+      await writer.commit(registry.registrationTransaction(lease));
       return;
     }
-    const claim = election.claim(lease);
+    const claim = election.claimTransaction(lease);
     if (claim !== undefined) {
-      if (await writer.commit(claim)) election.becomeLeader();
+      if (await writer.commit(claim)) election.onLeadershipAcquired();
       return;
     }
     if (await this.#assignNewTeams()) return;
@@ -74,33 +81,36 @@
     const joinedAt = this.#joinedAt ?? now;
     this.#joinedAt = joinedAt;
     for (const action of plan) {
-      if (now - joinedAt < JOIN_GRACE_MS && this.#isLeftToNewcomers(action)) continue;
+      if (now - joinedAt < JOIN_GRACE_PERIOD_MS && this.#isDeferredWhileJoining(action)) continue;
       const owner = action.kind === "claim" ? this.ctx.self : action.to;
       if (await writer.commit(this.#ownershipTransfer(action.shard, owner)))
-        this.ctx.log.info(logEventOf(action), { shard: action.shard, to: owner.label });
+        this.ctx.log.info(logEventName(action), { shard: action.shard, to: owner.label });
     }
   }
 
   #planShardActions(now: MonotonicMs): readonly ShardAction[] {
-    const { ctx, parts } = this;
-    const members = parts.registry.members();
-    const stableMembers = parts.registry.stableMembers(members, now);
-    parts.writeShare.update(Math.max(1, members.size), now);
+    const { ctx, dependencies } = this;
+    const members = dependencies.registry.liveMembers();
+    const stableMembers = dependencies.registry.stableMembers(members, now);
+    dependencies.writeShare.update(Math.max(1, members.size), now);
     return planShardActions({
       self: ctx.self,
       shardCount: ctx.settings.shardCount,
-      shards: new Map([...ctx.replica.shardOwners].map(([shard, owner]) => [shard, owner.value])),
+      shardOwners: new Map(
+        [...ctx.replica.shardOwners].map(([shard, owner]) => [shard, owner.value]),
+      ),
       members,
       stableMembers,
     });
   }
 
   /**
-   * When several controllers start together, the first must not claim what the others are about
-   * to: nothing runs for a while in a shard that has to be handed over again. What an earlier start
-   * of this controller owned is nobody else's to claim.
+   * Whether the action must wait for the end of the join grace period. When several controllers
+   * start together, the first must not claim the shards of the others, because a shard that is
+   * handed over again runs nothing for a while. Shards of an earlier incarnation of this controller
+   * need not wait, because only this controller can claim them.
    */
-  #isLeftToNewcomers(action: ShardAction): boolean {
+  #isDeferredWhileJoining(action: ShardAction): boolean {
     const { replica, self } = this.ctx;
     const owner = replica.shardOwners.get(action.shard)?.value;
     return action.kind === "claim" && owner?.label !== self.label;
@@ -114,14 +124,15 @@
     };
   }
 
-  /** True if teams of the settings had no shard and were given theirs. */
+  /** Assigns a shard to each team of the settings that has none. True if any were assigned. */
   async #assignNewTeams(): Promise<boolean> {
     const { replica, settings } = this.ctx;
-    const known: ReadonlyMap<TeamName, ShardId> = replica.teams?.value ?? new Map();
-    const names = settings.teams.map((team) => team.name);
-    if (replica.teams !== undefined && names.every((name) => known.has(name))) return false;
-    const assigned = assignTeams(known, names, settings.shardCount);
-    return this.parts.writer.commit({
+    const assignedShards: ReadonlyMap<TeamName, ShardId> = replica.teams?.value ?? new Map();
+    const teamNames = settings.teams.map((team) => team.name);
+    if (replica.teams !== undefined && teamNames.every((name) => assignedShards.has(name)))
+      return false;
+    const assigned = assignTeams(assignedShards, teamNames, settings.shardCount);
+    return this.dependencies.writer.commit({
       conditions: [{ key: keys.teams, rev: replica.revisionOf(keys.teams) }],
       ops: [{ kind: "put", key: keys.teams, value: encodeTeams(assigned) }],
     });
--- a/src/coordination/workers/desired-attempts.ts
+++ b/src/coordination/workers/desired-attempts.ts
@@ -11,7 +11,7 @@
   const machine = replica.machines.get(id);
   if (machine === undefined) return desired;
   const acceptsStarts =
-    machine.phase === "up" && !replica.isGone(id) && !state.heartbeatOverdue(id, monotonicNow());
+    machine.phase === "up" && !replica.isGone(id) && !state.isHeartbeatOverdue(id, monotonicNow());
   const shardJobs = replica.shardJobs(machine.shard);
   for (const [task, { job: jobId, attempt, key }] of shardJobs.openAttemptsOn(id)) {
     const job = shardJobs.jobs.get(jobId);
@@ -19,8 +19,8 @@
     // A checkpoint of a cancelled job is never used: its attempts stop without saving.
     const stopGraceS =
       job === undefined || job.cancelledAt !== null ? 0 : (stopRequest?.graceS ?? null);
-    const startForbidden = !acceptsStarts || state.terminating.has(key);
-    desired.set(task, { task, attempt, stopGraceS, startForbidden });
+    const isStartForbidden = !acceptsStarts || state.terminatingAttempts.has(key);
+    desired.set(task, { task, attempt, stopGraceS, isStartForbidden });
   }
   return desired;
 };
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -15,7 +15,7 @@
 import { monotonicNow } from "../../transport/clock.js";
 import { socketParts } from "../../transport/sockets.js";
 import type { MachineSoftState } from "../ownership/machine-soft-state.js";
-import { reconcileCommands, startKeys } from "../ownership/reconciliation.js";
+import { reconcileCommands, startedAttemptKeys } from "../ownership/reconciliation.js";
 import type { ShardState } from "../ownership/shard-state.js";
 import type { WorkerSession } from "../ownership/worker-session.js";
 import { desiredAttemptsOn } from "./desired-attempts.js";
@@ -94,7 +94,7 @@
    * next is queued after it has ended.
    */
   requestCall(id: MachineId, urgent: boolean): void {
-    if (!this.state.machineState(id).call.request(monotonicNow())) return;
+    if (!this.state.machineState(id).call.requestCall(monotonicNow())) return;
     if (urgent) this.#queue.unshift(id);
     else this.#queue.push(id);
     this.#sendQueued();
@@ -151,7 +151,7 @@
     const commands = reconcileCommands(session, desiredAttemptsOn(this.state, id));
     if (session.state === "ready" && commands.length === 0) return { kind: "ask_status" };
     const body = commandsBody(session.token, session.status.epoch, commands);
-    return { kind: "command", body, starts: startKeys(commands), session };
+    return { kind: "command", body, starts: startedAttemptKeys(commands), session };
   }
 
   #onStatusResult(
@@ -164,7 +164,7 @@
     this.#onAnswer(id, machineState, answerBody(result));
     // The worker refused the assumed epoch. Its epoch is known now: the next call shows our token.
     if (call.kind === "show_token" && this.state.sessions.get(id)?.state === "fencing")
-      machineState.call.repeat();
+      machineState.call.requestRepeat();
   }
 
   #onCommandResult(
@@ -185,7 +185,7 @@
     const sessionAfter = state.sessions.get(id);
     if (session.state !== "fencing" || sessionAfter?.state !== "ready") return;
     if (reconcileCommands(sessionAfter, desiredAttemptsOn(state, id)).length > 0)
-      machineState.call.repeat();
+      machineState.call.requestRepeat();
   }
 
   #onFailedCall(id: MachineId, { health, call }: MachineSoftState): void {
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -93,14 +93,16 @@
 ): boolean => {
   const { health, call } = machine.softState;
   const due =
-    machine.silentMs > overdueTimeoutMs || awaitsToken(machine) || health.unreachableCalls > 0;
+    machine.silentMs > overdueTimeoutMs ||
+    awaitsToken(machine) ||
+    health.failedCallsSinceAnswer > 0;
   return due && now - call.lastCallAt >= PROBE_PERIOD_MS;
 };
 
 /** It has sent a status or has an endpoint, is up and isn't being decommissioned by force. */
 const shouldSendHeartbeats = ({ session, record, softState }: MonitoredMachine): boolean => {
   if (record.endpoint === "" && session.status === undefined) return false;
-  return record.phase === "up" && softState.departure.decommission?.force !== true;
+  return record.phase === "up" && softState.departure.decommission?.isForced !== true;
 };
 
 /** Calls fail and a heartbeat is missing, or several calls failed whatever heartbeats came. */
@@ -108,8 +110,8 @@
   { softState, silentMs }: MonitoredMachine,
   heartbeatPeriodMs: number,
 ): boolean =>
-  (softState.health.failedCalls > 0 && silentMs > heartbeatPeriodMs) ||
-  softState.health.unreachableCalls >= MIN_UNANSWERED_CALLS_FOR_SILENT;
+  (softState.health.failedCallsSinceStatus > 0 && silentMs > heartbeatPeriodMs) ||
+  softState.health.failedCallsSinceAnswer >= MIN_UNANSWERED_CALLS_FOR_SILENT;
 
 /** Detects failed machines of one controller. */
 export class FailureDetector {
@@ -166,13 +168,13 @@
   }
 
   #computeTimes(now: MonotonicMs): DetectionTimes {
-    const { operators, settings, loopLag } = this.state.ctx;
+    const { operators, settings, eventLoopLag } = this.state.ctx;
     const heartbeatPeriodMs = settings.workers.reportS * 1000;
     const silenceTimeoutMs = operators.silenceS * 1000;
     const isInWave = this.#wave.isActive(now);
     return {
       now,
-      readUpTo: loopLag.readUpTo(now),
+      readUpTo: eventLoopLag.readUpTo(now),
       heartbeatPeriodMs,
       overdueTimeoutMs:
         heartbeatPeriodMs * (isInWave ? WAVE_OVERDUE_PERIOD_FACTOR : OVERDUE_PERIOD_FACTOR) +
--- a/src/coordination/workers/heartbeat-handler.ts
+++ b/src/coordination/workers/heartbeat-handler.ts
@@ -13,7 +13,7 @@
 } from "../../protocol/workers.js";
 import { monotonicNow } from "../../transport/clock.js";
 import type { HttpResponse } from "../../transport/server.js";
-import { reconcileCommands, startKeys } from "../ownership/reconciliation.js";
+import { reconcileCommands, startedAttemptKeys } from "../ownership/reconciliation.js";
 import type { ShardState } from "../ownership/shard-state.js";
 import { desiredAttemptsOn } from "./desired-attempts.js";
 import type { StatusRecorder } from "./status-recorder.js";
@@ -69,7 +69,7 @@
     const { state } = this;
     const { ctx, membership } = state;
     const { replica, self } = ctx;
-    if (!ctx.synced) return refused(RETRY_AFTER_1_S);
+    if (!ctx.isReplicaSynced) return refused(RETRY_AFTER_1_S);
     // The lease is lost while the state store serves other controllers: one of them owns the
     // machine, or will soon.
     if (!membership.holdsValidLease()) return refused(redirectTo(undefined));
@@ -104,7 +104,10 @@
       session.status === status
         ? reconcileCommands(session, desiredAttemptsOn(state, machine))
         : [];
-    state.stepSession(machine, { kind: "heartbeat_answered", starts: startKeys(commands) });
+    state.stepSession(machine, {
+      kind: "heartbeat_answered",
+      starts: startedAttemptKeys(commands),
+    });
     return { status: 200, body: heartbeatResponseBody(token, commands) };
   }
 }
--- a/src/coordination/workers/machine-failure.ts
+++ b/src/coordination/workers/machine-failure.ts
@@ -41,12 +41,12 @@
 ): MachineFailure | undefined => {
   if (
     silentMs >= limits.effectiveSilenceTimeoutMs &&
-    health.failedCalls >= MIN_UNANSWERED_CALLS_FOR_SILENT
+    health.failedCallsSinceStatus >= MIN_UNANSWERED_CALLS_FOR_SILENT
   )
     return "silent";
-  const unreachableMs = now - health.unreachableSince;
+  const unreachableMs = now - health.firstUnansweredCallAt;
   if (
-    health.unreachableCalls >= MIN_UNANSWERED_CALLS_FOR_UNREACHABLE &&
+    health.failedCallsSinceAnswer >= MIN_UNANSWERED_CALLS_FOR_UNREACHABLE &&
     unreachableMs >= limits.silenceTimeoutMs
   )
     return "unreachable";
