--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -19,7 +19,7 @@
   detectMachineFailure,
   type FailureLimits,
   type MachineFailure,
-  MIN_UNANSWERED_CALLS_FOR_SILENT,
+  MIN_FAILED_CALLS_FOR_SILENT,
 } from "./machine-failure.js";
 import type { StatusRecorder } from "./status-recorder.js";
 
@@ -111,7 +111,7 @@
   heartbeatPeriodMs: number,
 ): boolean =>
   (softState.health.failedCallsSinceStatus > 0 && silentMs > heartbeatPeriodMs) ||
-  softState.health.failedCallsSinceAnswer >= MIN_UNANSWERED_CALLS_FOR_SILENT;
+  softState.health.failedCallsSinceAnswer >= MIN_FAILED_CALLS_FOR_SILENT;
 
 /** Detects failed machines of one controller. */
 export class FailureDetector {
--- a/src/coordination/workers/machine-failure.ts
+++ b/src/coordination/workers/machine-failure.ts
@@ -9,10 +9,10 @@
 import type { MonotonicMs } from "@umberfold/ids";
 import type { MachineHealth } from "../ownership/machine-health.js";
 
-/** Consecutive unanswered calls required to declare a machine silent. */
-export const MIN_UNANSWERED_CALLS_FOR_SILENT = 2;
-/** Consecutive unanswered calls required to declare a machine unreachable. */
-const MIN_UNANSWERED_CALLS_FOR_UNREACHABLE = 4;
+/** Consecutive failed calls required to declare a machine silent. */
+export const MIN_FAILED_CALLS_FOR_SILENT = 2;
+/** Consecutive failed calls required to declare a machine unreachable. */
+const MIN_FAILED_CALLS_FOR_UNREACHABLE = 4;
 
 /** Why a machine is declared failed; logged, and written as the reason of its decommission. */
 export type MachineFailure = "silent" | "unreachable" | "heartbeats missing";
@@ -41,12 +41,12 @@
 ): MachineFailure | undefined => {
   if (
     silentMs >= limits.effectiveSilenceTimeoutMs &&
-    health.failedCallsSinceStatus >= MIN_UNANSWERED_CALLS_FOR_SILENT
+    health.failedCallsSinceStatus >= MIN_FAILED_CALLS_FOR_SILENT
   )
     return "silent";
   const unreachableMs = now - health.firstUnansweredCallAt;
   if (
-    health.failedCallsSinceAnswer >= MIN_UNANSWERED_CALLS_FOR_UNREACHABLE &&
+    health.failedCallsSinceAnswer >= MIN_FAILED_CALLS_FOR_UNREACHABLE &&
     unreachableMs >= limits.silenceTimeoutMs
   )
     return "unreachable";
