--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -78,7 +78,7 @@
 /** What the protocol prescribes for workers. */
 export interface WorkerSettings {
   /** Seconds between two heartbeats. */
-  readonly reportS: number;
+  readonly heartbeatPeriodS: number;
   /** Seconds after its last answered heartbeat at which a worker ends all tasks. */
   readonly leaseS: number;
   /** Seconds within which a cancelled job's tasks must be gone. */
@@ -170,7 +170,7 @@
 });
 
 const readWorkers = (section: FieldReader): WorkerSettings => ({
-  reportS: section.number("report_s", 0.01, UNLIMITED),
+  heartbeatPeriodS: section.number("report_s", 0.01, UNLIMITED),
   leaseS: section.number("lease_s", 0.1, UNLIMITED),
   cancelS: section.number("cancel_s", 0.1, UNLIMITED),
 });
--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -95,6 +95,6 @@
   }
 
   #overloaded(): ReadonlySet<ShardId> {
-    return overloadedShards(this.ctx.replica, this.ctx.settings.workers.reportS);
+    return overloadedShards(this.ctx.replica, this.ctx.settings.workers.heartbeatPeriodS);
   }
 }
--- a/test/coordination/workers/channel-setup.ts
+++ b/test/coordination/workers/channel-setup.ts
@@ -96,7 +96,11 @@
     replica,
     isReplicaSynced: options.synced !== false,
     self: { label: controllerLabel("self"), incarnation: incarnation("self-1") },
-    settings: { seeds: [], resources: { maxSockets: 512 }, workers: { leaseS: 20, reportS: 5 } },
+    settings: {
+      seeds: [],
+      resources: { maxSockets: 512 },
+      workers: { leaseS: 20, heartbeatPeriodS: 5 },
+    },
     operators: { silenceS: 6.5 },
     store: { get: () => Promise.resolve({ kind: "unavailable" }) },
     eventLoopLag: new EventLoopLag(),
