--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -82,7 +82,7 @@
   /** Seconds after its last answered heartbeat at which a worker ends all tasks. */
   readonly leaseS: number;
   /** Seconds within which a cancelled job's tasks must be gone. */
-  readonly cancelS: number;
+  readonly cancellationTimeoutS: number;
 }
 
 /** What the state store allows. */
@@ -172,7 +172,7 @@
 const readWorkers = (section: FieldReader): WorkerSettings => ({
   heartbeatPeriodS: section.number("report_s", 0.01, UNLIMITED),
   leaseS: section.number("lease_s", 0.1, UNLIMITED),
-  cancelS: section.number("cancel_s", 0.1, UNLIMITED),
+  cancellationTimeoutS: section.number("cancel_s", 0.1, UNLIMITED),
 });
 
 const readState = (section: FieldReader): StateSettings => ({
--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -87,7 +87,7 @@
   async reconcile(): Promise<void> {
     const { ctx } = this;
     if (!ctx.isReplicaSynced) return;
-    const cancelMs = ctx.settings.workers.cancelS * 1000;
+    const cancelMs = ctx.settings.workers.cancellationTimeoutS * 1000;
     const machinesToReturn = new Set<MachineId>();
     const foreign: ForeignCancellation[] = [];
     for (const [job, { value: accepted, rev }] of ctx.replica.accepted) {
--- a/src/coordination/cancellation/own-machine-enforcement.ts
+++ b/src/coordination/cancellation/own-machine-enforcement.ts
@@ -71,7 +71,7 @@
     return decideCancellationAction({
       isProvedGone: observation.kind === "absent" || hasEnded,
       ageMs,
-      cancelMs: this.ctx.settings.workers.cancelS * 1000,
+      cancelMs: this.ctx.settings.workers.cancellationTimeoutS * 1000,
       isStoreFailing: this.ctx.store.isFailing(),
       firstStatusWaitMs: awaitsFirstStatus ? now - session.lastHeardAt : null,
     });
--- a/src/coordination/cancellation/unreachable-owner-enforcement.ts
+++ b/src/coordination/cancellation/unreachable-owner-enforcement.ts
@@ -148,7 +148,7 @@
     queue: (readonly [MachineId, CancelledTasksOnMachine])[],
     machinesToReturn: MachineId[],
   ): Promise<void> {
-    const cancelMs = this.ctx.settings.workers.cancelS * 1000;
+    const cancelMs = this.ctx.settings.workers.cancellationTimeoutS * 1000;
     for (let next = queue.pop(); next !== undefined; next = queue.pop()) {
       const [machine, { tasks, oldestAgeMs }] = next;
       if (this.ctx.replica.isGone(machine) || this.forcedReturns.hasReturned(machine)) continue;
