--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -20,7 +20,7 @@
   /** A controller must have been a member for this long before it is given a shard back. */
   readonly handBackS: number;
   /** A machine silent for this long, which also fails two calls, is returned. */
-  readonly silenceS: number;
+  readonly silenceTimeoutS: number;
   /** How often the swarm moves tasks. */
   readonly swarmPeriodS: number;
   /** Most moves a shard and period; 0 turns moves off. */
@@ -87,7 +87,7 @@
   setting("membership", "hand_back_s", "handBackS", { min: 0, max: 86_400, fallback: 6 }),
   setting("state", "watch_pause_ms", "watchPauseMs", { min: 0, max: 10_000, fallback: 100 }),
   setting("rounds", "period_ms", "roundMs", { min: 10, max: 10_000, fallback: 250 }),
-  setting("machines", "silence_s", "silenceS", { min: 1, max: 86_400, fallback: 6.5 }),
+  setting("machines", "silence_s", "silenceTimeoutS", { min: 1, max: 86_400, fallback: 6.5 }),
   setting("swarm", "period_s", "swarmPeriodS", { min: 0.1, max: 86_400, fallback: 5 }),
   setting("swarm", "moves_per_round", "swarmMoves", { min: 0, max: 10_000, fallback: 2 }),
   setting("swarm", "part_per_round", "swarmPart", { min: 0, max: 1, fallback: 0.05 }),
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -170,7 +170,7 @@
   #computeTimes(now: MonotonicMs): DetectionTimes {
     const { operators, settings, eventLoopLag } = this.state.ctx;
     const heartbeatPeriodMs = settings.workers.heartbeatPeriodS * 1000;
-    const silenceTimeoutMs = operators.silenceS * 1000;
+    const silenceTimeoutMs = operators.silenceTimeoutS * 1000;
     const isInWave = this.#wave.isActive(now);
     return {
       now,
--- a/test/coordination/workers/channel-setup.ts
+++ b/test/coordination/workers/channel-setup.ts
@@ -101,7 +101,7 @@
       resources: { maxSockets: 512 },
       workers: { leaseS: 20, heartbeatPeriodS: 5 },
     },
-    operators: { silenceS: 6.5 },
+    operators: { silenceTimeoutS: 6.5 },
     store: { get: () => Promise.resolve({ kind: "unavailable" }) },
     eventLoopLag: new EventLoopLag(),
     log: { info: log, error: log, debug: log },
