--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -16,17 +16,17 @@
   /** Pause between two watches of the state store. */
   readonly watchPauseMs: number;
   /** Longest pause between rounds when nothing happens, and the longest rest after one. */
-  readonly roundMs: number;
+  readonly maxRoundPauseMs: number;
   /** A controller must have been a member for this long before it is given a shard back. */
-  readonly handBackS: number;
+  readonly shardReturnDelayS: number;
   /** A machine silent for this long, which also fails two calls, is returned. */
   readonly silenceTimeoutS: number;
   /** How often the swarm moves tasks. */
   readonly swarmPeriodS: number;
   /** Most moves a shard and period; 0 turns moves off. */
-  readonly swarmMoves: number;
+  readonly maxSwarmMoves: number;
   /** The same as a part of the shard's machines, where that is more. */
-  readonly swarmPart: number;
+  readonly maxSwarmMovesFraction: number;
   /** Only tasks that would lose at most this much work move. */
   readonly swarmMaxLossS: number;
   /** How often the fleet is planned and the cloud called. */
@@ -84,13 +84,13 @@
 /** All settings, in the order in which faults are reported within a block. */
 export const OPERATOR_SETTINGS: readonly OperatorSetting[] = [
   setting("membership", "lease_ms", "memberLeaseMs", { min: 500, max: 600_000, fallback: 4000 }),
-  setting("membership", "hand_back_s", "handBackS", { min: 0, max: 86_400, fallback: 6 }),
+  setting("membership", "hand_back_s", "shardReturnDelayS", { min: 0, max: 86_400, fallback: 6 }),
   setting("state", "watch_pause_ms", "watchPauseMs", { min: 0, max: 10_000, fallback: 100 }),
-  setting("rounds", "period_ms", "roundMs", { min: 10, max: 10_000, fallback: 250 }),
+  setting("rounds", "period_ms", "maxRoundPauseMs", { min: 10, max: 10_000, fallback: 250 }),
   setting("machines", "silence_s", "silenceTimeoutS", { min: 1, max: 86_400, fallback: 6.5 }),
   setting("swarm", "period_s", "swarmPeriodS", { min: 0.1, max: 86_400, fallback: 5 }),
-  setting("swarm", "moves_per_round", "swarmMoves", { min: 0, max: 10_000, fallback: 2 }),
-  setting("swarm", "part_per_round", "swarmPart", { min: 0, max: 1, fallback: 0.05 }),
+  setting("swarm", "moves_per_round", "maxSwarmMoves", { min: 0, max: 10_000, fallback: 2 }),
+  setting("swarm", "part_per_round", "maxSwarmMovesFraction", { min: 0, max: 1, fallback: 0.05 }),
   setting("swarm", "max_loss_s", "swarmMaxLossS", { min: 0, max: 86_400, fallback: 4 }),
   setting("fleet", "period_ms", "fleetPeriodMs", { min: 50, max: 60_000, fallback: 1000 }),
   setting("fleet", "idle_return_s", "idleReturnS", { min: 0, max: 86_400, fallback: 25 }),
--- a/src/coordination/membership/member-registry.ts
+++ b/src/coordination/membership/member-registry.ts
@@ -59,7 +59,7 @@
     for (const { label, incarnation } of members.values()) {
       const since = this.#presentSince.get(incarnation) ?? now;
       this.#presentSince.set(incarnation, since);
-      if (now - since >= this.ctx.operators.handBackS * 1000) stable.add(label);
+      if (now - since >= this.ctx.operators.shardReturnDelayS * 1000) stable.add(label);
     }
     return stable;
   }
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -121,7 +121,10 @@
     if (!hasDemand) machines.push(toSwarmMachine(state, shard, candidate, candidates, now));
   }
   const moves = planSwarmMoves(machines, random, {
-    cap: Math.max(operators.swarmMoves, Math.floor(machines.length * operators.swarmPart)),
+    cap: Math.max(
+      operators.maxSwarmMoves,
+      Math.floor(machines.length * operators.maxSwarmMovesFraction),
+    ),
     maxLossS: operators.swarmMaxLossS,
   });
   applyMoves(state, shard, moves);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -101,7 +101,7 @@
   const { cloud, peers, workers } = connections;
   const ctx = makeContext({ settings, operators, log, connections, incarnation, random });
 
-  const rounds = new RoundLoop(operators.roundMs);
+  const rounds = new RoundLoop(operators.maxRoundPauseMs);
   const wake = (): void => rounds.wake();
   const membership: Membership = new Membership(ctx, () => owner.channel.canReachMachines());
   const owner: ShardOwner = new ShardOwner(ctx, membership, workers, wake);
--- a/test/coordination/membership/member-registry.test.ts
+++ b/test/coordination/membership/member-registry.test.ts
@@ -9,7 +9,7 @@
   type Members,
 } from "../../../src/coordination/membership/member-registry.js";
 
-const HAND_BACK_MS = defaultOperators().handBackS * 1000;
+const HAND_BACK_MS = defaultOperators().shardReturnDelayS * 1000;
 
 /** Members by incarnation; the first letter of each is the label. */
 const membersOf = (...incarnations: readonly string[]): Members =>
