--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -34,31 +34,31 @@
   /** An unneeded machine idle for this long is returned. */
   readonly idleReturnS: number;
   /** Room beyond what urgent classes use, as a part of it, on spot machines only. */
-  readonly headroom: number;
+  readonly urgentHeadroomFraction: number;
   /** Room beyond what perfectly divisible work would take; 1 is the bare bound. */
-  readonly margin: number;
+  readonly demandMarginFactor: number;
   /** The part of the time left in which patient classes should be through, if room is cheap. */
-  readonly patience: number;
+  readonly maxWaitFraction: number;
   /** The same where only costly machines are to be had. */
-  readonly lastPatience: number;
+  readonly maxWaitFractionIfCostly: number;
   /** How fast the forecast follows demand upwards. */
-  readonly riseS: number;
+  readonly forecastRiseS: number;
   /** How fast it follows demand downwards. */
-  readonly fallS: number;
+  readonly forecastFallS: number;
   /** Work of higher priority preempts if it must start within this time. */
   readonly preemptSlackS: number;
   /** Most work that making room for one task may throw away. */
   readonly preemptMaxLossS: number;
   /** Work with less slack than this is spared in favour of work with more. */
-  readonly spareSlackS: number;
+  readonly protectedSlackS: number;
   /** A job that has waited this long without one start goes before all others. */
-  readonly overdueS: number;
+  readonly overdueAfterS: number;
   /** What a rented machine's boot is taken to be spread over when offers are compared. */
-  readonly lifeS: number;
+  readonly expectedMachineLifeS: number;
   /** An offer refused for lack of capacity is not asked for again for this long. */
-  readonly refusedPauseS: number;
+  readonly refusedOfferPauseS: number;
   /** A machine not up after this many times its type's boot time is returned. */
-  readonly bootPatience: number;
+  readonly bootTimeoutFactor: number;
   /** How often `stats` is logged. */
   readonly statsPeriodS: number;
 }
@@ -94,19 +94,19 @@
   setting("swarm", "max_loss_s", "swarmMaxLossS", { min: 0, max: 86_400, fallback: 4 }),
   setting("fleet", "period_ms", "fleetPeriodMs", { min: 50, max: 60_000, fallback: 1000 }),
   setting("fleet", "idle_return_s", "idleReturnS", { min: 0, max: 86_400, fallback: 25 }),
-  setting("fleet", "headroom", "headroom", { min: 0, max: 10, fallback: 0.3 }),
-  setting("fleet", "margin", "margin", { min: 0.1, max: 100, fallback: 1.15 }),
-  setting("fleet", "patience", "patience", { min: 0, max: 1, fallback: 0.2 }),
-  setting("fleet", "last_patience", "lastPatience", { min: 0, max: 1, fallback: 0.35 }),
-  setting("fleet", "rise_s", "riseS", { min: 0, max: 86_400, fallback: 15 }),
-  setting("fleet", "fall_s", "fallS", { min: 0, max: 86_400, fallback: 60 }),
-  setting("order", "overdue_s", "overdueS", { min: 1, max: 86_400, fallback: 120 }),
+  setting("fleet", "headroom", "urgentHeadroomFraction", { min: 0, max: 10, fallback: 0.3 }),
+  setting("fleet", "margin", "demandMarginFactor", { min: 0.1, max: 100, fallback: 1.15 }),
+  setting("fleet", "patience", "maxWaitFraction", { min: 0, max: 1, fallback: 0.2 }),
+  setting("fleet", "last_patience", "maxWaitFractionIfCostly", { min: 0, max: 1, fallback: 0.35 }),
+  setting("fleet", "rise_s", "forecastRiseS", { min: 0, max: 86_400, fallback: 15 }),
+  setting("fleet", "fall_s", "forecastFallS", { min: 0, max: 86_400, fallback: 60 }),
+  setting("order", "overdue_s", "overdueAfterS", { min: 1, max: 86_400, fallback: 120 }),
   setting("preemption", "slack_s", "preemptSlackS", { min: 0, max: 86_400, fallback: 8 }),
-  setting("preemption", "spare_slack_s", "spareSlackS", { min: 0, max: 86_400, fallback: 120 }),
+  setting("preemption", "spare_slack_s", "protectedSlackS", { min: 0, max: 86_400, fallback: 120 }),
   setting("preemption", "max_loss_s", "preemptMaxLossS", { min: 0, max: 86_400, fallback: 600 }),
-  setting("fleet", "life_s", "lifeS", { min: 1, max: 86_400, fallback: 300 }),
-  setting("fleet", "refused_pause_s", "refusedPauseS", { min: 0, max: 86_400, fallback: 20 }),
-  setting("fleet", "boot_patience", "bootPatience", { min: 1, max: 100, fallback: 3 }),
+  setting("fleet", "life_s", "expectedMachineLifeS", { min: 1, max: 86_400, fallback: 300 }),
+  setting("fleet", "refused_pause_s", "refusedOfferPauseS", { min: 0, max: 86_400, fallback: 20 }),
+  setting("fleet", "boot_patience", "bootTimeoutFactor", { min: 1, max: 100, fallback: 3 }),
   setting("logs", "stats_period_s", "statsPeriodS", { min: 1, max: 86_400, fallback: 30 }),
 ];
 
--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -56,7 +56,7 @@
       refusedOffers: this.rentals.refusedOffers(now),
       idleReturnS: operators.idleReturnS,
       maxRentals: MAX_RENTALS_PER_CALL * Math.max(1, Math.floor(settings.cloud.rps)),
-      machineLifeS: operators.lifeS,
+      machineLifeS: operators.expectedMachineLifeS,
       shardCount: settings.shardCount,
       overloaded: this.#overloaded(),
     });
--- a/src/coordination/fleet/machine-view.ts
+++ b/src/coordination/fleet/machine-view.ts
@@ -107,7 +107,7 @@
   /** Seconds after its rental at which a machine of this type counts as never booted. */
   #maxBootS(type: MachineType): number {
     const { operators, settings } = this.ctx;
-    return type.bootS * operators.bootPatience + settings.workers.heartbeatPeriodS;
+    return type.bootS * operators.bootTimeoutFactor + settings.workers.heartbeatPeriodS;
   }
 
   #openAttempts(id: MachineId, { shard }: MachineRecord) {
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -111,7 +111,7 @@
 
   #recordRefusal(offer: Offer): void {
     this.counters.refused++;
-    const until = monotonicMs(monotonicNow() + this.ctx.operators.refusedPauseS * 1000);
+    const until = monotonicMs(monotonicNow() + this.ctx.operators.refusedOfferPauseS * 1000);
     this.#refusedUntil.set(offerKey(offer.type, offer.zone, offer.spot), until);
   }
 
--- a/src/coordination/rounds/placement-queue.ts
+++ b/src/coordination/rounds/placement-queue.ts
@@ -81,5 +81,5 @@
       withinGuarantee: withinGuarantee.has(id),
     });
   }
-  return orderQueue(waiting, settings.objectives, operators.overdueS);
+  return orderQueue(waiting, settings.objectives, operators.overdueAfterS);
 };
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -179,7 +179,7 @@
     const targets = targetsOf(job.spec, settings.objectives, this.withinGuarantee.has(id));
     const ageS = (wallClockNow() - job.acceptedAt) / 1000;
     const jobSlackS = slackS(targets, ageS, this.state.expectedRunS(job.spec));
-    const penaltyS = Math.max(0, operators.spareSlackS - jobSlackS);
+    const penaltyS = Math.max(0, operators.protectedSlackS - jobSlackS);
     this.#slackPenaltyS.set(id, penaltyS);
     return penaltyS;
   }
--- a/test/config/operators.test.ts
+++ b/test/config/operators.test.ts
@@ -5,7 +5,7 @@
 test("a setting of the operators' file takes the place of its default", async () => {
   const parsed = await parseOperators("fleet {\n headroom = 0.5\n}\n");
   assert.ok(parsed.ok);
-  assert.equal(parsed.value.headroom, 0.5);
+  assert.equal(parsed.value.urgentHeadroomFraction, 0.5);
 });
 
 const refused: readonly (readonly [name: string, source: string, fault: string])[] = [
