--- a/src/observability/log.ts
+++ b/src/observability/log.ts
@@ -8,7 +8,7 @@
 
 /** How much a line matters: `debug` is for a single job or machine, and may be a flood. */
 export type Level = "error" | "info" | "debug";
-const ORDER: Readonly<Record<Level, number>> = { error: 0, info: 1, debug: 2 };
+const LEVEL_ORDER: Readonly<Record<Level, number>> = { error: 0, info: 1, debug: 2 };
 
 /** The fields of an event, by name; durations and sizes have their unit in the name. */
 export type LogFields = Readonly<Record<string, unknown>>;
@@ -34,7 +34,7 @@
     process.stderr.write(line);
   },
 ): Logger => {
-  const enabled = (level: Level): boolean => ORDER[level] <= ORDER[threshold];
+  const enabled = (level: Level): boolean => LEVEL_ORDER[level] <= LEVEL_ORDER[threshold];
   const writerOf =
     (level: Level) =>
     (event: string, fields: LogFields = {}): void => {
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -7,7 +7,7 @@
  */
 
 /** Most samples kept of one name between two logs; more say nothing new about the spread. */
-const MAX_SAMPLES = 4096;
+const MAX_SAMPLES_PER_NAME = 4096;
 const SIGNIFICANT_DIGITS = 2;
 
 /** How the samples of one name are spread, in their own unit. */
@@ -26,7 +26,7 @@
   record(name: string, value: number): void {
     const samples = this.#samples.get(name);
     if (samples === undefined) this.#samples.set(name, [value]);
-    else if (samples.length < MAX_SAMPLES) samples.push(value);
+    else if (samples.length < MAX_SAMPLES_PER_NAME) samples.push(value);
   }
 
   /** Summaries of what was recorded since the last call, rounded to two digits. */
--- a/src/service/availability-monitor.ts
+++ b/src/service/availability-monitor.ts
@@ -12,7 +12,7 @@
 import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
 import type { HttpClient } from "../transport/client.js";
 import { monotonicNow } from "../transport/clock.js";
-import { HEARTBEATS_PATH, SERVED_PATH } from "./routes.js";
+import { PEER_HEARTBEAT_RECEPTION_PATH, PEER_STORE_AVAILABILITY_PATH } from "./routes.js";
 
 /** How long another controller may take to answer how it stands. */
 const PEER_TIMEOUT_MS = 800;
@@ -37,7 +37,9 @@
    */
   async update(): Promise<void> {
     const { ctx, membership, owner } = this;
-    const reports = ctx.store.isFailing() ? await this.#askPeers(SERVED_PATH) : NO_PEER_REPORTS;
+    const reports = ctx.store.isFailing()
+      ? await this.#askPeers(PEER_STORE_AVAILABILITY_PATH)
+      : NO_PEER_REPORTS;
     const wasIsolated = membership.storeAvailability === "isolated";
     const hasReleasedShards = membership.hasReleasedShards;
     const availability = membership.updateAvailability(reports);
@@ -51,7 +53,7 @@
     if (owner.channel.connectivity !== "disconnected" || !hasPeers) return;
     if (availability !== "available" || !membership.holdsValidLease()) return;
     // Where the others receive no heartbeats either, there is nobody to release the shards to.
-    const heartbeats = await this.#askPeers(HEARTBEATS_PATH);
+    const heartbeats = await this.#askPeers(PEER_HEARTBEAT_RECEPTION_PATH);
     if (heartbeats.availableCount > 0 || heartbeats.unavailableCount === 0)
       await membership.releaseShards();
   }
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -45,9 +45,9 @@
 /** A controller that is put together, and does nothing yet. */
 export interface Controller {
   /** Answers users, workers and the load balancer. */
-  readonly front: RequestHandler;
+  readonly frontHandler: RequestHandler;
   /** Answers the other controllers. */
-  readonly peer: RequestHandler;
+  readonly peerHandler: RequestHandler;
   /** To be started in this order. */
   readonly tasks: readonly PeriodicTask[];
   /** Has its parts begin nothing more; the connections are closed by whoever opened them. */
@@ -106,19 +106,19 @@
   const membership: Membership = new Membership(ctx, () => owner.channel.canReachMachines());
   const owner: ShardOwner = new ShardOwner(ctx, membership, workers, wake);
   const leader = new Leader(ctx, membership, owner, cloud, peers, workers);
-  const cancels = new Cancellations(ctx, membership, owner, cloud, peers, workers);
-  const users = new UserApi(ctx, membership, wake, (notice) => cancels.confirm(notice));
+  const cancellations = new Cancellations(ctx, membership, owner, cloud, peers, workers);
+  const users = new UserApi(ctx, membership, wake, (notice) => cancellations.confirm(notice));
   const loadSpread = new LoadSpreadLoader(ctx, membership, owner, packages.loadSpread, leader);
   const sync = new ReplicaSync(ctx, membership, wake);
   const eventLoopWatch = new EventLoopWatch(ctx, owner);
   const availability = new AvailabilityMonitor(ctx, membership, owner, peers);
 
-  const parts = { ctx, membership, owner, leader, cancels, users, wake };
+  const components = { ctx, membership, owner, leader, cancellations, users, wake };
   return {
-    front: frontHandler(parts),
-    peer: peerHandler(parts),
+    frontHandler: frontHandler(components),
+    peerHandler: peerHandler(components),
     tasks: controllerTasks({
-      ...parts,
+      ...components,
       ...{ operators, packages, loadSpread, eventLoopWatch, availability, sync, rounds },
     }),
     stop: () => {
--- a/src/service/event-loop-watch.ts
+++ b/src/service/event-loop-watch.ts
@@ -9,7 +9,7 @@
 import { monotonicNow } from "../transport/clock.js";
 
 /** How often the check runs when nothing delays it. */
-export const PAUSE_CHECK_MS = 250;
+export const PAUSE_CHECK_PERIOD_MS = 250;
 
 /** Feeds the lag into the controller's context, and has the owner look for a process pause. */
 export class EventLoopWatch {
@@ -23,7 +23,7 @@
   /** To be run `PAUSE_CHECK_MS` after it last ended. */
   check(): void {
     const now = monotonicNow();
-    this.ctx.eventLoopLag.observe(now - this.#lastRunAt - PAUSE_CHECK_MS, now);
+    this.ctx.eventLoopLag.observe(now - this.#lastRunAt - PAUSE_CHECK_PERIOD_MS, now);
     this.#lastRunAt = now;
     this.owner.detectPause();
   }
--- a/src/service/job-answers.ts
+++ b/src/service/job-answers.ts
@@ -56,10 +56,10 @@
   ) {}
 
   /** The answer about a job, whatever was read. */
-  async about(id: JobId, found: JobLookup): Promise<HttpResponse> {
+  async answer(id: JobId, found: JobLookup): Promise<HttpResponse> {
     switch (found.kind) {
       case "live":
-        if (found.job.cancelledAt !== null) return this.aboutCancelled(id, found);
+        if (found.job.cancelledAt !== null) return this.answerCancelled(id, found);
         return statusResponse(liveJobStatus(id, this.#withProgress(id, found.job)));
       case "final":
         return statusResponse(finalJobStatus(id, found.job));
@@ -71,14 +71,14 @@
   }
 
   /** Each answer that says `cancelled` binds as the first one does, whatever was asked. */
-  async aboutCancelled(id: JobId, found: LiveJobLookup): Promise<HttpResponse> {
+  async answerCancelled(id: JobId, found: LiveJobLookup): Promise<HttpResponse> {
     const { job, rev } = found;
     const status = liveJobStatus(id, this.#withProgress(id, job));
     if (job.cancelledAt !== null && (await this.confirm({ job: id, rev, at: job.cancelledAt })))
       return statusResponse(status);
     // It may be finished by now, and its live record gone.
     const now = await this.jobs.read(id);
-    return now.kind === "final" ? this.about(id, now) : tryAgain(503);
+    return now.kind === "final" ? this.answer(id, now) : tryAgain(503);
   }
 
   /** Its progress is for display, and as old as what the replica knows. */
--- a/src/service/job-cancellation.ts
+++ b/src/service/job-cancellation.ts
@@ -10,26 +10,26 @@
 import { encodeAcceptedJob, keys } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
 import type { HttpResponse } from "../transport/server.js";
-import type { JobWriteParts } from "./job-write-parts.js";
+import type { JobWriteDependencies } from "./job-write-parts.js";
 import { tryAgain } from "./user-responses.js";
 
 /** How often, and for how long, a write is tried again that met with another's. */
-const MAX_ATTEMPTS = 5;
-const MAX_ATTEMPTS_MS = 2000;
+const MAX_WRITE_TRIES = 5;
+const WRITE_TIMEOUT_MS = 2000;
 
 /** Cancels the jobs that users withdraw. */
 export class JobCancellation {
-  constructor(private readonly parts: JobWriteParts) {}
+  constructor(private readonly dependencies: JobWriteDependencies) {}
 
   /** Idempotent: a job that is finished or cancelled is answered as it is. */
   async cancel(id: JobId): Promise<HttpResponse> {
-    const { ctx, jobs, writes, answers, wake } = this.parts;
-    const deadline = monotonicNow() + MAX_ATTEMPTS_MS;
-    for (let attempt = 0; attempt < MAX_ATTEMPTS && monotonicNow() < deadline; attempt++) {
+    const { ctx, jobs, writes, answers, wake } = this.dependencies;
+    const deadline = monotonicNow() + WRITE_TIMEOUT_MS;
+    for (let tryIndex = 0; tryIndex < MAX_WRITE_TRIES && monotonicNow() < deadline; tryIndex++) {
       // The write is conditional, so the replica's copy will do to begin with.
-      const found = (attempt === 0 && this.#fromReplica(id)) || (await jobs.read(id));
-      if (found.kind !== "live") return answers.about(id, found);
-      if (found.job.cancelledAt !== null) return answers.about(id, found);
+      const found = (tryIndex === 0 && this.#fromReplica(id)) || (await jobs.read(id));
+      if (found.kind !== "live") return answers.answer(id, found);
+      if (found.job.cancelledAt !== null) return answers.answer(id, found);
       if (!ctx.store.mayWriteNow(1)) return tryAgain(429);
       const key = keys.live(id);
       const cancelled = { ...found.job, cancelledAt: wallClockNow() };
@@ -42,7 +42,7 @@
         applyCommitted(ctx.replica, operations, result.rev);
         wake();
         const askedAt = monotonicNow();
-        return answers.aboutCancelled(id, {
+        return answers.answerCancelled(id, {
           kind: "live",
           job: cancelled,
           rev: result.rev,
@@ -57,7 +57,7 @@
 
   /** A live job as the replica has it, which another controller may have changed since. */
   #fromReplica(id: JobId): JobLookup | undefined {
-    const accepted = this.parts.ctx.replica.accepted.get(id);
+    const accepted = this.dependencies.ctx.replica.accepted.get(id);
     if (accepted === undefined) return undefined;
     const { value: job, rev } = accepted;
     return { kind: "live", job, rev, askedAt: monotonicNow() };
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -12,23 +12,23 @@
 import { encodeAcceptedJob, keys, newJob } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
 import { decodeBody, type HttpResponse } from "../transport/server.js";
-import type { JobWriteParts } from "./job-write-parts.js";
+import type { JobWriteDependencies } from "./job-write-parts.js";
 import { malformed, NOT_CBOR, neverRuns, tryAgain } from "./user-responses.js";
 
-const MIN_PENDING = 4;
+const MIN_PENDING_LIMIT = 4;
 
 /** Whether a task of a job could run on some machine and within its team's limit. */
 type Runnability =
   | { readonly kind: "runnable" }
   | { readonly kind: "never_runs"; readonly reason: string };
 
-const never = (reason: string): Runnability => ({ kind: "never_runs", reason });
+const notRunnable = (reason: string): Runnability => ({ kind: "never_runs", reason });
 
 /** Accepts the jobs that users submit. */
 export class JobSubmission {
   #pending = 0;
 
-  constructor(private readonly parts: JobWriteParts) {}
+  constructor(private readonly dependencies: JobWriteDependencies) {}
 
   /**
    * Answers a submission, of which only the bytes are known. Not async itself: one more Promise
@@ -45,25 +45,25 @@
 
   /** A known job is answered before any check of what else a repetition says. */
   async #refuse(id: JobId | undefined, reason: string): Promise<HttpResponse> {
-    const { jobs, answers } = this.parts;
+    const { jobs, answers } = this.dependencies;
     const found = id === undefined ? undefined : await jobs.read(id);
     if (id !== undefined && found !== undefined && found.kind !== "none")
-      return answers.about(id, found);
+      return answers.answer(id, found);
     return malformed(reason);
   }
 
   async #submitParsed(spec: JobSpec): Promise<HttpResponse> {
-    const { ctx, jobs, answers } = this.parts;
+    const { ctx, jobs, answers } = this.dependencies;
     // Known jobs come first: settings or types may have changed since they were accepted.
     if (jobs.finalOf(spec.id) !== undefined || ctx.replica.accepted.has(spec.id)) {
       const found = await jobs.read(spec.id);
-      if (found.kind !== "none") return answers.about(spec.id, found);
+      if (found.kind !== "none") return answers.answer(spec.id, found);
     }
     if (!this.#knowsMachineTypes()) return tryAgain(503);
     const runnability = this.#runnability(spec);
     if (runnability.kind === "never_runs") {
       const found = await jobs.read(spec.id);
-      if (found.kind !== "none") return answers.about(spec.id, found);
+      if (found.kind !== "none") return answers.answer(spec.id, found);
       return neverRuns(runnability.reason);
     }
     if (this.#pending >= this.#maxPending() || !ctx.store.mayWriteNow(1)) return tryAgain(429);
@@ -79,20 +79,20 @@
 
   /** Without them it can't be told whether a job could ever run. */
   #knowsMachineTypes(): boolean {
-    const { replica, isReplicaSynced } = this.parts.ctx;
+    const { replica, isReplicaSynced } = this.dependencies.ctx;
     const types = replica.machineTypes?.value;
     return isReplicaSynced && types !== undefined && types.length > 0;
   }
 
   /** About what the state store lets us write in a second; more would only wait its turn. */
   #maxPending(): number {
-    return Math.max(MIN_PENDING, Math.ceil(this.parts.ctx.settings.state.writeRps));
+    return Math.max(MIN_PENDING_LIMIT, Math.ceil(this.dependencies.ctx.settings.state.writeRps));
   }
 
   #runnability(spec: JobSpec): Runnability {
-    const { replica, teams } = this.parts.ctx;
+    const { replica, teams } = this.dependencies.ctx;
     const team = teams.get(spec.team);
-    if (team === undefined) return never("unknown team");
+    if (team === undefined) return notRunnable("unknown team");
     const types = replica.machineTypes?.value ?? [];
     const fitsSomeType = types.some(
       (type) =>
@@ -100,14 +100,14 @@
         (spec.zone === null || type.zones.includes(spec.zone)) &&
         fits(spec.resources, type.capacity),
     );
-    if (!fitsSomeType) return never("a task fits no allowed machine type");
+    if (!fitsSomeType) return notRunnable("a task fits no allowed machine type");
     if (spec.resources.cpus > team.cpusMax || spec.resources.gpus > team.gpusMax)
-      return never("a task needs more than the team's limit");
+      return notRunnable("a task needs more than the team's limit");
     return { kind: "runnable" };
   }
 
   async #accept(spec: JobSpec): Promise<HttpResponse> {
-    const { ctx, jobs, writes, answers, wake } = this.parts;
+    const { ctx, jobs, writes, answers, wake } = this.dependencies;
     const key = keys.live(spec.id);
     const shard = ctx.loadSpread?.placeJob(spec) ?? null;
     const value = encodeAcceptedJob(newJob(spec, wallClockNow(), shard));
@@ -125,7 +125,7 @@
       return { status: 201, body: acceptedBody(spec.id) };
     }
     // A conflict means it is known already. No answer means it may be: the user asks again.
-    if (result.kind === "conflict") return answers.about(spec.id, await jobs.read(spec.id));
+    if (result.kind === "conflict") return answers.answer(spec.id, await jobs.read(spec.id));
     return tryAgain(503);
   }
 }
--- a/src/service/job-write-parts.ts
+++ b/src/service/job-write-parts.ts
@@ -5,7 +5,7 @@
 import type { JobAnswers } from "./job-answers.js";
 
 /** The shared parts, each of which lives as long as the controller. */
-export interface JobWriteParts {
+export interface JobWriteDependencies {
   readonly ctx: ControllerContext;
   readonly jobs: JobReader;
   readonly writes: GroupCommit;
--- a/src/service/periodic-task.ts
+++ b/src/service/periodic-task.ts
@@ -9,7 +9,7 @@
 export interface PeriodicTask {
   /** As logs call it. */
   readonly name: string;
-  readonly everyMs: number;
+  readonly pauseMs: number;
   /** What it resolves to is of no interest; what it rejects with is logged. */
   readonly run: () => Promise<unknown>;
 }
@@ -17,12 +17,12 @@
 /** A row of a table of tasks. */
 export const periodicTask = (
   name: string,
-  everyMs: number,
+  pauseMs: number,
   run: () => Promise<unknown>,
-): PeriodicTask => ({ name, everyMs, run });
+): PeriodicTask => ({ name, pauseMs, run });
 
 /** Decisions shorter than this need no rest. */
-const MIN_DECISION_MS = 2;
+const MIN_RESTED_RUN_MS = 2;
 
 /** A process that was paused in the middle of a decision would otherwise rest for minutes. */
 const MAX_REST_MS = 2000;
@@ -32,12 +32,12 @@
  * Only its synchronous part is measured: what it then waits for takes no processor time.
  */
 export const withProportionalRest =
-  (times: number, run: () => Promise<unknown>) => async (): Promise<void> => {
+  (restFactor: number, run: () => Promise<unknown>) => async (): Promise<void> => {
     const startedAt = monotonicNow();
     const done = run();
     const tookMs = monotonicNow() - startedAt;
     await done;
-    if (tookMs >= MIN_DECISION_MS) await sleep(Math.min(MAX_REST_MS, times * tookMs));
+    if (tookMs >= MIN_RESTED_RUN_MS) await sleep(Math.min(MAX_REST_MS, restFactor * tookMs));
   };
 
 /**
@@ -50,9 +50,9 @@
   onFailure: (error: unknown) => void,
 ): (() => void) => {
   let timer: NodeJS.Timeout | undefined;
-  let stopped = false;
+  let isStopped = false;
   const scheduleNext = (): void => {
-    if (!stopped) timer = setTimeout(runOnce, task.everyMs);
+    if (!isStopped) timer = setTimeout(runOnce, task.pauseMs);
   };
   const runOnce = (): void => {
     // Never rejects: a failure goes to `onFailure`, which only logs.
@@ -60,7 +60,7 @@
   };
   runOnce();
   return () => {
-    stopped = true;
+    isStopped = true;
     clearTimeout(timer);
   };
 };
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -10,9 +10,9 @@
 import { sleep } from "../transport/clock.js";
 
 /** How long the state store may hold a watch open until there is a change. */
-const WATCH_WAIT_MS = 10_000;
+const WATCH_TIMEOUT_MS = 10_000;
 /** How long to wait after a scan or a watch that came to nothing. */
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /** The watch of this controller; `follow` is run again and again as a periodic task. */
 export class ReplicaSync {
@@ -24,26 +24,26 @@
   ) {}
 
   /** One watch, answered or timed out; before the first, the scan. */
-  async follow(): Promise<void> {
+  async syncOnce(): Promise<void> {
     const { store, replica } = this.ctx;
-    if (!this.ctx.isReplicaSynced && !(await this.#startSync())) return sleep(RETRY_MS);
-    const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_WAIT_MS);
-    if (watched.kind === "unavailable") return sleep(RETRY_MS);
+    if (!this.ctx.isReplicaSynced && !(await this.#startSync())) return sleep(RETRY_DELAY_MS);
+    const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_TIMEOUT_MS);
+    if (watched.kind === "unavailable") return sleep(RETRY_DELAY_MS);
     if (watched.kind === "too_old") {
       await this.#scan();
       return;
     }
-    let foreignWrites = 0;
+    let peerWrites = 0;
     for (const change of watched.changes) {
       // A change that is not known yet is foreign: own ones were applied when they were answered.
       // (While own deletes counted as foreign writes, an owner throttled itself when many jobs
       // finished at once.)
       if (replica.isKnown(change)) continue;
       // Finishing a job also writes its final record, which no watch shows.
-      foreignWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
+      peerWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
       replica.apply(change);
     }
-    this.membership.recordPeerWrites(foreignWrites);
+    this.membership.recordPeerWrites(peerWrites);
     replica.advance(watched.rev);
     if (watched.changes.length > 0) this.#reconcileSoon();
   }
--- a/src/service/round-loop.ts
+++ b/src/service/round-loop.ts
@@ -21,7 +21,7 @@
   #endWait: (() => void) | undefined;
 
   /** A round runs at least this often, in milliseconds. */
-  constructor(private readonly periodMs: number) {}
+  constructor(private readonly maxPauseMs: number) {}
 
   /** Makes a round due: it runs once the rest after the last one is over. */
   wake(): void {
@@ -44,14 +44,14 @@
     const outcome = await running;
     if (outcome !== "idle") this.#isDue = true;
     // The outcome may also ask to wait until the write limit lets the next round's commit through.
-    const pauseMs = typeof outcome === "object" ? Math.min(this.periodMs, outcome.pauseMs) : 0;
+    const pauseMs = typeof outcome === "object" ? Math.min(this.maxPauseMs, outcome.pauseMs) : 0;
     const restMs = Math.max(pauseMs, restUntil - monotonicNow());
     if (restMs > 0) await sleep(restMs);
   }
 
   #wait(): Promise<void> {
     return Promise.race([
-      sleep(this.periodMs),
+      sleep(this.maxPauseMs),
       new Promise<void>((resolve) => {
         this.#endWait = resolve;
       }),
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -28,17 +28,17 @@
 import { NOT_CBOR } from "./user-responses.js";
 
 /** Whether the state store serves the controller that is asked. */
-export const SERVED_PATH = STORE_AVAILABILITY_PATH;
+export const PEER_STORE_AVAILABILITY_PATH = STORE_AVAILABILITY_PATH;
 /** Whether the controller that is asked receives its machines' heartbeats. */
-export const HEARTBEATS_PATH = HEARTBEAT_RECEPTION_PATH;
+export const PEER_HEARTBEAT_RECEPTION_PATH = HEARTBEAT_RECEPTION_PATH;
 
-/** The parts of a controller that requests are handed to. */
-export interface Parts {
+/** The components of a controller that requests are handed to. */
+export interface ControllerComponents {
   readonly ctx: ControllerContext;
   readonly membership: Membership;
   readonly owner: ShardOwner;
   readonly leader: Leader;
-  readonly cancels: Cancellations;
+  readonly cancellations: Cancellations;
   readonly users: UserApi;
   /** Has a round run soon. */
   readonly wake: () => void;
@@ -47,14 +47,14 @@
 const METHOD_NOT_ALLOWED: HttpResponse = { status: 405 };
 const UNKNOWN_PATH: HttpResponse = { status: 404, body: { error: "unknown path" } };
 
-const handleHeartbeat = ({ owner, leader }: Parts, bytes: Buffer): HttpResponse => {
+const handleHeartbeat = ({ owner, leader }: ControllerComponents, bytes: Buffer): HttpResponse => {
   const body = decodeBody(bytes);
   if (!body.ok) return NOT_CBOR;
   return owner.handleHeartbeat(body.value, (status) => leader.adoptMachine(status));
 };
 
 /** The one method of each path of a user's request. */
-const METHODS = {
+const METHOD_BY_TARGET = {
   readiness: "GET",
   submission: "POST",
   status: "GET",
@@ -67,7 +67,7 @@
 ): HttpResponse | Promise<HttpResponse> => {
   const target = parseUserPath(path);
   if (target.kind === "unknown") return UNKNOWN_PATH;
-  if (method !== METHODS[target.kind]) return METHOD_NOT_ALLOWED;
+  if (method !== METHOD_BY_TARGET[target.kind]) return METHOD_NOT_ALLOWED;
   switch (target.kind) {
     case "readiness":
       return users.readiness();
@@ -82,24 +82,28 @@
 
 /** Requests of users, workers and the load balancer. */
 export const frontHandler =
-  (parts: Parts): RequestHandler =>
+  (components: ControllerComponents): RequestHandler =>
   (request) => {
     // First, since nearly all requests are heartbeats.
-    if (request.path !== HEARTBEAT_PATH) return handleUserRequest(parts.users, request);
-    return request.method === "POST" ? handleHeartbeat(parts, request.bytes) : METHOD_NOT_ALLOWED;
+    if (request.path !== HEARTBEAT_PATH) return handleUserRequest(components.users, request);
+    return request.method === "POST"
+      ? handleHeartbeat(components, request.bytes)
+      : METHOD_NOT_ALLOWED;
   };
 
 /** Requests of the other controllers. */
-export const peerHandler = (parts: Parts): RequestHandler => {
-  const { ctx } = parts;
+export const peerHandler = (components: ControllerComponents): RequestHandler => {
+  const { ctx } = components;
   return (request) => {
     switch (request.path) {
-      case SERVED_PATH:
+      case PEER_STORE_AVAILABILITY_PATH:
         return { status: ctx.isReplicaSynced && !ctx.store.isFailing() ? 204 : 503 };
-      case HEARTBEATS_PATH:
-        return heartbeatReception(parts);
+      case PEER_HEARTBEAT_RECEPTION_PATH:
+        return answerHeartbeatReception(components);
       case PEER_MESSAGE_PATH:
-        return request.method === "POST" ? handlePeerMessage(parts, request) : METHOD_NOT_ALLOWED;
+        return request.method === "POST"
+          ? handlePeerMessage(components, request)
+          : METHOD_NOT_ALLOWED;
       default:
         return { status: 404 };
     }
@@ -107,15 +111,22 @@
 };
 
 /** 404 where it can't be told: nothing is owned, or it isn't known what. */
-const heartbeatReception = ({ ctx, membership, owner }: Parts): HttpResponse => {
+const answerHeartbeatReception = ({
+  ctx,
+  membership,
+  owner,
+}: ControllerComponents): HttpResponse => {
   const isOwner = ctx.isReplicaSynced && membership.holdsValidLease();
   const received = isOwner ? owner.channel.receivesHeartbeats() : undefined;
   if (received === undefined) return { status: 404 };
   return { status: received ? 204 : 503 };
 };
 
-const handlePeerMessage = (parts: Parts, { bytes }: HttpRequest): HttpResponse => {
-  const { ctx, owner, leader, cancels, wake } = parts;
+const handlePeerMessage = (
+  components: ControllerComponents,
+  { bytes }: HttpRequest,
+): HttpResponse => {
+  const { ctx, owner, leader, cancellations, wake } = components;
   let message: PeerMessage;
   try {
     message = decodePeerMessage(bytes);
@@ -127,7 +138,7 @@
   for (const machine of message.retire) owner.requestDecommission(machine, message.reason);
   // Before the first scan it isn't known what is owned here: it can't promise to see to it.
   if (message.cancelled.length > 0 && !ctx.isReplicaSynced) return { status: 503 };
-  cancels.receiveNotices(message.cancelled);
+  cancellations.receiveNotices(message.cancelled);
   leader.recordFailingJobs(message.failing);
   wake();
   return { status: 204 };
--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -35,13 +35,13 @@
 }> {}
 
 /** Connections to one host of the kinds of which there are several. */
-const MAX_PER_HOST = 2;
+const MAX_CONNECTIONS_PER_HOST = 2;
 
 const openConnections = (parts: SocketParts): Connections => ({
   state: new PooledHttpClient(parts.state, parts.state),
   cloud: new PooledHttpClient(parts.cloud, parts.cloud),
-  peers: new PooledHttpClient(MAX_PER_HOST, parts.peers),
-  workers: new PooledHttpClient(MAX_PER_HOST, parts.workers, parts.idleWorkers),
+  peers: new PooledHttpClient(MAX_CONNECTIONS_PER_HOST, parts.peers),
+  workers: new PooledHttpClient(MAX_CONNECTIONS_PER_HOST, parts.workers, parts.idleWorkers),
 });
 
 /** Each kind of host has its part of the sockets, so that none can take them all. */
@@ -113,9 +113,9 @@
     const controller = yield* scopedController(() =>
       makeController(settings, operators, packages, log, connections, incarnation(uuid), random),
     );
-    const front = makeServer(controller.front, parts.front, log);
+    const front = makeServer(controller.frontHandler, parts.front, log);
     yield* scopedListening(front, settings.frontAddress, parts.frontBacklog);
-    const internal = makeServer(controller.peer, parts.inner, log);
+    const internal = makeServer(controller.peerHandler, parts.inner, log);
     yield* scopedListening(internal, settings.internalAddress, parts.inner);
     yield* scopedTasks(controller.tasks, log);
     return yield* Effect.never;
--- a/src/service/stats-report.ts
+++ b/src/service/stats-report.ts
@@ -6,10 +6,10 @@
  */
 import { monotonicNow } from "../transport/clock.js";
 import type { LoadSpreadLoader } from "./load-spread-loader.js";
-import type { Parts } from "./routes.js";
+import type { ControllerComponents } from "./routes.js";
 
-/** The parts that report counters. */
-export interface ReportedParts extends Parts {
+/** The components that report counters. */
+export interface ReportedComponents extends ControllerComponents {
   readonly loadSpread: LoadSpreadLoader;
 }
 
@@ -17,8 +17,8 @@
 const MICROSECONDS_PER_MS = 1000;
 
 /** Logs one report; `leader` is in it only while this controller leads. */
-export const reportStats = async (parts: ReportedParts): Promise<void> => {
-  const { ctx, membership, owner, leader, cancels, users, loadSpread } = parts;
+export const reportStats = async (components: ReportedComponents): Promise<void> => {
+  const { ctx, membership, owner, leader, cancellations, users, loadSpread } = components;
   const { rss, heapUsed } = process.memoryUsage();
   const cpu = process.cpuUsage();
   const loadSpreadStats = loadSpread.stats();
@@ -26,7 +26,7 @@
     jobs: ctx.replica.accepted.size,
     machines: ctx.replica.machines.size,
     owner: owner.stats(),
-    cancellations: cancels.stats(),
+    cancellations: cancellations.stats(),
     ...(loadSpreadStats === undefined ? {} : { loadSpread: loadSpreadStats }),
     ...(membership.isLeader() ? { leader: leader.stats() } : {}),
     stateStore: ctx.store.counters,
--- a/src/service/user-api.ts
+++ b/src/service/user-api.ts
@@ -44,9 +44,9 @@
     this.#jobs = jobs;
     const answers = new JobAnswers(ctx, jobs, confirm);
     this.#answers = answers;
-    const parts = { ctx, jobs, writes, answers, wake };
-    this.#submission = new JobSubmission(parts);
-    this.#cancellation = new JobCancellation(parts);
+    const dependencies = { ctx, jobs, writes, answers, wake };
+    this.#submission = new JobSubmission(dependencies);
+    this.#cancellation = new JobCancellation(dependencies);
   }
 
   /** Counters of the questions for jobs since the start. */
@@ -66,7 +66,7 @@
     // Read before a process pause, perhaps: another controller may have answered with more since.
     if (found.kind === "live" && monotonicNow() - found.askedAt > STALE_READ_MS)
       return tryAgain(503);
-    return this.#answers.about(jobId(id), found);
+    return this.#answers.answer(jobId(id), found);
   }
 
   /** Cancels a job, and answers once that is certain; the id is as it came. */
--- a/test/sim/controller-ports.ts
+++ b/test/sim/controller-ports.ts
@@ -92,7 +92,7 @@
       if (this.context.isDisabled("cancellation_notices") && path === "/peer")
         return { status: 204 };
       const bytes = Buffer.from((body as unknown as Uint8Array | undefined) ?? []);
-      return { status: (await called.peer({ method, path, bytes })).status };
+      return { status: (await called.peerHandler({ method, path, bytes })).status };
     };
   }
 
--- a/test/sim/controllers.ts
+++ b/test/sim/controllers.ts
@@ -141,7 +141,7 @@
     if (path.endsWith("/withdraw") && this.surroundings.context.isDisabled("cancellations"))
       return { status: 200, body: { stage: "cancelled" } };
     const bytes = body === undefined ? Buffer.alloc(0) : encode(body);
-    const response: HttpResponse = await process.controller.front({ method, path, bytes });
+    const response: HttpResponse = await process.controller.frontHandler({ method, path, bytes });
     return process.alive ? { status: response.status, body: response.body } : undefined;
   }
 
@@ -166,7 +166,7 @@
       await this.#pauses.whenRunning(index);
       if (!process.alive) return;
       await task.run();
-      await this.surroundings.context.clock.sleep(Math.max(1, task.everyMs));
+      await this.surroundings.context.clock.sleep(Math.max(1, task.pauseMs));
     }
   }
 
