--- a/src/cli/load-files.ts
+++ b/src/cli/load-files.ts
@@ -8,7 +8,7 @@
 import { type Checked, checked } from "../config/checked.js";
 import { defaultOperators, type Operators, parseOperators } from "../config/operators.js";
 import {
-  checkAgainstShards,
+  checkShardCount,
   defaultPackages,
   type PackageSettings,
   parsePackages,
@@ -39,18 +39,18 @@
   }
 };
 
-const named = <T>(file: string, result: Checked<T>): Checked<T> =>
+const withFileName = <T>(file: string, result: Checked<T>): Checked<T> =>
   result.ok ? result : { ok: false, faults: result.faults.map((fault) => `${file}: ${fault}`) };
 
 const loadSettings = (file: string): Checked<Settings> => {
   const text = readText(file);
-  return named(file, text.ok ? parseSettings(text.value) : text);
+  return withFileName(file, text.ok ? parseSettings(text.value) : text);
 };
 
 const loadOperators = async (file: string | undefined): Promise<Checked<Operators>> => {
   if (file === undefined) return { ok: true, value: defaultOperators() };
   const text = readText(file);
-  return named(file, text.ok ? await parseOperators(text.value) : text);
+  return withFileName(file, text.ok ? await parseOperators(text.value) : text);
 };
 
 /** With settings that can't be read, what depends on them isn't checked. */
@@ -61,9 +61,9 @@
   if (file === undefined) return { ok: true, value: defaultPackages() };
   const text = readText(file);
   const packages = text.ok ? await parsePackages(file, text.value) : text;
-  if (!packages.ok || !settings.ok) return named(file, packages);
-  const faults = checkAgainstShards(packages.value, settings.value.shardCount);
-  return named(file, checked(packages.value, faults));
+  if (!packages.ok || !settings.ok) return withFileName(file, packages);
+  const faults = checkShardCount(packages.value, settings.value.shardCount);
+  return withFileName(file, checked(packages.value, faults));
 };
 
 /** All files, or every fault found in them. */
--- a/src/config/field-reader.ts
+++ b/src/config/field-reader.ts
@@ -21,14 +21,14 @@
   constructor(
     private readonly source: Readonly<Record<string, unknown>>,
     /** The map's own place in its file; empty for the file itself. */
-    readonly where: string,
+    readonly path: string,
     /** A line for each fault found so far. */
     readonly faults: string[],
   ) {}
 
   /** The same fields, with faults gathered apart. */
   withFaults(faults: string[]): FieldReader {
-    return new FieldReader(this.source, this.where, faults);
+    return new FieldReader(this.source, this.path, faults);
   }
 
   /** Whether a field is there, whatever its value. */
@@ -37,19 +37,19 @@
   }
 
   /** A text that isn't empty. */
-  text(name: string, fallback?: string): string {
+  string(name: string, fallback?: string): string {
     const value = this.source[name];
     if (typeof value === "string" && value !== "") return value;
     if (!this.has(name) && fallback !== undefined) return fallback;
-    this.#refuse(name, "must be a non-empty text");
+    this.#addFault(name, "must be a non-empty text");
     return "";
   }
 
   /** Host and port, of which the host is a number, so that no name has to be looked up. */
   address(name: string): string {
-    const address = this.text(name, "");
+    const address = this.string(name, "");
     if (/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(address)) return address;
-    this.#refuse(name, "must be an IPv4 address with a port, such as 10.0.0.1:80");
+    this.#addFault(name, "must be an IPv4 address with a port, such as 10.0.0.1:80");
     return "0.0.0.0:0";
   }
 
@@ -60,45 +60,45 @@
     if (typeof value === "number" && Number.isFinite(value) && value >= min && value <= max)
       return value;
     const range = max === Number.POSITIVE_INFINITY ? `at least ${min}` : `${min} to ${max}`;
-    this.#refuse(name, `must be a number, ${range}`);
+    this.#addFault(name, `must be a number, ${range}`);
     return min;
   }
 
   /** The same for a whole number. */
-  whole(name: string, min: number, max: number, fallback?: number): number {
+  integer(name: string, min: number, max: number, fallback?: number): number {
     const number = this.number(name, min, max, fallback);
     if (Number.isInteger(number)) return number;
-    this.#refuse(name, "must be a whole number");
+    this.#addFault(name, "must be a whole number");
     return min;
   }
 
   /** A switch. */
-  flag(name: string, fallback: boolean): boolean {
+  boolean(name: string, fallback: boolean): boolean {
     const value = this.source[name];
     if (value === undefined) return fallback;
     if (typeof value === "boolean") return value;
-    this.#refuse(name, "must be true or false");
+    this.#addFault(name, "must be true or false");
     return fallback;
   }
 
   /** An inner map that must be there. Of a missing one only that is a fault, not each field. */
   section(name: string): FieldReader {
     const value = this.source[name];
-    if (isMap(value)) return new FieldReader(value, this.#path(name), this.faults);
-    this.faults.push(`${this.#path(name)}: section is missing`);
-    return new FieldReader({}, this.#path(name), []);
+    if (isMap(value)) return new FieldReader(value, this.#pathOf(name), this.faults);
+    this.faults.push(`${this.#pathOf(name)}: section is missing`);
+    return new FieldReader({}, this.#pathOf(name), []);
   }
 
   /** A list of inner maps; none if it is missing. */
-  rows(name: string): readonly FieldReader[] {
+  tables(name: string): readonly FieldReader[] {
     const value = this.source[name];
     if (value === undefined) return [];
     if (!Array.isArray(value)) {
-      this.#refuse(name, "must be a list");
+      this.#addFault(name, "must be a list");
       return [];
     }
     return value.map((row, index) => {
-      const where = `${this.#path(name)}[${index}]`;
+      const where = `${this.#pathOf(name)}[${index}]`;
       if (isMap(row)) return new FieldReader(row, where, this.faults);
       this.faults.push(`${where}: must be a table, not ${describeValue(row)}`);
       return new FieldReader({}, where, []);
@@ -106,27 +106,27 @@
   }
 
   /** A list of texts; empty if it is missing. */
-  texts(name: string): readonly string[] {
+  strings(name: string): readonly string[] {
     const value = this.source[name];
     if (value === undefined) return [];
     if (Array.isArray(value) && value.every((item) => typeof item === "string"))
       return value as string[];
-    this.#refuse(name, "must be a list of texts");
+    this.#addFault(name, "must be a list of texts");
     return [];
   }
 
   /** Refuses all other fields: a misspelt setting must not pass for a set one. */
-  only(names: readonly string[]): void {
+  refuseUnknown(names: readonly string[]): void {
     for (const name of Object.keys(this.source))
       if (!names.includes(name))
-        this.faults.push(`${this.#path(name)}: is not a known setting (${names.join(", ")})`);
+        this.faults.push(`${this.#pathOf(name)}: is not a known setting (${names.join(", ")})`);
   }
 
-  #path(name: string): string {
-    return this.where === "" ? name : `${this.where}.${name}`;
+  #pathOf(name: string): string {
+    return this.path === "" ? name : `${this.path}.${name}`;
   }
 
-  #refuse(name: string, allowed: string): void {
-    this.faults.push(`${this.#path(name)}: ${allowed}, not ${describeValue(this.source[name])}`);
+  #addFault(name: string, allowed: string): void {
+    this.faults.push(`${this.#pathOf(name)}: ${allowed}, not ${describeValue(this.source[name])}`);
   }
 }
--- a/src/config/hcl.ts
+++ b/src/config/hcl.ts
@@ -10,7 +10,7 @@
 export type HclMap = Readonly<Record<string, unknown>>;
 
 /** What of an error of the library is of use: its first line. */
-const firstLine = (error: unknown): string => String(error).split("\n")[0] ?? "";
+const firstLineOf = (error: unknown): string => String(error).split("\n")[0] ?? "";
 
 /** The text as a map, or the first fault of its form. */
 export const parseHcl = async (source: string): Promise<Checked<HclMap>> => {
@@ -23,7 +23,7 @@
     if (typeof value !== "object" || value === null) return { ok: false, faults: ["not HCL"] };
     return { ok: true, value: value as HclMap };
   } catch (error) {
-    return { ok: false, faults: [`not HCL: ${firstLine(error)}`] };
+    return { ok: false, faults: [`not HCL: ${firstLineOf(error)}`] };
   }
 };
 
@@ -49,13 +49,13 @@
   readonly min: number;
   readonly max: number;
   readonly fallback: number;
-  readonly whole?: boolean;
+  readonly isInteger?: boolean;
 }
 
 /** Reads one, which is its default where the file doesn't name it. */
 export const readNumber = (reader: FieldReader, setting: NumberSetting<string>): number => {
   const { name, min, max, fallback } = setting;
-  return setting.whole === true
-    ? reader.whole(name, min, max, fallback)
+  return setting.isInteger === true
+    ? reader.integer(name, min, max, fallback)
     : reader.number(name, min, max, fallback);
 };
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -120,13 +120,13 @@
 export const checkOperators = (raw: Readonly<Record<string, unknown>>): Checked<Operators> => {
   const faults: string[] = [];
   const sections = [...new Set(OPERATOR_SETTINGS.map(({ section }) => section))];
-  new FieldReader(raw, "", faults).only(sections);
+  new FieldReader(raw, "", faults).refuseUnknown(sections);
   const values: Record<string, number> = {};
   for (const section of sections) {
     const body = singleBlock(raw, section, faults);
     const reader = new FieldReader(blockFields(body), section, faults);
     const settings = OPERATOR_SETTINGS.filter((candidate) => candidate.section === section);
-    reader.only(settings.map(({ name }) => name));
+    reader.refuseUnknown(settings.map(({ name }) => name));
     for (const each of settings) values[each.key] = readNumber(reader, each);
   }
   return checked(values as unknown as Operators, faults);
--- a/src/config/packages.ts
+++ b/src/config/packages.ts
@@ -26,10 +26,10 @@
   "enabled" | "fairShares" | "balanceMachines"
 >;
 
-const LOAD_SPREAD = "load_spread";
+const LOAD_SPREAD_BLOCK = "load_spread";
 const LOAD_SPREAD_NUMBERS: readonly NumberSetting<LoadSpreadNumber>[] = [
-  { name: "max_span", key: "maxSpan", min: 1, max: 1000, fallback: 3, whole: true },
-  { name: "min_tasks", key: "minTasks", min: 1, max: 1e9, fallback: 40, whole: true },
+  { name: "max_span", key: "maxSpan", min: 1, max: 1000, fallback: 3, isInteger: true },
+  { name: "min_tasks", key: "minTasks", min: 1, max: 1e9, fallback: 40, isInteger: true },
   { name: "grow_after_s", key: "growAfterS", min: 0, max: 86_400, fallback: 3 },
   { name: "shrink_after_s", key: "shrinkAfterS", min: 0, max: 86_400, fallback: 30 },
   { name: "imbalance", key: "imbalance", min: 1, max: 1000, fallback: 1.5 },
@@ -37,27 +37,27 @@
   { name: "share_step", key: "shareStep", min: 0.001, max: 1, fallback: 0.05 },
   { name: "load_cost", key: "loadCost", min: 0, max: 1e6, fallback: 1 },
   { name: "transfer_cost", key: "transferCost", min: 0, max: 1e6, fallback: 0.1 },
-  { name: "solver_cells", key: "solverCells", min: 0, max: 1e6, fallback: 60, whole: true },
+  { name: "solver_cells", key: "solverCells", min: 0, max: 1e6, fallback: 60, isInteger: true },
   { name: "solver_ms", key: "solverMs", min: 0, max: 10_000, fallback: 20 },
   { name: "period_ms", key: "periodMs", min: 50, max: 60_000, fallback: 1000 },
 ];
 
 const readLoadSpread = (reader: FieldReader): LoadSpreadSettings => {
   const numberNames = LOAD_SPREAD_NUMBERS.map(({ name }) => name);
-  reader.only(["enabled", "fair_shares", "balance_machines", ...numberNames]);
+  reader.refuseUnknown(["enabled", "fair_shares", "balance_machines", ...numberNames]);
   const numbers = Object.fromEntries(
     LOAD_SPREAD_NUMBERS.map((setting) => [setting.key, readNumber(reader, setting)]),
   ) as Record<LoadSpreadNumber, number>;
   const settings: LoadSpreadSettings = {
     ...numbers,
-    enabled: reader.flag("enabled", false),
-    fairShares: reader.flag("fair_shares", true),
-    balanceMachines: reader.flag("balance_machines", true),
+    enabled: reader.boolean("enabled", false),
+    fairShares: reader.boolean("fair_shares", true),
+    balanceMachines: reader.boolean("balance_machines", true),
   };
   const { minShare, maxSpan } = settings;
   if (minShare * maxSpan > 1)
     reader.faults.push(
-      `${LOAD_SPREAD}: max_span times min_share is more than the whole: ${maxSpan} times ${minShare}`,
+      `${LOAD_SPREAD_BLOCK}: max_span times min_share is more than the whole: ${maxSpan} times ${minShare}`,
     );
   return settings;
 };
@@ -65,11 +65,11 @@
 /** Checks the file as a map: HCL blocks arrive as lists of one map, JSON objects as they are. */
 export const checkPackages = (raw: HclMap): Checked<PackageSettings> => {
   const faults: string[] = [];
-  new FieldReader(raw, "", faults).only([LOAD_SPREAD]);
-  const body = singleBlock(raw, LOAD_SPREAD, faults);
+  new FieldReader(raw, "", faults).refuseUnknown([LOAD_SPREAD_BLOCK]);
+  const body = singleBlock(raw, LOAD_SPREAD_BLOCK, faults);
   if (body !== undefined && (typeof body !== "object" || body === null))
-    faults.push(`${LOAD_SPREAD}: must be a block, not ${describeValue(body)}`);
-  const reader = new FieldReader(blockFields(body), LOAD_SPREAD, faults);
+    faults.push(`${LOAD_SPREAD_BLOCK}: must be a block, not ${describeValue(body)}`);
+  const reader = new FieldReader(blockFields(body), LOAD_SPREAD_BLOCK, faults);
   return checked({ loadSpread: readLoadSpread(reader) }, faults);
 };
 
@@ -81,12 +81,12 @@
 };
 
 /** The faults that only show beside the platform's settings. */
-export const checkAgainstShards = (
+export const checkShardCount = (
   { loadSpread: { enabled, maxSpan } }: PackageSettings,
-  shards: number,
+  shardCount: number,
 ): readonly string[] =>
-  enabled && maxSpan > shards
-    ? [`${LOAD_SPREAD}.max_span: ${maxSpan}, but there are ${shards} shards`]
+  enabled && maxSpan > shardCount
+    ? [`${LOAD_SPREAD_BLOCK}.max_span: ${maxSpan}, but there are ${shardCount} shards`]
     : [];
 
 /** Reads the file's text; its name tells whether it is JSON. */
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -47,10 +47,10 @@
 const readObjective = (row: FieldReader, ignored: string[]): Objective | undefined => {
   const faults: string[] = [];
   const fields = row.withFaults(faults);
-  const kind = fields.text("kind");
+  const kind = fields.string("kind");
   if (faults.length === 0 && !OBJECTIVE_KINDS.includes(kind))
     faults.push(
-      `${row.where}.kind: must be one of ${OBJECTIVE_KINDS.join(", ")}, not ${describeValue(kind)}`,
+      `${row.path}.kind: must be one of ${OBJECTIVE_KINDS.join(", ")}, not ${describeValue(kind)}`,
     );
   // The first fault is enough to find the row: what follows it isn't read.
   const optional = <Value>(name: string, read: () => Value): Value | null =>
@@ -59,7 +59,7 @@
     optional(name, () => fields.number(name, 0, UNLIMITED));
   const objective: Objective = {
     kind,
-    jobClass: optional("class", () => fields.text("class")),
+    jobClass: optional("class", () => fields.string("class")),
     withinS: optionalNumber("within_s"),
     share: optionalNumber("share"),
     times: optionalNumber("times"),
@@ -108,7 +108,7 @@
 /** What this process may use of its machine. */
 export interface ProcessResources {
   /** The part of a core. */
-  readonly cpuShare: number;
+  readonly cpuFraction: number;
   readonly ramMb: number;
   readonly maxSockets: number;
 }
@@ -152,7 +152,7 @@
 const MAX_TXN_OPS = 100_000;
 
 const readSeed = (row: FieldReader): Seed => ({
-  label: controllerLabel(row.text("label")),
+  label: controllerLabel(row.string("label")),
   address: row.address("address"),
 });
 
@@ -162,7 +162,7 @@
 };
 
 const readTeam = (row: FieldReader): Team => ({
-  name: teamName(row.text("name")),
+  name: teamName(row.string("name")),
   cpus: row.number("cpus", 0, UNLIMITED, 0),
   gpus: row.number("gpus", 0, UNLIMITED, 0),
   cpusMax: readLimit(row, "cpus_max"),
@@ -179,7 +179,7 @@
   rps: section.number("rps", 1, UNLIMITED),
   writeRps: section.number("write_rps", 1, UNLIMITED),
   valueKb: section.number("value_kb", 1, UNLIMITED),
-  txnOps: section.whole("txn_ops", MIN_TXN_OPS, MAX_TXN_OPS),
+  txnOps: section.integer("txn_ops", MIN_TXN_OPS, MAX_TXN_OPS),
 });
 
 const readCloud = (section: FieldReader): CloudSettings => ({
@@ -188,9 +188,9 @@
 });
 
 const readResources = (section: FieldReader, members: number): ProcessResources => ({
-  cpuShare: section.number("cpu_share", 0.001, UNLIMITED, 1),
+  cpuFraction: section.number("cpu_share", 0.001, UNLIMITED, 1),
   ramMb: section.number("ram_mb", MIN_RAM_MB, UNLIMITED, DEFAULT_RAM_MB),
-  maxSockets: section.whole("max_sockets", minSockets(members), MAX_SOCKETS, DEFAULT_MAX_SOCKETS),
+  maxSockets: section.integer("max_sockets", minSockets(members), MAX_SOCKETS, DEFAULT_MAX_SOCKETS),
 });
 
 /** In the order of the file, which is the order in which faults are reported. */
@@ -201,22 +201,22 @@
   const state = params.section("state");
   const cloud = params.section("cloud");
   const resources = params.section("resources");
-  const seeds = top.rows("seeds");
+  const seeds = top.tables("seeds");
   const ignoredObjectives: string[] = [];
   return {
-    label: controllerLabel(top.text("label")),
-    zone: top.text("area"),
+    label: controllerLabel(top.string("label")),
+    zone: top.string("area"),
     frontAddress: top.address("front"),
     internalAddress: top.address("internal_addr"),
     seeds: seeds.map(readSeed),
     cloudAddress: services.address("cloud"),
     stateAddress: services.address("state"),
-    shardCount: params.whole("size", 1, MAX_SHARDS),
-    zones: params.texts("zones"),
+    shardCount: params.integer("size", 1, MAX_SHARDS),
+    zones: params.strings("zones"),
     skewMs: params.number("skew_ms", 0, UNLIMITED, 0),
-    teams: params.rows("teams").map(readTeam),
+    teams: params.tables("teams").map(readTeam),
     objectives: params
-      .rows("objectives")
+      .tables("objectives")
       .flatMap((row) => readObjective(row, ignoredObjectives) ?? []),
     ignoredObjectives,
     workers: readWorkers(workers),
@@ -227,7 +227,7 @@
 };
 
 /** The first value that stands twice. */
-const repeated = (values: readonly string[]): string | undefined =>
+const findDuplicate = (values: readonly string[]): string | undefined =>
   values.find((value, index) => values.indexOf(value) < index);
 
 /** The file's settings, or a line for each fault. */
@@ -241,9 +241,9 @@
   }
   const faults: string[] = [];
   const settings = readSettings(new FieldReader({ ...(raw as object) }, "", faults));
-  const team = repeated(settings.teams.map(({ name }) => name));
+  const team = findDuplicate(settings.teams.map(({ name }) => name));
   if (team !== undefined) faults.push(`params.teams: a name appears twice: ${describeValue(team)}`);
-  const label = repeated([settings.label, ...settings.seeds.map((seed) => seed.label)]);
+  const label = findDuplicate([settings.label, ...settings.seeds.map((seed) => seed.label)]);
   if (label !== undefined) faults.push(`seeds: a label appears twice: ${describeValue(label)}`);
   return checked(settings, faults);
 };
--- a/src/start.cts
+++ b/src/start.cts
@@ -15,7 +15,7 @@
 /** Set by the build: run for a while, write what was compiled by then, and end. */
 const WRITE_CACHE_AFTER_MS = Number(process.env.UMBERFOLD_WRITE_CACHE_AFTER_MS ?? 0);
 
-const cacheIsWritten = WRITE_CACHE_AFTER_MS > 0;
+const isWritingCache = WRITE_CACHE_AFTER_MS > 0;
 
 const readCache = (): Buffer | undefined => {
   try {
@@ -36,7 +36,7 @@
 
 const compileBundle = (): vm.Script => {
   const source = fs.readFileSync(BUNDLE, "utf8").replace(/^#!.*/, "");
-  const cachedData = cacheIsWritten ? undefined : readCache();
+  const cachedData = isWritingCache ? undefined : readCache();
   return new vm.Script(
     `(function (exports, require, module, __filename, __dirname) {${source}\n})`,
     { filename: BUNDLE, ...(cachedData === undefined ? {} : { cachedData }) },
@@ -48,7 +48,7 @@
 const run = script.runInThisContext() as ModuleWrapper;
 run(bundle.exports, createRequire(BUNDLE), bundle, BUNDLE, __dirname);
 
-if (cacheIsWritten)
+if (isWritingCache)
   setTimeout(() => {
     fs.writeFileSync(CACHE, script.createCachedData());
     process.exit(0);
--- a/test/config/packages.test.ts
+++ b/test/config/packages.test.ts
@@ -2,8 +2,8 @@
 import { readFileSync } from "node:fs";
 import test from "node:test";
 import {
-  checkAgainstShards,
   checkPackages,
+  checkShardCount,
   defaultPackages,
   parsePackages,
 } from "../../src/config/packages.js";
@@ -34,9 +34,9 @@
 test("a span beyond the shards is refused where it is on", () => {
   const { loadSpread } = defaultPackages();
   const on = { loadSpread: { ...loadSpread, enabled: true, maxSpan: 4 } };
-  assert.match(checkAgainstShards(on, 3).join(), /load_spread\.max_span: 4, but there are 3/);
-  assert.deepEqual(checkAgainstShards(on, 4), []);
-  assert.deepEqual(checkAgainstShards(defaultPackages(), 1), []);
+  assert.match(checkShardCount(on, 3).join(), /load_spread\.max_span: 4, but there are 3/);
+  assert.deepEqual(checkShardCount(on, 4), []);
+  assert.deepEqual(checkShardCount(defaultPackages(), 1), []);
 });
 
 test("the file in deploy/ and what the build made of it say the same, and all is off", async () => {
