--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,10 +1,12 @@
 /**
- * The exit codes of the program. The platform restarts a controller that ends, whatever its code;
- * the code is for people and scripts. Commander ends with 1 as well where an option is wrong.
+ * The exit codes of the program. The platform restarts a controller after any exit code; the codes
+ * are meant for people and scripts. Commander also exits with 1 if an option is invalid.
  */
 export const EXIT_CODES = {
-  /** A file can't be read, or something in it is not allowed: standard error has a line for each. */
+  /**
+   * A file can't be read or contains invalid settings; standard error has a line for each fault.
+   */
   invalidSettings: 1,
-  /** The controller could not start to serve: see `can't run` in the log. */
+  /** The controller could not start its servers; see the log event `can't run`. */
   cannotRun: 1,
 } as const;
--- a/src/cli/load-files.ts
+++ b/src/cli/load-files.ts
@@ -1,8 +1,9 @@
 /**
- * Reads the files that the command line names: settings, operators' settings, packages.
+ * Reads the files given on the command line: the platform's, the operators' and the packages'
+ * settings.
  *
- * All files are read even if one is faulty, so that every fault is reported at once. Each fault
- * begins with its file's name.
+ * All files are read even if one has faults, so that all faults are reported at once. Each fault
+ * begins with the name of its file.
  */
 import { readFileSync } from "node:fs";
 import { type Checked, checked } from "../config/checked.js";
@@ -15,21 +16,21 @@
 } from "../config/packages.js";
 import { parseSettings, type Settings } from "../config/settings.js";
 
-/** The files' names; without one of the optional files its defaults hold. */
+/** The files' names; defaults apply instead of an optional file that isn't given. */
 export interface FileNames {
   readonly config: string;
   readonly operators?: string;
   readonly packages?: string;
 }
 
-/** What all files say. */
+/** The settings from all files. */
 export interface LoadedFiles {
   readonly settings: Settings;
   readonly operators: Operators;
   readonly packages: PackageSettings;
 }
 
-/** A file's text, or why it can't be read. */
+/** A file's text, or the reason why it can't be read. */
 export const readText = (file: string): Checked<string> => {
   try {
     return { ok: true, value: readFileSync(file, "utf8") };
@@ -53,7 +54,7 @@
   return withFileName(file, text.ok ? await parseOperators(text.value) : text);
 };
 
-/** With settings that can't be read, what depends on them isn't checked. */
+/** If the platform's settings are invalid, the packages' are not checked against them. */
 const loadPackages = async (
   file: string | undefined,
   settings: Checked<Settings>,
@@ -66,7 +67,7 @@
   return withFileName(file, checked(packages.value, faults));
 };
 
-/** All files, or every fault found in them. */
+/** The settings from all files, or all faults found in them. */
 export const loadFiles = async (names: FileNames): Promise<Checked<LoadedFiles>> => {
   const settings = loadSettings(names.config);
   const operators = await loadOperators(names.operators);
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,8 +1,8 @@
 /**
- * The command line: options, the check of all files, and the start of a controller.
+ * The command line: parses options, validates all files and starts the controller.
  *
- * What a controller needs to run is loaded only once the files are found valid: `--check`,
- * `--version` and a start with a fault cost little.
+ * The controller's modules are loaded only after the files were found valid, so that `--check`,
+ * `--version` and a start with invalid settings are cheap.
  */
 import path from "node:path";
 import { Command } from "commander";
@@ -22,7 +22,7 @@
   return text.ok ? String(JSON.parse(text.value).version) : "unknown";
 };
 
-/** Last resort: a fault in one request or task must not end what serves all others. */
+/** Logs errors that nothing caught: a fault in one request or task must not end the process. */
 const logUnexpectedErrors = (log: Logger): void => {
   process.on("uncaughtException", (error) =>
     log.error("uncaught exception", errorFieldsWithStack(error)),
@@ -32,7 +32,7 @@
   );
 };
 
-/** Runs until the process is killed; ends it if the controller can't start to serve. */
+/** Runs until the process is killed; exits if the controller can't start its servers. */
 const serve = async ({ settings, operators, packages }: LoadedFiles): Promise<void> => {
   const log = makeLogger(parseLevel(process.env.LOG_LEVEL), { node: settings.label });
   for (const what of settings.ignoredObjectives) log.info("objective ignored", { what });
@@ -55,7 +55,7 @@
   else await serve(loaded.value);
 };
 
-/** Runs the program with Node's arguments; resolves once it has only been asked for something. */
+/** Runs the program with `process.argv`. Resolves after `--check`, but not while it serves. */
 export const main = async (argv: readonly string[]): Promise<void> => {
   const program = new Command("umberfold")
     .description("a controller of the umberfold cluster scheduler")
--- a/src/config/field-reader.ts
+++ b/src/config/field-reader.ts
@@ -1,14 +1,15 @@
 /**
- * Reads fields of an untrusted map and gathers every fault instead of stopping at the first.
+ * Reads fields of an untrusted map and collects all faults instead of stopping at the first.
  *
- * Each method returns a value in any case, and adds a line to `faults` if it isn't the file's: the
- * field, what is allowed, and what is there instead. Readers of inner maps share the list.
+ * Each method always returns a value. If the field is missing without a fallback, or is invalid, it
+ * adds a line to `faults` that names the field, the allowed values and the actual value. Readers of
+ * nested maps share the list.
  */
 import { isMap } from "../protocol/cbor.js";
 
 const MAX_SHOWN_LENGTH = 60;
 
-/** A value as it is shown in a fault: enough to find it in the file. */
+/** A value as shown in a fault, shortened but recognizable. */
 export const describeValue = (value: unknown): string => {
   if (value === undefined || value === null) return "nothing";
   if (typeof value === "string") return JSON.stringify(value.slice(0, MAX_SHOWN_LENGTH));
@@ -16,36 +17,36 @@
   return isMap(value) ? "a table" : String(value);
 };
 
-/** The fields of one map: a section, a block or a row of a file. */
+/** Reads the fields of one map: a section, a block or an element of a list of tables. */
 export class FieldReader {
   constructor(
     private readonly source: Readonly<Record<string, unknown>>,
-    /** The map's own place in its file; empty for the file itself. */
+    /** The map's path in its file; empty for the file itself. */
     readonly path: string,
     /** A line for each fault found so far. */
     readonly faults: string[],
   ) {}
 
-  /** The same fields, with faults gathered apart. */
+  /** A reader of the same fields that adds its faults to another list. */
   withFaults(faults: string[]): FieldReader {
     return new FieldReader(this.source, this.path, faults);
   }
 
-  /** Whether a field is there, whatever its value. */
+  /** Whether a field is present with any value but null. */
   has(name: string): boolean {
     return this.source[name] !== undefined && this.source[name] !== null;
   }
 
-  /** A text that isn't empty. */
+  /** A non-empty string. */
   string(name: string, fallback?: string): string {
     const value = this.source[name];
     if (typeof value === "string" && value !== "") return value;
     if (!this.has(name) && fallback !== undefined) return fallback;
-    this.#addFault(name, "must be a non-empty text");
+    this.#addFault(name, "must be a non-empty string");
     return "";
   }
 
-  /** Host and port, of which the host is a number, so that no name has to be looked up. */
+  /** Host and port; the host must be an IPv4 address, so that no DNS lookup is needed. */
   address(name: string): string {
     const address = this.string(name, "");
     if (/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(address)) return address;
@@ -53,7 +54,7 @@
     return "0.0.0.0:0";
   }
 
-  /** A number within bounds, both included; `max` may be infinite. */
+  /** A number within inclusive bounds; `max` may be infinite. */
   number(name: string, min: number, max: number, fallback?: number): number {
     const value = this.source[name];
     if (value === undefined && fallback !== undefined) return fallback;
@@ -64,7 +65,7 @@
     return min;
   }
 
-  /** The same for a whole number. */
+  /** An integer within inclusive bounds. */
   integer(name: string, min: number, max: number, fallback?: number): number {
     const number = this.number(name, min, max, fallback);
     if (Number.isInteger(number)) return number;
@@ -72,7 +73,7 @@
     return min;
   }
 
-  /** A switch. */
+  /** A boolean. */
   boolean(name: string, fallback: boolean): boolean {
     const value = this.source[name];
     if (value === undefined) return fallback;
@@ -81,7 +82,7 @@
     return fallback;
   }
 
-  /** An inner map that must be there. Of a missing one only that is a fault, not each field. */
+  /** A required nested map. If it is missing, this is one fault; its fields add no others. */
   section(name: string): FieldReader {
     const value = this.source[name];
     if (isMap(value)) return new FieldReader(value, this.#pathOf(name), this.faults);
@@ -89,7 +90,7 @@
     return new FieldReader({}, this.#pathOf(name), []);
   }
 
-  /** A list of inner maps; none if it is missing. */
+  /** A list of nested maps; empty if it is missing. */
   tables(name: string): readonly FieldReader[] {
     const value = this.source[name];
     if (value === undefined) return [];
@@ -105,17 +106,17 @@
     });
   }
 
-  /** A list of texts; empty if it is missing. */
+  /** A list of strings; empty if it is missing. */
   strings(name: string): readonly string[] {
     const value = this.source[name];
     if (value === undefined) return [];
     if (Array.isArray(value) && value.every((item) => typeof item === "string"))
       return value as string[];
-    this.#addFault(name, "must be a list of texts");
+    this.#addFault(name, "must be a list of strings");
     return [];
   }
 
-  /** Refuses all other fields: a misspelt setting must not pass for a set one. */
+  /** Adds a fault for each field not in `names`, so that a misspelt setting isn't ignored. */
   refuseUnknown(names: readonly string[]): void {
     for (const name of Object.keys(this.source))
       if (!names.includes(name))
--- a/src/config/hcl.ts
+++ b/src/config/hcl.ts
@@ -1,18 +1,19 @@
 /**
- * Reads HCL, the language of the operators' and the packages' files.
+ * Parses HCL, the format of the operators' and the packages' settings files.
  *
- * The library costs half a second of processor time to load, so that is left until there is a file.
+ * Loading the library takes half a second of processor time, so it is loaded only if a file is
+ * given.
  */
 import type { Checked } from "./checked.js";
 import type { FieldReader } from "./field-reader.js";
 
-/** A file as a map. A block's name stands for the list of all blocks of that name. */
+/** A parsed file. The value under a block's name is the list of all blocks with that name. */
 export type HclMap = Readonly<Record<string, unknown>>;
 
-/** What of an error of the library is of use: its first line. */
+/** Only the first line of the library's errors is useful. */
 const firstLineOf = (error: unknown): string => String(error).split("\n")[0] ?? "";
 
-/** The text as a map, or the first fault of its form. */
+/** The parsed text, or the first syntax error. */
 export const parseHcl = async (source: string): Promise<Checked<HclMap>> => {
   const hcl = (await import("hcl2-parser")).default as {
     parseToObject: (text: string) => readonly [unknown, unknown];
@@ -28,8 +29,8 @@
 };
 
 /**
- * The body of a block that may stand once; undefined if it is missing. In JSON, which the build
- * makes of HCL, it may stand as it is instead of in a list of one.
+ * The body of a block that may appear at most once; undefined if it is missing. In the JSON that
+ * the build generates from HCL, the body may also appear directly instead of in a list of one.
  */
 export const singleBlock = (raw: HclMap, name: string, faults: string[]): unknown => {
   const block = raw[name];
@@ -38,11 +39,11 @@
   return block[0];
 };
 
-/** A body's fields; none if it is no map. */
+/** The fields of a block's body; empty if it isn't a map. */
 export const blockFields = (body: unknown): HclMap =>
   typeof body === "object" && body !== null ? { ...body } : {};
 
-/** A setting that is a number: its name in the file, its name here, its bounds and its default. */
+/** A numeric setting: its name in the file, its key in the code, its bounds and its default. */
 export interface NumberSetting<Key> {
   readonly name: string;
   readonly key: Key;
@@ -52,7 +53,7 @@
   readonly isInteger?: boolean;
 }
 
-/** Reads one, which is its default where the file doesn't name it. */
+/** Reads a numeric setting; returns its default if the file doesn't contain it. */
 export const readNumber = (reader: FieldReader, setting: NumberSetting<string>): number => {
   const { name, min, max, fallback } = setting;
   return setting.isInteger === true
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -1,69 +1,71 @@
 /**
- * The operators' own settings: an HCL file beside the platform's, in which each setting has a
- * default.
+ * The operators' settings: an optional HCL file, separate from the platform's settings, in which
+ * each setting has a default.
  *
- * `OPERATOR_SETTINGS` is the one table of names, bounds and defaults; docs/operations.md tells each
- * one's effect. Names end in their unit.
+ * `OPERATOR_SETTINGS` is the only table of names, bounds and defaults; docs/operations.md describes
+ * the effect of each. Names of durations end in their unit.
  */
 import { type Checked, checked } from "./checked.js";
 import { FieldReader } from "./field-reader.js";
 import { blockFields, type NumberSetting, parseHcl, readNumber, singleBlock } from "./hcl.js";
 
-/** What operators may set beyond the platform's file. */
+/** The operators' settings by their names in the code. */
 export interface Operators {
-  /** A controller that is silent for this long loses its shards. */
+  /**
+   * Duration of a member lease: a controller that doesn't renew it for this long loses its shards.
+   */
   readonly memberLeaseMs: number;
-  /** Pause between two watches of the state store. */
+  /** Pause between two watch requests to the state store. */
   readonly watchPauseMs: number;
-  /** Longest pause between rounds when nothing happens, and the longest rest after one. */
+  /** Maximum pause between rounds if nothing changes, and if a round requests a pause after it. */
   readonly maxRoundPauseMs: number;
-  /** A controller must have been a member for this long before it is given a shard back. */
+  /** A controller must have been a member for this long before shards are returned to it. */
   readonly shardReturnDelayS: number;
-  /** A machine silent for this long, which also fails two calls, is returned. */
+  /** A machine that sends no heartbeat for this long and fails two calls is decommissioned. */
   readonly silenceTimeoutS: number;
-  /** How often the swarm moves tasks. */
+  /** Period of the swarm's task moves. */
   readonly swarmPeriodS: number;
-  /** Most moves a shard and period; 0 turns moves off. */
+  /** Maximum number of moves per shard and period; 0 disables moves. */
   readonly maxSwarmMoves: number;
-  /** The same as a part of the shard's machines, where that is more. */
+  /** The same limit as a fraction of the shard's machines; the larger of the two limits applies. */
   readonly maxSwarmMovesFraction: number;
-  /** Only tasks that would lose at most this much work move. */
+  /** A task is moved only if it would lose at most this much work. */
   readonly swarmMaxLossS: number;
-  /** How often the fleet is planned and the cloud called. */
+  /** Period of fleet planning and of calls to the cloud. */
   readonly fleetPeriodMs: number;
-  /** An unneeded machine idle for this long is returned. */
+  /** A machine that isn't needed is returned after it has been idle for this long. */
   readonly idleReturnS: number;
-  /** Room beyond what urgent classes use, as a part of it, on spot machines only. */
+  /** Spare capacity for urgent job classes, as a fraction of their use; on spot machines only. */
   readonly urgentHeadroomFraction: number;
-  /** Room beyond what perfectly divisible work would take; 1 is the bare bound. */
+  /** Factor on the demand bound, which assumes perfectly divisible work; 1 adds no margin. */
   readonly demandMarginFactor: number;
-  /** The part of the time left in which patient classes should be through, if room is cheap. */
+  /** Fraction of its spare time that a non-urgent job class may wait if capacity is cheap. */
   readonly maxWaitFraction: number;
-  /** The same where only costly machines are to be had. */
+  /** The same fraction if only expensive machines are available. */
   readonly maxWaitFractionIfCostly: number;
-  /** How fast the forecast follows demand upwards. */
+  /** Time constant with which the demand forecast follows rising demand. */
   readonly forecastRiseS: number;
-  /** How fast it follows demand downwards. */
+  /** Time constant with which the demand forecast follows falling demand. */
   readonly forecastFallS: number;
-  /** Work of higher priority preempts if it must start within this time. */
+  /** A task may preempt tasks of lower priority only if it must start within this time. */
   readonly preemptSlackS: number;
-  /** Most work that making room for one task may throw away. */
+  /** Maximum amount of work that preemption for one task may discard. */
   readonly preemptMaxLossS: number;
-  /** Work with less slack than this is spared in favour of work with more. */
+  /** Preemption prefers victims with at least this much slack to those with less. */
   readonly protectedSlackS: number;
-  /** A job that has waited this long without one start goes before all others. */
+  /** A job of which no task has started for this long is placed before all other jobs. */
   readonly overdueAfterS: number;
-  /** What a rented machine's boot is taken to be spread over when offers are compared. */
+  /** Assumed lifetime of a rented machine, over which the cost of its boot time is spread. */
   readonly expectedMachineLifeS: number;
-  /** An offer refused for lack of capacity is not asked for again for this long. */
+  /** An offer that the cloud refused for lack of capacity is not requested again for this long. */
   readonly refusedOfferPauseS: number;
-  /** A machine not up after this many times its type's boot time is returned. */
+  /** A machine that isn't up after this multiple of its type's boot time is returned. */
   readonly bootTimeoutFactor: number;
-  /** How often `stats` is logged. */
+  /** Period of the `stats` log event. */
   readonly statsPeriodS: number;
 }
 
-/** One setting, and the block that it stands in. */
+/** A setting and the block that contains it. */
 export interface OperatorSetting extends NumberSetting<keyof Operators> {
   readonly section: string;
 }
@@ -81,7 +83,7 @@
   bounds: Bounds,
 ): OperatorSetting => ({ section, name, key, ...bounds });
 
-/** All settings, in the order in which faults are reported within a block. */
+/** All settings; within a block, faults are reported in this order. */
 export const OPERATOR_SETTINGS: readonly OperatorSetting[] = [
   setting("membership", "lease_ms", "memberLeaseMs", { min: 500, max: 600_000, fallback: 4000 }),
   setting("membership", "hand_back_s", "shardReturnDelayS", { min: 0, max: 86_400, fallback: 6 }),
@@ -110,13 +112,13 @@
   setting("logs", "stats_period_s", "statsPeriodS", { min: 1, max: 86_400, fallback: 30 }),
 ];
 
-/** What holds without a file. */
+/** The settings without a file. */
 export const defaultOperators = (): Operators =>
   Object.fromEntries(
     OPERATOR_SETTINGS.map(({ key, fallback }) => [key, fallback]),
   ) as unknown as Operators;
 
-/** Checks the file as a map, in which blocks arrive as lists of one map. */
+/** Validates a parsed file, in which each block is a list of one map. */
 export const checkOperators = (raw: Readonly<Record<string, unknown>>): Checked<Operators> => {
   const faults: string[] = [];
   const sections = [...new Set(OPERATOR_SETTINGS.map(({ section }) => section))];
@@ -132,7 +134,7 @@
   return checked(values as unknown as Operators, faults);
 };
 
-/** Reads the file's text. */
+/** Parses and validates the file's text. */
 export const parseOperators = async (source: string): Promise<Checked<Operators>> => {
   const parsed = await parseHcl(source);
   return parsed.ok ? checkOperators(parsed.value) : parsed;
--- a/src/config/packages.ts
+++ b/src/config/packages.ts
@@ -1,8 +1,8 @@
 /**
- * The packages' file: which packages are on, and their settings. It is HCL, or the JSON that the
- * build makes of it, which is cheaper to read.
+ * The packages' settings file: which packages are enabled, and their settings. It is HCL, or the
+ * JSON that the build generates from it, which is cheaper to parse.
  *
- * Reading it loads nothing of a package. A package without a block is off, with its defaults.
+ * Reading it doesn't load any code of a package. A package without a block is disabled.
  */
 import type { LoadSpreadSettings } from "@umberfold/load-spread";
 import { type Checked, checked } from "./checked.js";
@@ -16,7 +16,7 @@
   singleBlock,
 } from "./hcl.js";
 
-/** Which packages are switched on, and their settings. A package without a block is off. */
+/** The settings of each package, which include whether it is enabled. */
 export interface PackageSettings {
   readonly loadSpread: LoadSpreadSettings;
 }
@@ -57,12 +57,13 @@
   const { minShare, maxSpan } = settings;
   if (minShare * maxSpan > 1)
     reader.faults.push(
-      `${LOAD_SPREAD_BLOCK}: max_span times min_share is more than the whole: ${maxSpan} times ${minShare}`,
+      `${LOAD_SPREAD_BLOCK}: max_span times min_share must be at most 1, ` +
+        `not ${maxSpan} times ${minShare}`,
     );
   return settings;
 };
 
-/** Checks the file as a map: HCL blocks arrive as lists of one map, JSON objects as they are. */
+/** Validates a parsed file: a block is a list of one map in HCL, and may be a map in JSON. */
 export const checkPackages = (raw: HclMap): Checked<PackageSettings> => {
   const faults: string[] = [];
   new FieldReader(raw, "", faults).refuseUnknown([LOAD_SPREAD_BLOCK]);
@@ -73,14 +74,14 @@
   return checked({ loadSpread: readLoadSpread(reader) }, faults);
 };
 
-/** All packages off, as without a file. Throws only if a default is out of its own bounds. */
+/** The settings without a file: all packages disabled. Throws only if a default is invalid. */
 export const defaultPackages = (): PackageSettings => {
   const defaults = checkPackages({});
   if (!defaults.ok) throw new Error(defaults.faults.join("; "));
   return defaults.value;
 };
 
-/** The faults that only show beside the platform's settings. */
+/** Validates the packages' settings against the platform's number of shards. */
 export const checkShardCount = (
   { loadSpread: { enabled, maxSpan } }: PackageSettings,
   shardCount: number,
@@ -89,7 +90,7 @@
     ? [`${LOAD_SPREAD_BLOCK}.max_span: ${maxSpan}, but there are ${shardCount} shards`]
     : [];
 
-/** Reads the file's text; its name tells whether it is JSON. */
+/** Parses and validates the file's text, as JSON if the file's name ends in `.json`. */
 export const parsePackages = async (
   file: string,
   source: string,
@@ -102,7 +103,7 @@
     const raw: unknown = JSON.parse(source);
     if (typeof raw === "object" && raw !== null) return checkPackages({ ...raw });
   } catch {
-    // Reported below, as for any other text that is no JSON object.
+    // Reported below, like valid JSON that isn't an object.
   }
   return { ok: false, faults: ["not a JSON object"] };
 };
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,8 +1,9 @@
 /**
- * The platform's file, in TOML: who this controller is, where the others are, and what the protocol
- * and the machine allow. It is read once, at the start, and doesn't change while a process lives.
+ * The platform's settings file, in TOML: this controller's label and addresses, those of the other
+ * controllers, and the limits of the protocol and of this process. It is read once, at the start.
  *
- * Unknown fields are ignored, since the platform may add some. Wire names are mapped here, each once.
+ * Unknown fields are ignored, since the platform may add some. The names in the file are mapped to
+ * names in the code only here.
  */
 import { type ControllerLabel, controllerLabel, type TeamName, teamName } from "@umberfold/ids";
 import { parse } from "smol-toml";
@@ -14,36 +15,36 @@
 
 const UNLIMITED = Number.POSITIVE_INFINITY;
 
-/** A team's quota: what it is guaranteed, and what it may use at most. */
+/** A team's quota: its guaranteed resources and its limits. */
 export interface Team {
   readonly name: TeamName;
   readonly cpus: number;
   readonly gpus: number;
-  /** 0 in the file means none; here that is infinity. */
+  /** The limit; 0 in the file means no limit, which is infinity here. */
   readonly cpusMax: number;
-  /** The same for devices. */
+  /** The limit on GPUs, likewise. */
   readonly gpusMax: number;
 }
 
-/** A service-level objective: what the settings ask of a job class. */
+/** A service-level objective for a job class. */
 export interface Objective {
   readonly kind: string;
-  /** Null: of all classes. */
+  /** Null: all job classes. */
   readonly jobClass: string | null;
   readonly withinS: number | null;
-  /** The part of the jobs for which it should hold. */
+  /** The fraction of the jobs for which the objective should hold. */
   readonly share: number | null;
   /** For deadlines: how many times as long as a job's own. */
   readonly times: number | null;
 }
 
-/** Kinds of objectives that are known; not all of them can be scheduled for. */
+/** The known kinds of objectives; the scheduler uses only some of them. */
 const OBJECTIVE_KINDS: readonly string[] = [
   ...["wait", "finished", "deadline", "guarantee", "makespan"],
   ...["submit", "useful", "price", "rules", "node_restarts"],
 ];
 
-/** One that can't be read is no reason not to start: it is ignored, and logged. */
+/** An invalid objective doesn't prevent the start: its fault is added to `ignored` and logged. */
 const readObjective = (row: FieldReader, ignored: string[]): Objective | undefined => {
   const faults: string[] = [];
   const fields = row.withFaults(faults);
@@ -52,7 +53,7 @@
     faults.push(
       `${row.path}.kind: must be one of ${OBJECTIVE_KINDS.join(", ")}, not ${describeValue(kind)}`,
     );
-  // The first fault is enough to find the row: what follows it isn't read.
+  // One fault is enough to find the invalid table: no more fields are read after it.
   const optional = <Value>(name: string, read: () => Value): Value | null =>
     faults.length === 0 && fields.has(name) ? read() : null;
   const optionalNumber = (name: string): number | null =>
@@ -75,52 +76,55 @@
   readonly address: string;
 }
 
-/** What the protocol prescribes for workers. */
+/** The times that the protocol prescribes for workers. */
 export interface WorkerSettings {
   /** Seconds between two heartbeats. */
   readonly heartbeatPeriodS: number;
-  /** Seconds after its last answered heartbeat at which a worker ends all tasks. */
+  /**
+   * Duration of a worker lease: a worker ends all tasks this long after its last answered
+   * heartbeat.
+   */
   readonly leaseS: number;
-  /** Seconds within which a cancelled job's tasks must be gone. */
+  /** Seconds within which all tasks of a cancelled job must have ended. */
   readonly cancellationTimeoutS: number;
 }
 
-/** What the state store allows. */
+/** The limits of the state store. */
 export interface StateSettings {
-  /** Requests a second, of all controllers together; renewals of leases and watches count. */
+  /** Requests per second of all controllers together, including lease renewals and watches. */
   readonly rps: number;
-  /** Puts and deletes a second, of all controllers together; those of refused transactions count. */
+  /** Puts and deletes per second of all controllers together; refused transactions count too. */
   readonly writeRps: number;
-  /** The largest value, in KiB. */
+  /** Maximum size of a value in KiB. */
   readonly valueKb: number;
-  /** The most puts and deletes of one transaction. */
+  /** Maximum number of puts and deletes in one transaction. */
   readonly txnOps: number;
 }
 
-/** What the cloud allows. */
+/** The limits of the cloud's API. */
 export interface CloudSettings {
-  /** Requests a second; all go through the leader but for forced returns. */
+  /** Requests per second. Only the leader calls the cloud, except for forced returns. */
   readonly rps: number;
-  /** Seconds by which its list of machines is behind; at times up to twice as many. */
+  /** Seconds by which the cloud's list of machines may be stale; occasionally twice as many. */
   readonly listLagS: number;
 }
 
-/** What this process may use of its machine. */
+/** The resources that this process may use. */
 export interface ProcessResources {
-  /** The part of a core. */
+  /** The fraction of a processor core. */
   readonly cpuFraction: number;
   readonly ramMb: number;
   readonly maxSockets: number;
 }
 
-/** The file that the platform hands over. */
+/** The validated settings of the platform. */
 export interface Settings {
   readonly label: ControllerLabel;
   /** The zone that this controller runs in. */
   readonly zone: string;
-  /** Where users, workers and the load balancer reach it. */
+  /** Host and port for users, workers and the load balancer. */
   readonly frontAddress: string;
-  /** Where the other controllers reach it. */
+  /** Host and port for the other controllers. */
   readonly internalAddress: string;
   /** The other controllers. */
   readonly seeds: readonly Seed[];
@@ -129,11 +133,11 @@
   readonly shardCount: number;
   /** All zones of the cloud. */
   readonly zones: readonly string[];
-  /** How far the wall clocks of two hosts may differ. */
+  /** Maximum difference between the wall clocks of two hosts. */
   readonly skewMs: number;
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
-  /** Objectives that could not be read, a line each. */
+  /** One line for each objective that was ignored because it is invalid. */
   readonly ignoredObjectives: readonly string[];
   readonly workers: WorkerSettings;
   readonly state: StateSettings;
@@ -141,13 +145,16 @@
   readonly resources: ProcessResources;
 }
 
-/** What a process takes before it has read anything, and room to read it. */
+/** Memory that a process needs at the start, and to read the state store's records. */
 const MIN_RAM_MB = 80;
 const DEFAULT_RAM_MB = 512;
 const MAX_SOCKETS = 10_000_000;
 const DEFAULT_MAX_SOCKETS = 1024;
 const MAX_SHARDS = 1000;
-/** A batch never needs more than a completion, its record and a condition's worth of room. */
+/**
+ * The minimum for finishing a job in one transaction: one operation each on its live and its final
+ * record, which also leaves room for the conditions.
+ */
 const MIN_TXN_OPS = 2;
 const MAX_TXN_OPS = 100_000;
 
@@ -193,7 +200,7 @@
   maxSockets: section.integer("max_sockets", minSockets(members), MAX_SOCKETS, DEFAULT_MAX_SOCKETS),
 });
 
-/** In the order of the file, which is the order in which faults are reported. */
+/** Reads the fields in the order of the file, in which the faults are then reported. */
 const readSettings = (top: FieldReader): Settings => {
   const services = top.section("services");
   const params = top.section("params");
@@ -226,11 +233,11 @@
   };
 };
 
-/** The first value that stands twice. */
+/** The first value that appears more than once. */
 const findDuplicate = (values: readonly string[]): string | undefined =>
   values.find((value, index) => values.indexOf(value) < index);
 
-/** The file's settings, or a line for each fault. */
+/** Parses and validates the file; returns the settings, or a line for each fault. */
 export const parseSettings = (source: string): Checked<Settings> => {
   let raw: unknown;
   try {
--- a/src/observability/log.ts
+++ b/src/observability/log.ts
@@ -1,32 +1,31 @@
 /**
- * Logs: one JSON object a line, on standard error. The events and their fields are in
- * docs/operations.md.
+ * Logging: one JSON object per line on standard error. docs/operations.md describes the events and
+ * their fields.
  *
- * Nothing here has state. Whatever fields an event has, `level`, `event` and the base fields are
- * there as well.
+ * Stateless. Each line has `level`, `event` and the base fields besides the event's own fields.
  */
 
-/** How much a line matters: `debug` is for a single job or machine, and may be a flood. */
+/** Log levels; `debug` logs events of single jobs and machines, which may be very many lines. */
 export type Level = "error" | "info" | "debug";
 const LEVEL_ORDER: Readonly<Record<Level, number>> = { error: 0, info: 1, debug: 2 };
 
-/** The fields of an event, by name; durations and sizes have their unit in the name. */
+/** The fields of an event by name; names of durations and sizes include the unit. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** Writes events of each level, if that level is on. */
+/** Writes the events whose level is enabled. */
 export interface Logger {
   readonly error: (event: string, fields?: LogFields) => void;
   readonly info: (event: string, fields?: LogFields) => void;
   readonly debug: (event: string, fields?: LogFields) => void;
-  /** Lets a caller skip gathering fields that no one would see. */
+  /** Whether a level is enabled, so that callers can avoid computing fields that aren't logged. */
   readonly enabled: (level: Level) => boolean;
 }
 
-/** The level that `LOG_LEVEL` names; `info` for anything else. */
+/** The level for a value of `LOG_LEVEL`; `info` if it is missing or unknown. */
 export const parseLevel = (name: string | undefined): Level =>
   name === "error" || name === "debug" ? name : "info";
 
-/** A logger that writes this level and what matters more; `base` goes into each line. */
+/** A logger for `threshold` and the more severe levels; each line contains the fields of `base`. */
 export const makeLogger = (
   threshold: Level,
   base: LogFields,
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -1,16 +1,16 @@
 /**
- * Samples of how long things took, gathered between two `stats` events.
+ * Samples of durations, collected between two `stats` log events.
  *
- * It owns the samples since the last `drain`. Recording is an array push; percentiles wait for the
- * log. The histogram library is loaded on first use: it costs a third of a second of a controller's
- * start.
+ * Holds the samples since the last `drain`. Recording only appends to an array; percentiles are
+ * computed for the log event. The histogram library is loaded on first use, since loading it would
+ * prolong a controller's start by a third of a second.
  */
 
-/** Most samples kept of one name between two logs; more say nothing new about the spread. */
+/** Samples kept per name between two log events; more would hardly change the percentiles. */
 const MAX_SAMPLES_PER_NAME = 4096;
 const SIGNIFICANT_DIGITS = 2;
 
-/** How the samples of one name are spread, in their own unit. */
+/** Count, percentiles and maximum of the samples of one name, in the unit of the samples. */
 export interface SampleSummary {
   readonly n: number;
   readonly p50: number;
@@ -18,18 +18,18 @@
   readonly max: number;
 }
 
-/** Samples by name. */
+/** Collects samples by name. */
 export class Metrics {
   readonly #samples = new Map<string, number[]>();
 
-  /** Adds a sample, of which at most `MAX_SAMPLES` are kept. */
+  /** Adds a sample; discards it if the name has `MAX_SAMPLES_PER_NAME` samples already. */
   record(name: string, value: number): void {
     const samples = this.#samples.get(name);
     if (samples === undefined) this.#samples.set(name, [value]);
     else if (samples.length < MAX_SAMPLES_PER_NAME) samples.push(value);
   }
 
-  /** Summaries of what was recorded since the last call, rounded to two digits. */
+  /** Summaries of the samples since the last call, rounded to two significant digits. */
   async drain(): Promise<Readonly<Record<string, SampleSummary>>> {
     if (this.#samples.size === 0) return {};
     const hdr = await import("hdr-histogram-js");
--- a/src/service/availability-monitor.ts
+++ b/src/service/availability-monitor.ts
@@ -1,7 +1,7 @@
 /**
- * Watches how this controller stands with the state store and with its machines, and asks the other
- * controllers where that alone does not tell whose failure it is. Owns nothing but whether the
- * shards were released at the last look.
+ * Monitors whether this controller reaches the state store and its machines. If it doesn't, it asks
+ * the other controllers whether they do, which tells a failure of its own network from a failure of
+ * the store or the machines. Its only state is whether the shards were released at the last update.
  */
 import type { ControllerContext } from "../coordination/context.js";
 import {
@@ -14,16 +14,16 @@
 import { monotonicNow } from "../transport/clock.js";
 import { PEER_HEARTBEAT_RECEPTION_PATH, PEER_STORE_AVAILABILITY_PATH } from "./routes.js";
 
-/** How long another controller may take to answer how it stands. */
+/** Timeout of a status request to another controller. */
 const PEER_TIMEOUT_MS = 800;
 const STATUS_YES = 204;
 const STATUS_NO = 503;
 
-/** Assesses the store's availability; `update` is run again and again as a periodic task. */
+/** Assesses the availability of the store and of the machines; `update` is a periodic task. */
 export class AvailabilityMonitor {
   #hadReleasedShards = false;
 
-  /** `peers` calls the other controllers; state store and workers are not called from here. */
+  /** `peers` is the HTTP client for the other controllers, the only hosts called from here. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
@@ -32,8 +32,9 @@
   ) {}
 
   /**
-   * One look. After an isolation or a rejoin it restarts the timers of failure detection; when no
-   * machine is reachable from here though others reach theirs, it releases the shards.
+   * Reassesses availability once. After an isolation or a rejoin, restarts the timers of failure
+   * detection. Releases the shards if this controller reaches no machines while other controllers
+   * reach theirs, so that one of those takes them over.
    */
   async update(): Promise<void> {
     const { ctx, membership, owner } = this;
@@ -43,8 +44,8 @@
     const wasIsolated = membership.storeAvailability === "isolated";
     const hasReleasedShards = membership.hasReleasedShards;
     const availability = membership.updateAvailability(reports);
-    // Heartbeats missed during a failure of this controller's own are no machine's failure.
-    // So after a release too: machines of a shard that came back start anew. (docs/incidents, inc-58fc)
+    // Heartbeats that were missed while this controller was isolated or had released its shards are
+    // no evidence of a failed machine, so the machines of a regained shard start with new timers.
     const hasRejoined = this.#hadReleasedShards && !hasReleasedShards;
     this.#hadReleasedShards = hasReleasedShards;
     if (hasRejoined || (wasIsolated && availability !== "isolated"))
@@ -52,13 +53,14 @@
     const hasPeers = ctx.replica.members.size > 1;
     if (owner.channel.connectivity !== "disconnected" || !hasPeers) return;
     if (availability !== "available" || !membership.holdsValidLease()) return;
-    // Where the others receive no heartbeats either, there is nobody to release the shards to.
+    // If no other controller receives heartbeats either, releasing the shards would not help: then
+    // the machines or the common network have failed.
     const heartbeats = await this.#askPeers(PEER_HEARTBEAT_RECEPTION_PATH);
     if (heartbeats.availableCount > 0 || heartbeats.unavailableCount === 0)
       await membership.releaseShards();
   }
 
-  /** Asks all other controllers one yes-or-no question about themselves; some may not answer. */
+  /** Asks all other controllers the yes-or-no question at `path`; counts only those that answer. */
   async #askPeers(path: string): Promise<PeerReports> {
     const { seeds } = this.ctx.settings;
     const answers = await Promise.all(
--- a/src/service/controller-tasks.ts
+++ b/src/service/controller-tasks.ts
@@ -1,9 +1,9 @@
 /**
- * The table of a controller's periodic tasks: which part does what, and how often.
+ * The table of a controller's periodic tasks: what each runs, and how often.
  *
- * Nothing here has state. The order of the table is the order in which the tasks first run, and the
- * simulation depends on it. Each task runs again its period after it last ended, so that none ever
- * overlaps itself; a task's name is what `periodic task failed` says.
+ * Stateless. The tasks first run in the order of the table, and the simulation depends on that
+ * order. A period is measured from the end of one run to the start of the next, so that a task
+ * never overlaps itself. The log event `periodic task failed` contains the task's name.
  */
 import type { Operators } from "../config/operators.js";
 import type { PackageSettings } from "../config/packages.js";
@@ -14,25 +14,26 @@
 import type { RoundLoop } from "./round-loop.js";
 import { type ReportedComponents, reportStats } from "./stats-report.js";
 
-/** A lease is renewed so many times before it would expire. */
+/** Number of renewals within the duration of a member lease. */
 const RENEWALS_PER_LEASE = 4;
 const MEMBERSHIP_PERIOD_MS = 250;
 const AVAILABILITY_PERIOD_MS = 400;
 const ADOPTION_PERIOD_MS = 400;
 const CANCELLATIONS_PERIOD_MS = 500;
 /**
- * What happens within this time is decided together. A round costs much the same whether one
- * machine has changed or ten; at 15 ms rounds took a quarter of a controller's processor time.
+ * Pause between two rounds, in which changes are collected for one batch. A round costs about the
+ * same for one changed machine as for ten; at 15 ms rounds took a quarter of a controller's
+ * processor time.
  */
 const MIN_ROUND_PAUSE_MS = 50;
 const FAILING_JOBS_PERIOD_MS = 2000;
 const REBALANCE_PERIOD_MS = 200;
-/** How many times as long as they took a rebalance and a plan of the fleet rest. */
+/** Rest after a rebalance and after a fleet plan, as a multiple of the time that it took. */
 const REBALANCE_REST_FACTOR = 10;
 const PLAN_REST_FACTOR = 10;
 const MS_PER_S = 1000;
 
-/** The components whose work is periodic. */
+/** The components that the periodic tasks use. */
 export interface TaskComponents extends ReportedComponents {
   readonly operators: Operators;
   readonly packages: PackageSettings;
@@ -42,7 +43,10 @@
   readonly rounds: RoundLoop;
 }
 
-/** Plans the fleet; spans of a time at which load spreading was on are drained home as well. */
+/**
+ * Plans the fleet. If load spreading is off but spans remain from when it was on, also runs load
+ * spreading, which moves their jobs back to the teams' home shards and dissolves the spans.
+ */
 const planFleet = ({ ctx, leader, loadSpread, packages }: TaskComponents): Promise<void> => {
   const planned = leader.plan();
   const hasSpansToDissolve = !packages.loadSpread.enabled && ctx.quotas.hasDividedQuotas;
@@ -55,7 +59,7 @@
   return enabled ? [periodicTask("load-spread", periodMs, tick)] : [];
 };
 
-/** All periodic tasks of a controller, in the order in which they are to be started. */
+/** All periodic tasks of a controller, in the order in which they must be started. */
 export const controllerTasks = (components: TaskComponents): readonly PeriodicTask[] => {
   const { operators, membership, availability, leader, cancellations, sync, rounds, owner } =
     components;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,9 +1,9 @@
 /**
- * The composition root: which parts make one controller, and what each of them is given.
+ * The composition root: constructs the components of one controller and connects them.
  *
- * Nothing runs here. All parts live as long as the controller; whoever makes one starts its tasks
- * and servers, and calls `stop` when they have ended. The order of construction is kept, since parts
- * read the clock and the settings as they are made.
+ * Nothing is started here. All components live as long as the controller; the caller starts the
+ * tasks and servers, and calls `stop` after they have ended. The order of construction matters,
+ * since components read the clock and the settings in their constructors.
  */
 import type { Incarnation } from "@umberfold/ids";
 import type { Operators } from "../config/operators.js";
@@ -34,7 +34,7 @@
 import { frontHandler, peerHandler } from "./routes.js";
 import { UserApi } from "./user-api.js";
 
-/** What a controller reaches other hosts through, by the kind of host. Whoever opens them closes them. */
+/** HTTP clients by kind of host. The caller that opens them closes them. */
 export interface Connections {
   readonly state: HttpClient;
   readonly cloud: HttpClient;
@@ -42,19 +42,19 @@
   readonly peers: HttpClient;
 }
 
-/** A controller that is put together, and does nothing yet. */
+/** A constructed controller that has not been started. */
 export interface Controller {
-  /** Answers users, workers and the load balancer. */
+  /** Handles requests from users, workers and the load balancer. */
   readonly frontHandler: RequestHandler;
-  /** Answers the other controllers. */
+  /** Handles requests from the other controllers. */
   readonly peerHandler: RequestHandler;
-  /** To be started in this order. */
+  /** Must be started in this order. */
   readonly tasks: readonly PeriodicTask[];
-  /** Has its parts begin nothing more; the connections are closed by whoever opened them. */
+  /** Makes the components start no further work. Doesn't close the connections. */
   readonly stop: () => void;
 }
 
-/** What one controller is made of. */
+/** The inputs from which one controller is constructed. */
 interface ControllerInputs {
   readonly settings: Settings;
   readonly operators: Operators;
@@ -80,7 +80,8 @@
     log,
     random,
     metrics: new Metrics(),
-    // Half of its lease: after a longer pause it may have expired, and others own its shards.
+    // Half of the member lease: after a longer pause the lease may have expired, and then other
+    // controllers own the shards.
     pauseDetector: new PauseDetector(monotonicNow(), operators.memberLeaseMs / 2),
     eventLoopLag: new EventLoopLag(),
     isReplicaSynced: false,
@@ -88,7 +89,7 @@
   };
 };
 
-/** All parts of one controller, put together; whoever calls this runs the tasks and the servers. */
+/** Constructs all components of one controller; the caller runs the tasks and the servers. */
 export const makeController = (
   settings: Settings,
   operators: Operators,
--- a/src/service/event-loop-watch.ts
+++ b/src/service/event-loop-watch.ts
@@ -1,17 +1,17 @@
 /**
- * Measures how far the process is behind: this check is a periodic task, and how late it runs is the
- * event-loop lag. A check that runs very late means that the process was paused.
+ * Measures the event-loop lag: the check is a periodic task, and the time by which it runs late is
+ * the lag. A very late check means that the process was paused.
  *
- * It owns the time of its last run.
+ * Its state is the time of its last run.
  */
 import type { ControllerContext } from "../coordination/context.js";
 import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
 import { monotonicNow } from "../transport/clock.js";
 
-/** How often the check runs when nothing delays it. */
+/** Pause between two checks if the event loop is not delayed. */
 export const PAUSE_CHECK_PERIOD_MS = 250;
 
-/** Feeds the lag into the controller's context, and has the owner look for a process pause. */
+/** Records the lag in the controller's context and makes the shard owner detect process pauses. */
 export class EventLoopWatch {
   #lastRunAt = monotonicNow();
 
@@ -20,7 +20,7 @@
     private readonly owner: ShardOwner,
   ) {}
 
-  /** To be run `PAUSE_CHECK_MS` after it last ended. */
+  /** Must be called `PAUSE_CHECK_PERIOD_MS` after the previous call returned. */
   check(): void {
     const now = monotonicNow();
     this.ctx.eventLoopLag.observe(now - this.#lastRunAt - PAUSE_CHECK_PERIOD_MS, now);
--- a/src/service/job-answers.ts
+++ b/src/service/job-answers.ts
@@ -1,8 +1,9 @@
 /**
- * What a user is answered about a job, from what was read of it.
+ * Builds the responses about jobs from the records that were read.
  *
- * Invariant: an answer that says `cancelled` binds. It goes out only once the job's final record is
- * there, or its shard's owner has confirmed that it knows of the cancellation.
+ * Invariant: a response with the phase `cancelled` is a guarantee. It is sent only after the job's
+ * final record was written, or after the owner of its shard confirmed that it knows of the
+ * cancellation.
  */
 import type { JobId } from "@umberfold/ids";
 import type { ControllerContext } from "../coordination/context.js";
@@ -19,7 +20,7 @@
 import type { HttpResponse } from "../transport/server.js";
 import { tryAgain, UNKNOWN_JOB } from "./user-responses.js";
 
-/** A job that was accepted and has no final record. */
+/** The result of reading an accepted job that has no final record. */
 export type LiveJobLookup = Extract<JobLookup, { kind: "live" }>;
 
 const livePhase = (job: LiveJob): JobPhase => {
@@ -46,16 +47,16 @@
   body: jobStatusBody(status),
 });
 
-/** Turns what was read of a job into the answer to its user. */
+/** Turns the result of reading a job into the response to its user. */
 export class JobAnswers {
   constructor(
     private readonly ctx: ControllerContext,
     private readonly jobs: JobReader,
-    /** Whether the job's owner, or its record, confirms a cancellation that is written. */
+    /** Whether the job's owner, or the job's final record, confirms a written cancellation. */
     private readonly confirm: (notice: CancellationNotice) => Promise<boolean>,
   ) {}
 
-  /** The answer about a job, whatever was read. */
+  /** The response for a job, for each result of reading it. */
   async answer(id: JobId, found: JobLookup): Promise<HttpResponse> {
     switch (found.kind) {
       case "live":
@@ -70,18 +71,21 @@
     }
   }
 
-  /** Each answer that says `cancelled` binds as the first one does, whatever was asked. */
+  /**
+   * The response for a cancelled live job. The cancellation is confirmed before each response that
+   * reports it, not only before the one to the cancel request.
+   */
   async answerCancelled(id: JobId, found: LiveJobLookup): Promise<HttpResponse> {
     const { job, rev } = found;
     const status = liveJobStatus(id, this.#withProgress(id, job));
     if (job.cancelledAt !== null && (await this.confirm({ job: id, rev, at: job.cancelledAt })))
       return statusResponse(status);
-    // It may be finished by now, and its live record gone.
+    // Not confirmed. The job may have finished meanwhile, so that its live record was deleted.
     const now = await this.jobs.read(id);
     return now.kind === "final" ? this.answer(id, now) : tryAgain(503);
   }
 
-  /** Its progress is for display, and as old as what the replica knows. */
+  /** Adds the job's progress from the replica, which may be stale; it is only displayed. */
   #withProgress(id: JobId, job: AcceptedJob): LiveJob {
     const { done, open, nextAttempt } = this.ctx.replica.job(id) ?? NO_PROGRESS;
     return { ...job, done, open, nextAttempt };
--- a/src/service/job-cancellation.ts
+++ b/src/service/job-cancellation.ts
@@ -1,8 +1,8 @@
 /**
- * Cancelling jobs: writes the time of the cancellation into the job's record and answers.
+ * Cancels jobs: writes the time of the cancellation into the job's live record and responds.
  *
- * Nothing here has state. Invariant: the record is written on the condition of the revision that was
- * read, so that neither a final record nor an earlier cancellation is ever overwritten.
+ * Stateless. Invariant: the write is conditional on the revision that was read, so that neither a
+ * finished job nor an earlier cancellation is ever overwritten.
  */
 import type { JobId } from "@umberfold/ids";
 import { applyCommitted } from "../coordination/context.js";
@@ -13,20 +13,20 @@
 import type { JobWriteDependencies } from "./job-write-parts.js";
 import { tryAgain } from "./user-responses.js";
 
-/** How often, and for how long, a write is tried again that met with another's. */
+/** Limits on the tries of a write that conflicts with another controller's, by number and time. */
 const MAX_WRITE_TRIES = 5;
 const WRITE_TIMEOUT_MS = 2000;
 
-/** Cancels the jobs that users withdraw. */
+/** Handles the users' cancel requests. */
 export class JobCancellation {
   constructor(private readonly dependencies: JobWriteDependencies) {}
 
-  /** Idempotent: a job that is finished or cancelled is answered as it is. */
+  /** Idempotent: for a job that is finished or cancelled already, responds with its status. */
   async cancel(id: JobId): Promise<HttpResponse> {
     const { ctx, jobs, writes, answers, wake } = this.dependencies;
     const deadline = monotonicNow() + WRITE_TIMEOUT_MS;
     for (let tryIndex = 0; tryIndex < MAX_WRITE_TRIES && monotonicNow() < deadline; tryIndex++) {
-      // The write is conditional, so the replica's copy will do to begin with.
+      // The first try uses the replica's copy, which may be stale: the write is conditional.
       const found = (tryIndex === 0 && this.#fromReplica(id)) || (await jobs.read(id));
       if (found.kind !== "live") return answers.answer(id, found);
       if (found.job.cancelledAt !== null) return answers.answer(id, found);
@@ -49,13 +49,13 @@
           askedAt,
         });
       }
-      // The owner wrote between our read and our write: read again.
+      // A conflict: the record changed between the read and the write. Read it again.
       if (result.kind !== "conflict") return tryAgain(503);
     }
     return tryAgain(503);
   }
 
-  /** A live job as the replica has it, which another controller may have changed since. */
+  /** A live job from the replica; another controller may have changed its record since. */
   #fromReplica(id: JobId): JobLookup | undefined {
     const accepted = this.dependencies.ctx.replica.accepted.get(id);
     if (accepted === undefined) return undefined;
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -1,9 +1,9 @@
 /**
- * Accepting jobs: checks a submission, writes its record and answers.
+ * Accepts jobs: validates a submission, writes the job's record and responds.
  *
- * It owns the count of submissions that are being written. Invariant: a job that was accepted once
- * is answered as known ever after, whatever a repetition of its submission says; that is read from
- * the state store or secured by the conditions of the write.
+ * Its state is the number of submissions in flight. Invariant: submission is idempotent by job id.
+ * A repeated submission of an accepted job gets that job's status, even if its other fields differ
+ * or are invalid. This is ensured by reading the state store or by the conditions of the write.
  */
 import { type JobId, KEY_ABSENT } from "@umberfold/ids";
 import { applyCommitted } from "../coordination/context.js";
@@ -15,24 +15,25 @@
 import type { JobWriteDependencies } from "./job-write-parts.js";
 import { malformed, NOT_CBOR, neverRuns, tryAgain } from "./user-responses.js";
 
+/** Lower bound of the limit on submissions in flight. */
 const MIN_PENDING_LIMIT = 4;
 
-/** Whether a task of a job could run on some machine and within its team's limit. */
+/** Whether a task of a job fits some machine type and its team's limit. */
 type Runnability =
   | { readonly kind: "runnable" }
   | { readonly kind: "never_runs"; readonly reason: string };
 
 const notRunnable = (reason: string): Runnability => ({ kind: "never_runs", reason });
 
-/** Accepts the jobs that users submit. */
+/** Handles the users' submissions. */
 export class JobSubmission {
   #pending = 0;
 
   constructor(private readonly dependencies: JobWriteDependencies) {}
 
   /**
-   * Answers a submission, of which only the bytes are known. Not async itself: one more Promise
-   * would be several turns of the queue for each submission.
+   * Decodes and handles a submission. Not an async function: another Promise would cost each
+   * submission several turns of the microtask queue.
    */
   submit(bytes: Buffer): Promise<HttpResponse> {
     const decoded = decodeBody(bytes);
@@ -43,7 +44,7 @@
       : this.#refuse(submissionId(decoded.value), parsed.reason);
   }
 
-  /** A known job is answered before any check of what else a repetition says. */
+  /** Rejects an invalid submission, unless its id is that of a known job. */
   async #refuse(id: JobId | undefined, reason: string): Promise<HttpResponse> {
     const { jobs, answers } = this.dependencies;
     const found = id === undefined ? undefined : await jobs.read(id);
@@ -54,7 +55,8 @@
 
   async #submitParsed(spec: JobSpec): Promise<HttpResponse> {
     const { ctx, jobs, answers } = this.dependencies;
-    // Known jobs come first: settings or types may have changed since they were accepted.
+    // Known jobs are looked up before the checks below, which an accepted job may fail by now: the
+    // settings or machine types may have changed.
     if (jobs.finalOf(spec.id) !== undefined || ctx.replica.accepted.has(spec.id)) {
       const found = await jobs.read(spec.id);
       if (found.kind !== "none") return answers.answer(spec.id, found);
@@ -77,14 +79,16 @@
     }
   }
 
-  /** Without them it can't be told whether a job could ever run. */
+  /** Without the machine types it is unknown whether a job could ever run. */
   #knowsMachineTypes(): boolean {
     const { replica, isReplicaSynced } = this.dependencies.ctx;
     const types = replica.machineTypes?.value;
     return isReplicaSynced && types !== undefined && types.length > 0;
   }
 
-  /** About what the state store lets us write in a second; more would only wait its turn. */
+  /**
+   * About the number of writes per second that the state store allows; more would only queue up.
+   */
   #maxPending(): number {
     return Math.max(MIN_PENDING_LIMIT, Math.ceil(this.dependencies.ctx.settings.state.writeRps));
   }
@@ -124,7 +128,8 @@
       wake();
       return { status: 201, body: acceptedBody(spec.id) };
     }
-    // A conflict means it is known already. No answer means it may be: the user asks again.
+    // A conflict means that the job exists already. Without a result from the store the write may
+    // or may not have been applied, so the user is asked to retry.
     if (result.kind === "conflict") return answers.answer(spec.id, await jobs.read(spec.id));
     return tryAgain(503);
   }
--- a/src/service/load-spread-loader.ts
+++ b/src/service/load-spread-loader.ts
@@ -1,8 +1,8 @@
 /**
- * Loads the load-spread package where it is on, or where records of a time at which it was on are
- * left to drain. Otherwise nothing of it is read, and a look costs a comparison.
+ * Loads the load-spread package if it is enabled, or if spans remain from when it was enabled and
+ * must be dissolved. Otherwise the package's code isn't loaded and `tick` returns at once.
  *
- * It owns the loaded package; the package is loaded once, whoever asks first.
+ * It owns the loaded package, which is loaded at most once.
  */
 import type { LoadSpreadSettings } from "@umberfold/load-spread";
 import type { ControllerContext } from "../coordination/context.js";
@@ -12,7 +12,7 @@
 import type { ShardOwner } from "../coordination/rounds/shard-owner.js";
 import type { MachineTransferRequest } from "../protocol/peer.js";
 
-/** Stands for the load-spread package, which may never be loaded. */
+/** Loads the load-spread package on first use and delegates to it. */
 export class LoadSpreadLoader {
   #loading: Promise<LoadSpread> | undefined;
   #loaded: LoadSpread | undefined;
@@ -25,14 +25,14 @@
     private readonly leader: Leader,
   ) {}
 
-  /** Runs the package's periodic work once, and loads it before the first time. */
+  /** Runs the package's periodic work once; loads the package first if necessary. */
   async tick(): Promise<void> {
     if (!this.settings.enabled && !this.ctx.quotas.hasDividedQuotas) return;
     this.#loading ??= this.#load();
     await (await this.#loading).tick();
   }
 
-  /** Its counters since it was loaded; undefined before. */
+  /** The package's counters since it was loaded; undefined if it isn't loaded. */
   stats(): Readonly<Record<string, unknown>> | undefined {
     return this.#loaded?.stats();
   }
--- a/src/service/periodic-task.ts
+++ b/src/service/periodic-task.ts
@@ -1,35 +1,36 @@
 /**
- * Work that is done again and again, and how it is kept from taking all of the processor.
+ * Periodic tasks, and rests that keep expensive ones from taking all of the processor time.
  *
- * A task never overlaps itself: its period runs from the end of one run to the start of the next.
+ * A task never overlaps itself: its pause runs from the end of one run to the start of the next.
  */
 import { monotonicNow, sleep } from "../transport/clock.js";
 
-/** Work that is done again and again, `everyMs` after it last ended. */
+/** Work that is repeated; each run starts `pauseMs` after the previous one has ended. */
 export interface PeriodicTask {
-  /** As logs call it. */
+  /** The task's name in the logs. */
   readonly name: string;
   readonly pauseMs: number;
-  /** What it resolves to is of no interest; what it rejects with is logged. */
+  /** The resolved value is ignored; a rejection is logged. */
   readonly run: () => Promise<unknown>;
 }
 
-/** A row of a table of tasks. */
+/** Makes one row of a table of tasks. */
 export const periodicTask = (
   name: string,
   pauseMs: number,
   run: () => Promise<unknown>,
 ): PeriodicTask => ({ name, pauseMs, run });
 
-/** Decisions shorter than this need no rest. */
+/** Runs shorter than this are not followed by a rest. */
 const MIN_RESTED_RUN_MS = 2;
 
-/** A process that was paused in the middle of a decision would otherwise rest for minutes. */
+/** Without this limit, a process that was paused in the middle of a run would rest for minutes. */
 const MAX_REST_MS = 2000;
 
 /**
- * A decision that rests for `times` as long as it took, so that it takes a bounded part of the time.
- * Only its synchronous part is measured: what it then waits for takes no processor time.
+ * Wraps `run` so that each run is followed by a rest of `restFactor` times its duration, which
+ * bounds the fraction of processor time that it takes. Only the synchronous part of the run is
+ * measured, since waiting for I/O takes no processor time.
  */
 export const withProportionalRest =
   (restFactor: number, run: () => Promise<unknown>) => async (): Promise<void> => {
@@ -41,9 +42,10 @@
   };
 
 /**
- * Runs a task again and again until the returned function is called. A failure is reported and the
- * task tried again: nothing that goes wrong in one ends the process. (As an `effect` schedule each
- * run cost several times what most tasks do: an eighth of a controller's processor time.)
+ * Runs a task periodically until the returned function is called. A failed run is reported to
+ * `onFailure` and the task continues, so that a failure never ends the process. Doesn't use a
+ * schedule of `effect`, whose overhead per run was several times the work of most tasks and took an
+ * eighth of a controller's processor time.
  */
 export const startPeriodic = (
   task: PeriodicTask,
@@ -55,7 +57,7 @@
     if (!isStopped) timer = setTimeout(runOnce, task.pauseMs);
   };
   const runOnce = (): void => {
-    // Never rejects: a failure goes to `onFailure`, which only logs.
+    // This promise never rejects: failures go to `onFailure`, which only logs them.
     Promise.resolve().then(task.run).catch(onFailure).then(scheduleNext);
   };
   runOnce();
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the replica in step with the state store: a scan at the start and whenever the watch has
- * fallen too far behind, and the watch in between. Sets `isReplicaSynced` of the context, and
- * nothing else.
+ * Keeps the replica in sync with the state store: scans all records at the start and whenever the
+ * watch has fallen too far behind, and otherwise applies the changes that the watch returns. Sets
+ * `isReplicaSynced` of the context after the first scan.
  */
 import type { ControllerContext } from "../coordination/context.js";
 import type { Membership } from "../coordination/membership/membership.js";
@@ -9,21 +9,21 @@
 import { CURRENT_PREFIX, classifyKey } from "../storage/records.js";
 import { sleep } from "../transport/clock.js";
 
-/** How long the state store may hold a watch open until there is a change. */
+/** How long the state store may keep a watch request open if nothing changes. */
 const WATCH_TIMEOUT_MS = 10_000;
-/** How long to wait after a scan or a watch that came to nothing. */
+/** Delay after a failed scan or watch. */
 const RETRY_DELAY_MS = 200;
 
-/** The watch of this controller; `follow` is run again and again as a periodic task. */
+/** Watches the state store for this controller; `syncOnce` is run as a periodic task. */
 export class ReplicaSync {
-  /** `wakeRounds` has a scheduling round run soon. */
+  /** `wakeRounds` makes a scheduling round run soon. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     private readonly wakeRounds: () => void,
   ) {}
 
-  /** One watch, answered or timed out; before the first, the scan. */
+  /** Performs one watch request, and before the first of them a scan. */
   async syncOnce(): Promise<void> {
     const { store, replica } = this.ctx;
     if (!this.ctx.isReplicaSynced && !(await this.#startSync())) return sleep(RETRY_DELAY_MS);
@@ -35,11 +35,11 @@
     }
     let peerWrites = 0;
     for (const change of watched.changes) {
-      // A change that is not known yet is foreign: own ones were applied when they were answered.
-      // (While own deletes counted as foreign writes, an owner throttled itself when many jobs
-      // finished at once.)
+      // A change that the replica doesn't have yet was made by another controller: own changes are
+      // applied when their transaction succeeds. Own deletes must not be counted as peer writes: an
+      // owner would throttle its own writes when many jobs finish at once.
       if (replica.isKnown(change)) continue;
-      // Finishing a job also writes its final record, which no watch shows.
+      // Finishing a job also writes its final record, which this watch doesn't return.
       peerWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
       replica.apply(change);
     }
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** Not awaited: the watch must go on while membership waits for the state store. */
+  /** Doesn't wait for membership: the watch must continue while that waits for the state store. */
   #reconcileSoon(): void {
     this.wakeRounds();
     this.membership.reconcile().catch((error) => {
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -1,8 +1,8 @@
 /**
- * Which part answers which request, on the front address (users, workers, the load balancer) and on
- * the internal one (the other controllers).
+ * Routes requests to the components: those on the front address (from users, workers and the load
+ * balancer) and those on the internal address (from the other controllers).
  *
- * Nothing here has state. A path with another method is answered 405, an unknown path 404.
+ * Stateless. A known path with a wrong method gets status 405, an unknown path 404.
  */
 import type { Cancellations } from "../coordination/cancellation/cancellations.js";
 import type { ControllerContext } from "../coordination/context.js";
@@ -27,12 +27,12 @@
 import type { UserApi } from "./user-api.js";
 import { NOT_CBOR } from "./user-responses.js";
 
-/** Whether the state store serves the controller that is asked. */
+/** Path of the question whether the state store serves the controller that receives it. */
 export const PEER_STORE_AVAILABILITY_PATH = STORE_AVAILABILITY_PATH;
-/** Whether the controller that is asked receives its machines' heartbeats. */
+/** Path of the question whether the controller that receives it gets its machines' heartbeats. */
 export const PEER_HEARTBEAT_RECEPTION_PATH = HEARTBEAT_RECEPTION_PATH;
 
-/** The components of a controller that requests are handed to. */
+/** The components of a controller that handle requests. */
 export interface ControllerComponents {
   readonly ctx: ControllerContext;
   readonly membership: Membership;
@@ -40,7 +40,7 @@
   readonly leader: Leader;
   readonly cancellations: Cancellations;
   readonly users: UserApi;
-  /** Has a round run soon. */
+  /** Makes a scheduling round run soon. */
   readonly wake: () => void;
 }
 
@@ -53,7 +53,7 @@
   return owner.handleHeartbeat(body.value, (status) => leader.adoptMachine(status));
 };
 
-/** The one method of each path of a user's request. */
+/** The HTTP method that each kind of user request must have. */
 const METHOD_BY_TARGET = {
   readiness: "GET",
   submission: "POST",
@@ -80,18 +80,18 @@
   }
 };
 
-/** Requests of users, workers and the load balancer. */
+/** Handles requests from users, workers and the load balancer. */
 export const frontHandler =
   (components: ControllerComponents): RequestHandler =>
   (request) => {
-    // First, since nearly all requests are heartbeats.
+    // Checked first because nearly all requests are heartbeats.
     if (request.path !== HEARTBEAT_PATH) return handleUserRequest(components.users, request);
     return request.method === "POST"
       ? handleHeartbeat(components, request.bytes)
       : METHOD_NOT_ALLOWED;
   };
 
-/** Requests of the other controllers. */
+/** Handles requests from the other controllers. */
 export const peerHandler = (components: ControllerComponents): RequestHandler => {
   const { ctx } = components;
   return (request) => {
@@ -110,7 +110,10 @@
   };
 };
 
-/** 404 where it can't be told: nothing is owned, or it isn't known what. */
+/**
+ * 204 if heartbeats are received, 503 if not, and 404 if this is unknown: the controller owns no
+ * machines that should send any, or doesn't know yet which ones it owns.
+ */
 const answerHeartbeatReception = ({
   ctx,
   membership,
@@ -136,7 +139,8 @@
   }
   for (const transfer of message.moves) owner.requestTransfer(transfer);
   for (const machine of message.retire) owner.requestDecommission(machine, message.reason);
-  // Before the first scan it isn't known what is owned here: it can't promise to see to it.
+  // Before the first scan this controller doesn't know which jobs it owns, so it can't confirm that
+  // it will enforce a cancellation.
   if (message.cancelled.length > 0 && !ctx.isReplicaSynced) return { status: 503 };
   cancellations.receiveNotices(message.cancelled);
   leader.recordFailingJobs(message.failing);
--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -1,9 +1,9 @@
 /**
- * Runs one controller as a process: connections, servers and timers around the parts.
+ * Runs one controller as a process: opens its connections and servers and starts its timers.
  *
- * All of these belong to one scope, which closes them in the reverse order of their opening: first
- * no more tasks start, then no more requests are let in, then the parts stop, and last the
- * connections are closed.
+ * All of these belong to one scope, which closes them in the reverse order of opening: first the
+ * periodic tasks stop, then the servers accept no more requests, then the components stop, and last
+ * the connections are closed.
  */
 import { randomUUID } from "node:crypto";
 import type http from "node:http";
@@ -24,7 +24,7 @@
 import { type Connections, type Controller, makeController } from "./controller.js";
 import { type PeriodicTask, startPeriodic } from "./periodic-task.js";
 
-/** A server could not listen: the address is taken, or isn't this host's. */
+/** A server could not listen: its address is in use, or isn't an address of this host. */
 export class ListenError extends Data.TaggedError("ListenError")<{
   /** Host and port, as in the settings. */
   readonly address: string;
@@ -34,7 +34,7 @@
   readonly cause: Error;
 }> {}
 
-/** Connections to one host of the kinds of which there are several. */
+/** Connections per host, for other controllers and workers. */
 const MAX_CONNECTIONS_PER_HOST = 2;
 
 const openConnections = (parts: SocketParts): Connections => ({
@@ -44,7 +44,7 @@
   workers: new PooledHttpClient(MAX_CONNECTIONS_PER_HOST, parts.workers, parts.idleWorkers),
 });
 
-/** Each kind of host has its part of the sockets, so that none can take them all. */
+/** Each kind of host has its own limit on sockets, so that none can use up all of them. */
 const scopedConnections = (parts: SocketParts): Effect.Effect<Connections, never, Scope.Scope> =>
   Effect.acquireRelease(
     Effect.sync(() => openConnections(parts)),
@@ -76,7 +76,7 @@
     (listening) => Effect.sync(() => listening.close()),
   );
 
-/** Starts the tasks in their order. A failure of one is logged, and the task runs again. */
+/** Starts the tasks in the given order. A failed run is logged, and the task continues. */
 const scopedTasks = (
   tasks: readonly PeriodicTask[],
   log: Logger,
@@ -95,7 +95,7 @@
       }),
   );
 
-/** One whole controller over HTTP; runs until its scope closes. */
+/** Runs one controller over HTTP until its scope closes. */
 export const runController = (
   settings: Settings,
   operators: Operators,
@@ -105,7 +105,7 @@
   Effect.gen(function* () {
     const members = settings.seeds.length + 1;
     const parts = socketParts(settings.resources.maxSockets, members);
-    // The incarnation is new at each start, and seeds the random draws.
+    // Each start has a new incarnation, which also seeds the random number generator.
     const uuid = randomUUID();
     const generator = xoroshiro128plus(Number.parseInt(uuid.slice(0, 8), 16));
     const random = (): number => uniformFloat64(generator);
--- a/src/service/stats-report.ts
+++ b/src/service/stats-report.ts
@@ -1,14 +1,14 @@
 /**
- * The `stats` log event: what an on-call engineer looks at first.
+ * The `stats` log event, the first thing that an on-call engineer reads.
  *
- * Nothing here has state, but writing the report empties the metrics: `timesMs` covers the time
- * since the report before. All counters else are totals since the start.
+ * Stateless, but each report drains the metrics: `timesMs` covers the time since the previous
+ * report. All other counters are totals since the start.
  */
 import { monotonicNow } from "../transport/clock.js";
 import type { LoadSpreadLoader } from "./load-spread-loader.js";
 import type { ControllerComponents } from "./routes.js";
 
-/** The components that report counters. */
+/** The components whose counters a report contains. */
 export interface ReportedComponents extends ControllerComponents {
   readonly loadSpread: LoadSpreadLoader;
 }
@@ -16,7 +16,7 @@
 const BYTES_PER_MB = 1e6;
 const MICROSECONDS_PER_MS = 1000;
 
-/** Logs one report; `leader` is in it only while this controller leads. */
+/** Logs one report; it contains `leader` only while this controller is the leader. */
 export const reportStats = async (components: ReportedComponents): Promise<void> => {
   const { ctx, membership, owner, leader, cancellations, users, loadSpread } = components;
   const { rss, heapUsed } = process.memoryUsage();
--- a/src/service/user-api.ts
+++ b/src/service/user-api.ts
@@ -1,8 +1,8 @@
 /**
- * The users' interface: submissions, cancellations, questions for a job's status, and readiness.
+ * The users' interface: submissions, cancellations, status requests and readiness.
  *
- * It owns the reader of jobs and the group commit that all users' requests share. Invariant:
- * whatever is answered about a job has been read from the state store, or was just written there.
+ * It owns the job reader and the group commit that all user requests share. Invariant: a response
+ * about a job is based on a record that was read from the state store or was just written there.
  */
 import { jobId } from "@umberfold/ids";
 import type { ControllerContext } from "../coordination/context.js";
@@ -19,10 +19,10 @@
 import { JobSubmission } from "./job-submission.js";
 import { readiness, tryAgain, UNKNOWN_JOB } from "./user-responses.js";
 
-/** What was asked for longer ago than this is a stale read, and isn't answered from. */
+/** A read that was requested longer ago than this is stale and is not used for a response. */
 const STALE_READ_MS = 1000;
 
-/** Answers users; each method gives the whole response. */
+/** Handles user requests; each method returns the whole response. */
 export class UserApi {
   readonly #jobs: JobReader;
   readonly #answers: JobAnswers;
@@ -32,9 +32,9 @@
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
-    /** Has a round run soon: called when a job of a shard that is owned here changed. */
+    /** Makes a scheduling round run soon; called after a job was written. */
     wake: () => void,
-    /** Whether a cancellation that is written is known to its owner, so that a user may be told. */
+    /** Whether the job's owner has confirmed a written cancellation; only then a user is told. */
     confirm: (notice: CancellationNotice) => Promise<boolean>,
   ) {
     const maxOps = ctx.settings.state.txnOps;
@@ -49,34 +49,38 @@
     this.#cancellation = new JobCancellation(dependencies);
   }
 
-  /** Counters of the questions for jobs since the start. */
+  /** Counters of job lookups since the start. */
   stats(): Readonly<Record<string, unknown>> {
     return this.#jobs.counters;
   }
 
-  /** Accepts a job, or says why not; a known job is answered with its status. */
+  /**
+   * Accepts a job or gives the reason for refusing it; for a known job, responds with its status.
+   */
   submit(bytes: Buffer): Promise<HttpResponse> {
     return this.#submission.submit(bytes);
   }
 
-  /** The status of a job; the id is as it came. */
+  /** The status of a job; `id` is not validated yet. */
   async getStatus(id: string): Promise<HttpResponse> {
     if (!isJobId(id)) return UNKNOWN_JOB;
     const found = await this.#jobs.read(jobId(id));
-    // Read before a process pause, perhaps: another controller may have answered with more since.
+    // The read may date from before a process pause; another controller may have reported more
+    // progress to the user since.
     if (found.kind === "live" && monotonicNow() - found.askedAt > STALE_READ_MS)
       return tryAgain(503);
     return this.#answers.answer(jobId(id), found);
   }
 
-  /** Cancels a job, and answers once that is certain; the id is as it came. */
+  /** Cancels a job and responds after the cancellation is confirmed; `id` is not validated yet. */
   cancel(id: string): Promise<HttpResponse> {
     return isJobId(id) ? this.#cancellation.cancel(jobId(id)) : Promise.resolve(UNKNOWN_JOB);
   }
 
   /**
-   * Ready once requests can be served. An outage of the state store is answered, not hidden; but a
-   * controller that is isolated leaves its users to the others.
+   * Ready when this controller can serve requests. It stays ready during an outage of the state
+   * store, when every controller can only respond with errors, but not while it alone is isolated:
+   * then the load balancer must send users to the others.
    */
   readiness(): HttpResponse {
     const knowsTypes = this.ctx.isReplicaSynced && this.ctx.replica.machineTypes !== undefined;
--- a/src/start.cts
+++ b/src/start.cts
@@ -1,8 +1,9 @@
 /**
- * Starts the program from one file with V8's code cache, both made by `scripts/bundle.mjs`. Reading
- * and compiling some two hundred modules took three quarters of the processor time of a start,
- * which on a small share of a core is seconds in which a restarted controller serves nobody. A
- * cache that is missing, or was made by another version of Node, costs time and nothing else.
+ * Starts the program from a single bundled file with V8's code cache; `scripts/bundle.mjs` makes
+ * both. Reading and compiling some two hundred modules took three quarters of the processor time of
+ * a start: on a small fraction of a core that is seconds in which a restarted controller serves no
+ * requests. If the cache is missing, or was made by another version of Node, the start only takes
+ * longer.
  */
 import fs = require("node:fs");
 import path = require("node:path");
@@ -12,7 +13,9 @@
 
 const BUNDLE = path.join(__dirname, "umberfold.cjs");
 const CACHE = path.join(__dirname, "umberfold.cache");
-/** Set by the build: run for a while, write what was compiled by then, and end. */
+/**
+ * If set, by the build: runs for this long, writes the code compiled so far to the cache, exits.
+ */
 const WRITE_CACHE_AFTER_MS = Number(process.env.UMBERFOLD_WRITE_CACHE_AFTER_MS ?? 0);
 
 const isWritingCache = WRITE_CACHE_AFTER_MS > 0;
@@ -25,7 +28,7 @@
   }
 };
 
-/** What Node wraps around the source of a CommonJS module. */
+/** The function that Node wraps around the source of a CommonJS module. */
 type ModuleWrapper = (
   exports: object,
   require: NodeJS.Require,
--- a/test/config/packages.test.ts
+++ b/test/config/packages.test.ts
@@ -20,7 +20,7 @@
   [
     "shares that don't add up",
     { load_spread: { max_span: 4, min_share: 0.3 } },
-    /max_span times min_share is more than the whole/,
+    /max_span times min_share must be at most 1, not 4 times 0\.3/,
   ],
   ["a switch that is no switch", { load_spread: { enabled: "yes" } }, /enabled: must be true/],
 ];
