--- a/src/coordination/fleet/cloud-client.ts
+++ b/src/coordination/fleet/cloud-client.ts
@@ -9,9 +9,9 @@
 import { monotonicNow } from "../../transport/clock.js";
 
 /** How long a call of the cloud may take. */
-export const CLOUD_CALL_MS = 5000;
+export const CLOUD_CALL_TIMEOUT_MS = 5000;
 /** What fraction of the cloud's limit is used, and how large a burst: others may call as well. */
-const USABLE_FRACTION = 0.9;
+const USABLE_RATE_FRACTION = 0.9;
 const BURST_FACTOR = 1.35;
 
 /** An answer of the cloud, of whatever status. */
@@ -30,13 +30,13 @@
     private readonly address: string,
     rps: number,
   ) {
-    this.#budget = new TokenBucket(rps * USABLE_FRACTION, rps * BURST_FACTOR, monotonicNow());
+    this.#budget = new TokenBucket(rps * USABLE_RATE_FRACTION, rps * BURST_FACTOR, monotonicNow());
   }
 
   /** Undefined if the budget stood in the way, or no answer came: it may have been carried out. */
   async call(method: string, path: string, body?: unknown): Promise<CloudResponse | undefined> {
     if (!this.#budget.take(1, monotonicNow())) return undefined;
-    const reply = await this.calls.call(this.address, method, path, body, CLOUD_CALL_MS);
+    const reply = await this.calls.call(this.address, method, path, body, CLOUD_CALL_TIMEOUT_MS);
     if (reply.kind !== "answer") return undefined;
     if (reply.status === 429) this.#budget.drain(monotonicNow());
     return reply;
--- a/src/coordination/fleet/failing-jobs.ts
+++ b/src/coordination/fleet/failing-jobs.ts
@@ -15,8 +15,8 @@
 import type { LocalShardOwner } from "./local-shard-owner.js";
 
 /** How long an owner's notice that a job fails is valid. */
-const NOTICE_VALID_MS = 8000;
-const PEER_CALL_MS = 1000;
+const REPORT_TTL_MS = 8000;
+const PEER_CALL_TIMEOUT_MS = 1000;
 
 /** Limits what failing jobs count for in demand. */
 export class FailingJobs {
@@ -30,8 +30,8 @@
   ) {}
 
   /** Takes in an owner's notice; it is valid for a few seconds, and repeated by its owner. */
-  record(jobs: Iterable<JobId>): void {
-    const until = monotonicMs(monotonicNow() + NOTICE_VALID_MS);
+  recordReport(jobs: Iterable<JobId>): void {
+    const until = monotonicMs(monotonicNow() + REPORT_TTL_MS);
     for (const job of jobs) this.#failingUntil.set(job, until);
   }
 
@@ -42,13 +42,13 @@
     const leader = replica.leader?.value.label;
     if (failing.length === 0 || leader === undefined) return;
     if (leader === self.label) {
-      this.record(failing);
+      this.recordReport(failing);
       return;
     }
     const address = peerAddress(settings, leader);
     if (address === undefined) return;
     const payload = encodePeerMessage({ ...EMPTY_PEER_MESSAGE, from: self.label, failing });
-    await this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_MS);
+    await this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_TIMEOUT_MS);
   }
 
   /** How many tasks of a job demand counts with. */
--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -14,7 +14,7 @@
 import type { MachineTypes } from "./machine-types.js";
 
 /** A job is this old before its owner must have tried to place it on the shard's own machines. */
-const PLACED_BY_OWNER_MS = 150;
+const OWNER_PLACEMENT_DELAY_MS = 150;
 
 /** Adds up demand, group by group. */
 export class FleetDemand {
@@ -29,19 +29,19 @@
   ) {}
 
   /** The level of each demand group after the newest look, for the log. */
-  get levels(): ReadonlyMap<string, number> {
+  get smoothedLevels(): ReadonlyMap<string, number> {
     return this.#levels;
   }
 
   /** Demand now, `elapsedS` seconds after the look before. */
-  groups(elapsedS: number): readonly DemandGroup[] {
+  computeGroups(elapsedS: number): readonly DemandGroup[] {
     const { replica, settings, operators, teams } = this.ctx;
     const types = this.types.all();
     const demand = computeDemand({
       jobs: this.failing.jobsWithDesiredTasks(),
       shardOf: (id) => replica.shardOf(id),
       teams,
-      withinGuarantee: this.withinGuarantee(),
+      withinGuarantee: this.jobsWithinGuarantee(),
       objectives: settings.objectives,
       runS: (job) => this.owner.state.expectedRunS(job.spec),
       types,
@@ -61,7 +61,7 @@
   }
 
   /** Jobs within their team's guarantee; of one that fails everywhere only the tasks it wants. */
-  withinGuarantee(): ReadonlySet<JobId> {
+  jobsWithinGuarantee(): ReadonlySet<JobId> {
     const { replica, quotas } = this.ctx;
     const jobs = new Set<JobId>();
     for (const [shard, { index }] of replica.allShardJobs())
@@ -77,7 +77,7 @@
     const now = wallClockNow();
     for (const [, { index }] of this.ctx.replica.allShardJobs())
       for (const job of index.waiting.values())
-        if (now - job.acceptedAt > PLACED_BY_OWNER_MS) return true;
+        if (now - job.acceptedAt > OWNER_PLACEMENT_DELAY_MS) return true;
     return false;
   }
 }
--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -47,12 +47,12 @@
     const now = monotonicNow();
     const elapsedS = (now - this.#plannedAt) / 1000;
     this.#plannedAt = now;
-    const { machines, neverBooted } = this.#view.all(now, this.demand.withinGuarantee());
-    this.owners.requestDecommission(neverBooted, "never booted");
+    const { machines, neverBooted } = this.#view.snapshot(now, this.demand.jobsWithinGuarantee());
+    this.owners.forceDecommission(neverBooted, "never booted");
     const plan = planFleet({
       types: this.types.all(),
       machines,
-      demand: this.demand.groups(elapsedS),
+      demand: this.demand.computeGroups(elapsedS),
       refusedOffers: this.rentals.refusedOffers(now),
       idleReturnS: operators.idleReturnS,
       maxRentals: MAX_RENTALS_PER_CALL * Math.max(1, Math.floor(settings.cloud.rps)),
@@ -60,10 +60,10 @@
       shardCount: settings.shardCount,
       overloaded: this.#overloaded(),
     });
-    if (log.enabled("debug")) logFleetPlan(this.ctx, machines, plan, this.demand.levels);
-    this.#transfers.record(plan.transfers, now);
+    if (log.enabled("debug")) logFleetPlan(this.ctx, machines, plan, this.demand.smoothedLevels);
+    this.#transfers.recordRequests(plan.transfers, now);
     this.owners.requestTransfers(plan.transfers, plan.returns);
-    await this.rentals.intend(plan.rentals);
+    await this.rentals.writeIntents(plan.rentals);
   }
 
   /**
@@ -75,11 +75,11 @@
     if (!this.records.writable || this.ctx.replica.machineTypes === undefined) return;
     if (!this.demand.hasUnplacedTasks()) return;
     const now = monotonicNow();
-    const machines = this.#view.idle(now);
+    const machines = this.#view.idleMachines(now);
     if (machines.length === 0) return;
     const { shardCount } = this.ctx.settings;
     const overloaded = this.#overloaded();
-    const demand = this.demand.groups(0);
+    const demand = this.demand.computeGroups(0);
     const input = { types: this.types.all(), machines, demand, shardCount, overloaded };
     this.#requestTransfers(planIdleTransfers(input), now);
   }
@@ -90,7 +90,7 @@
   }
 
   #requestTransfers(transfers: readonly MachineTransferRequest[], now: MonotonicMs): void {
-    this.#transfers.record(transfers, now);
+    this.#transfers.recordRequests(transfers, now);
     this.owners.requestTransfers(transfers);
   }
 
--- a/src/coordination/fleet/fleet-records.ts
+++ b/src/coordination/fleet/fleet-records.ts
@@ -12,7 +12,7 @@
 import { LeaderRecords } from "./leader-records.js";
 
 /** Machines returned lately, whose late heartbeats must not have them adopted again. */
-const MAX_RETURNED_KEPT = 10_000;
+const MAX_RETURNED_MACHINES = 10_000;
 
 /** A machine that is about to be entered; its token floor follows from when it is. */
 export type NewMachine = Omit<MachineRecord, "tokenFloor">;
@@ -25,7 +25,7 @@
   #namesGiven = 0;
 
   /** Named by this term of leadership: no two terms have the same revision, no term a number. */
-  nextName(): string {
+  nextRecordName(): string {
     return `${this.ctx.replica.leader?.rev}-${++this.#namesGiven}`;
   }
 
@@ -43,7 +43,7 @@
   recordReturned(ids: readonly MachineId[]): void {
     for (const id of ids) this.#returned.add(id);
     for (const id of this.#returned) {
-      if (this.#returned.size <= MAX_RETURNED_KEPT) break;
+      if (this.#returned.size <= MAX_RETURNED_MACHINES) break;
       this.#returned.delete(id);
     }
   }
@@ -52,7 +52,7 @@
    * Writes new machines, a page for each shard: few writes however many they are. `conditions` and
    * `ops` go into the same transaction. True if it was applied.
    */
-  async enter(
+  async insertMachines(
     rows: readonly (readonly [MachineId, NewMachine])[],
     conditions: readonly Condition[],
     ops: readonly WriteOperation[],
@@ -82,7 +82,7 @@
     for (const [shard, machines] of machinesByShard)
       for (let i = 0; i < machines.length; i += maxMachinesPerPage) {
         const value = encodeMachinePage(machines.slice(i, i + maxMachinesPerPage));
-        puts.push({ kind: "put", key: keys.fleet(shard, this.nextName()), value });
+        puts.push({ kind: "put", key: keys.fleet(shard, this.nextRecordName()), value });
       }
     return puts;
   }
--- a/src/coordination/fleet/leader.ts
+++ b/src/coordination/fleet/leader.ts
@@ -69,25 +69,25 @@
   /** All that waits for the cloud, apart from planning: it may take seconds in an outage. */
   async callCloud(): Promise<void> {
     if (!this.#records.writable) return;
-    await this.#returns.carryOut();
+    await this.#returns.returnDecommissioned();
     await this.#types.refresh();
-    await this.#rentals.carryOut();
-    this.#owners.requestDecommission(await this.#unknown.list(), "failed");
+    await this.#rentals.executeIntents();
+    this.#owners.forceDecommission(await this.#unknown.scanCloudList(), "failed");
   }
 
   /** Takes in a heartbeat of a machine that no record knows. */
   adoptMachine(status: WorkerStatus): void {
-    this.#unknown.recordStatus(status);
+    this.#unknown.recordHeartbeat(status);
   }
 
   /** Enters unknown machines that have shown themselves into the records. */
   async adoptAll(): Promise<void> {
-    await this.#unknown.adopt();
+    await this.#unknown.adoptConfirmed();
   }
 
   /** An owner's notice that these jobs fail wherever they are started. */
   recordFailingJobs(ids: Iterable<JobId>): void {
-    this.#failing.record(ids);
+    this.#failing.recordReport(ids);
   }
 
   /** Tells the leader, on whichever controller, of jobs that fail in the shards owned here. */
--- a/src/coordination/fleet/machine-view.ts
+++ b/src/coordination/fleet/machine-view.ts
@@ -21,7 +21,7 @@
 type FleetTask = FleetMachine["tasks"][number];
 
 /** All machines that are up or still boot. */
-export interface PlannedMachines {
+export interface FleetSnapshot {
   /** Those that planning may count with. */
   readonly machines: readonly FleetMachine[];
   /** Those that should have come up long ago, to be decommissioned. */
@@ -41,7 +41,7 @@
   ) {}
 
   /** All machines, with what stands on them; `withinGuarantee` names jobs whose tasks stay. */
-  all(now: MonotonicMs, withinGuarantee: ReadonlySet<JobId>): PlannedMachines {
+  snapshot(now: MonotonicMs, withinGuarantee: ReadonlySet<JobId>): FleetSnapshot {
     const { replica } = this.ctx;
     const openSince = new Map<string, MonotonicMs>();
     const machines: FleetMachine[] = [];
@@ -79,7 +79,7 @@
   }
 
   /** Machines that are up with nothing on them, whatever their time of idleness. */
-  idle(now: MonotonicMs): readonly FleetMachine[] {
+  idleMachines(now: MonotonicMs): readonly FleetMachine[] {
     const { replica } = this.ctx;
     const machines: FleetMachine[] = [];
     for (const [id, record] of replica.machines) {
--- a/src/coordination/fleet/overloaded-shards.ts
+++ b/src/coordination/fleet/overloaded-shards.ts
@@ -14,10 +14,10 @@
  * A machine without a first heartbeat after this many times its type's boot time has probably come
  * up, and its owner doesn't get to it.
  */
-const OVERDUE_BOOT_TIMES = 1.5;
+const OVERDUE_BOOT_FACTOR = 1.5;
 /** From so many of these on, beside this fraction of the shard's other machines, it is overloaded. */
-const OVERLOADED_MIN_MACHINES = 4;
-const OVERLOADED_FRACTION = 0.1;
+const MIN_OVERDUE_COUNT = 4;
+const MIN_OVERDUE_FRACTION = 0.1;
 
 /**
  * Shards with many machines whose first heartbeat is overdue.
@@ -31,14 +31,14 @@
   const registered = new Map<ShardId, number>();
   for (const [id, machine] of replica.machines) {
     if (machine.phase !== "up" || replica.isGone(id)) continue;
-    const dueS = (bootS.get(machine.type) ?? 0) * OVERDUE_BOOT_TIMES + reportS;
+    const dueS = (bootS.get(machine.type) ?? 0) * OVERDUE_BOOT_FACTOR + reportS;
     const isRegistered = machine.endpoint !== "";
     if (!isRegistered && (now - machine.rentedAt) / 1000 <= dueS) continue;
     const counts = isRegistered ? registered : overdue;
     counts.set(machine.shard, (counts.get(machine.shard) ?? 0) + 1);
   }
   const minOverdue = (shard: ShardId): number =>
-    OVERLOADED_MIN_MACHINES + OVERLOADED_FRACTION * (registered.get(shard) ?? 0);
+    MIN_OVERDUE_COUNT + MIN_OVERDUE_FRACTION * (registered.get(shard) ?? 0);
   return new Set(
     [...overdue].filter(([shard, n]) => n >= minOverdue(shard)).map(([shard]) => shard),
   );
--- a/src/coordination/fleet/owner-requests.ts
+++ b/src/coordination/fleet/owner-requests.ts
@@ -16,10 +16,10 @@
 import type { Membership } from "../membership/membership.js";
 import type { LocalShardOwner } from "./local-shard-owner.js";
 
-const PEER_CALL_MS = 1000;
+const PEER_CALL_TIMEOUT_MS = 1000;
 
 /** What one owner is asked for, under the names of a peer message. */
-interface Requests {
+interface RequestBatch {
   readonly moves: MachineTransferRequest[];
   readonly retire: MachineId[];
 }
@@ -46,7 +46,7 @@
   }
 
   /** Machines that are lost are decommissioned at once, whatever stands on them. */
-  requestDecommission(lost: readonly MachineId[], reason: string): void {
+  forceDecommission(lost: readonly MachineId[], reason: string): void {
     if (lost.length > 0) this.#send([], lost, reason);
   }
 
@@ -63,9 +63,9 @@
   #byOwner(
     transfers: readonly MachineTransferRequest[],
     decommissions: readonly MachineId[],
-  ): ReadonlyMap<ControllerLabel, Requests> {
-    const requestsByOwner = new Map<ControllerLabel, Requests>();
-    const requestsFor = (id: MachineId): Requests | undefined => {
+  ): ReadonlyMap<ControllerLabel, RequestBatch> {
+    const requestsByOwner = new Map<ControllerLabel, RequestBatch>();
+    const requestsFor = (id: MachineId): RequestBatch | undefined => {
       const shard = this.ctx.replica.machines.get(id)?.shard;
       const owner = shard === undefined ? undefined : this.membership.ownerOf(shard)?.label;
       if (owner === undefined) return undefined;
@@ -78,12 +78,12 @@
     return requestsByOwner;
   }
 
-  #askLocalOwner({ moves, retire }: Requests, reason: string): void {
+  #askLocalOwner({ moves, retire }: RequestBatch, reason: string): void {
     for (const transfer of moves) this.owner.requestTransfer(transfer);
     for (const id of retire) this.owner.requestDecommission(id, reason);
   }
 
-  #askPeer(owner: ControllerLabel, requests: Requests, reason: string): void {
+  #askPeer(owner: ControllerLabel, requests: RequestBatch, reason: string): void {
     const { settings, self } = this.ctx;
     const address = peerAddress(settings, owner);
     if (address === undefined) return;
@@ -94,6 +94,6 @@
       reason,
     });
     // Not awaited: its result changes nothing, for a later plan makes the request again.
-    void this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_MS);
+    void this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_TIMEOUT_MS);
   }
 }
--- a/src/coordination/fleet/pending-transfers.ts
+++ b/src/coordination/fleet/pending-transfers.ts
@@ -9,13 +9,13 @@
 import type { MachineTransferRequest } from "../../protocol/peer.js";
 
 /** How long a machine may take to be drained before another is asked for. */
-const DRAIN_TIMEOUT_MS = 6000;
+const DRAIN_TRANSFER_TIMEOUT_MS = 6000;
 /** The same for a machine that is idle. */
 const IDLE_TRANSFER_TIMEOUT_MS = 3000;
 
 interface PendingTransfer {
   readonly to: ShardId;
-  readonly until: MonotonicMs;
+  readonly expiresAt: MonotonicMs;
 }
 
 type TransferState = "pending" | "arrived" | "timed_out";
@@ -26,7 +26,7 @@
   now: MonotonicMs,
 ): TransferState => {
   if (currentShard === transfer.to) return "arrived";
-  return transfer.until > now ? "pending" : "timed_out";
+  return transfer.expiresAt > now ? "pending" : "timed_out";
 };
 
 /** The transfers that were asked for and have not come about yet. */
@@ -34,10 +34,10 @@
   readonly #transfers = new Map<MachineId, PendingTransfer>();
 
   /** Takes in requests that are sent now; a newer one replaces an older one of the same machine. */
-  record(requests: readonly MachineTransferRequest[], now: MonotonicMs): void {
+  recordRequests(requests: readonly MachineTransferRequest[], now: MonotonicMs): void {
     for (const { machine, to, drain } of requests) {
-      const timeoutMs = drain ? DRAIN_TIMEOUT_MS : IDLE_TRANSFER_TIMEOUT_MS;
-      this.#transfers.set(machine, { to, until: monotonicMs(now + timeoutMs) });
+      const timeoutMs = drain ? DRAIN_TRANSFER_TIMEOUT_MS : IDLE_TRANSFER_TIMEOUT_MS;
+      this.#transfers.set(machine, { to, expiresAt: monotonicMs(now + timeoutMs) });
     }
   }
 
--- a/src/coordination/fleet/plan-log.ts
+++ b/src/coordination/fleet/plan-log.ts
@@ -7,7 +7,7 @@
   machines.reduce((sum, machine) => sum + machine.type.capacity.cpus, 0);
 
 /** `class.priority=level` of each demand group; the parts of its key between them are left out. */
-const levelTexts = (levels: ReadonlyMap<string, number>): readonly string[] =>
+const formatLevels = (levels: ReadonlyMap<string, number>): readonly string[] =>
   [...levels].map(
     ([key, level]) => `${key.split("|")[0]}.${key.split("|").pop()}=${level.toFixed(1)}`,
   );
@@ -32,7 +32,7 @@
         (sum, job) => sum + waitingTaskCount(job) * job.spec.resources.cpus,
         0,
       ),
-      levels: levelTexts(levels),
+      levels: formatLevels(levels),
       transfers: plan.transfers.filter((transfer) => transfer.to === shard).length,
       rentals: plan.rentals.flatMap((rental) => rental.shards).filter((to) => to === shard).length,
     });
--- a/src/coordination/fleet/rental-outcome.ts
+++ b/src/coordination/fleet/rental-outcome.ts
@@ -16,14 +16,14 @@
   | { readonly kind: "refused" }
   | { readonly kind: "undecided" };
 
-const saysNoCapacity = ({ status, body }: CloudResponse): boolean =>
+const isNoCapacityError = ({ status, body }: CloudResponse): boolean =>
   status === 503 && String(JSON.stringify(body)).includes("no capacity");
 
 /** The outcome that an answer of the cloud brings. */
 export const rentalOutcome = (answer: CloudResponse): RentalOutcome => {
   if (answer.status === 200)
     return { kind: "rented", machines: parseRentedMachines(answer.body) ?? [] };
-  return saysNoCapacity(answer) || answer.status === 400
+  return isNoCapacityError(answer) || answer.status === 400
     ? { kind: "refused" }
     : { kind: "undecided" };
 };
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -55,14 +55,14 @@
   }
 
   /** Writes the intents to rent, unless older ones are open; any later leader carries them out. */
-  async intend(rentals: readonly PlannedRental[]): Promise<void> {
+  async writeIntents(rentals: readonly PlannedRental[]): Promise<void> {
     const { replica, settings, log } = this.ctx;
     if (rentals.length === 0 || replica.rentals.size > 0) return;
     const maxIntents = Math.min(settings.state.txnOps, MAX_INTENTS_PER_WRITE);
     const intents = rentals
       .flatMap(splitIntoCalls)
       .slice(0, maxIntents)
-      .map((rental) => ({ key: keys.rental(this.records.nextName()), rental }));
+      .map((rental) => ({ key: keys.rental(this.records.nextRecordName()), rental }));
     const written = await this.records.write({
       conditions: intents.map(({ key }) => ({ key, rev: KEY_ABSENT })),
       ops: intents.map(({ key, rental }) => ({
@@ -75,7 +75,7 @@
   }
 
   /** Carries out written intents that are not in flight already. */
-  async carryOut(): Promise<void> {
+  async executeIntents(): Promise<void> {
     const open = [...this.ctx.replica.rentals].filter(([name]) => !this.#calling.has(name));
     await Promise.all(open.map(([name, intent]) => this.#carryOutOne(name, intent)));
   }
@@ -132,7 +132,7 @@
         ? []
         : [[id, { ...row, shard: intent.shards[i] ?? shardId(0) }] as const],
     );
-    await this.records.enter(newMachines, [{ key, rev }], [{ kind: "delete", key }]);
+    await this.records.insertMachines(newMachines, [{ key, rev }], [{ kind: "delete", key }]);
   }
 }
 
--- a/src/coordination/fleet/returns.ts
+++ b/src/coordination/fleet/returns.ts
@@ -10,11 +10,11 @@
 import { encodeGoneRecord, keys } from "../../storage/records.js";
 import { wallClockNow } from "../../transport/clock.js";
 import type { ControllerContext } from "../context.js";
-import { CLOUD_CALL_MS, type CloudClient } from "./cloud-client.js";
+import { CLOUD_CALL_TIMEOUT_MS, type CloudClient } from "./cloud-client.js";
 import type { FleetRecords } from "./fleet-records.js";
 
 /** A list may show a machine for twice its lag after its return, and the call that reads it. */
-const LIST_LAGS_KEPT = 2;
+const LIST_LAG_FACTOR = 2;
 
 /** Returns machines to the cloud. */
 export class Returns {
@@ -28,7 +28,7 @@
   ) {}
 
   /** Returns what is to be returned; a 200 is proof that the machines and all on them are gone. */
-  async carryOut(): Promise<void> {
+  async returnDecommissioned(): Promise<void> {
     const ids = this.#decommissioned();
     if (ids.length > 0) await this.#return(ids);
     await this.#dropProofs();
@@ -49,7 +49,7 @@
     if (answer?.status !== 200) return;
     this.counters.returned += ids.length;
     this.records.recordReturned(ids);
-    const key = keys.gone(this.records.nextName());
+    const key = keys.gone(this.records.nextRecordName());
     await this.records.write({
       conditions: [{ key, rev: KEY_ABSENT }],
       ops: [{ kind: "put", key, value: encodeGoneRecord({ ids, at: wallClockNow() }) }],
@@ -59,7 +59,7 @@
   /** Deletes proofs that nobody needs any more. */
   async #dropProofs(): Promise<void> {
     const { replica, settings } = this.ctx;
-    const keptMs = LIST_LAGS_KEPT * 1000 * settings.cloud.listLagS + CLOUD_CALL_MS;
+    const keptMs = LIST_LAG_FACTOR * 1000 * settings.cloud.listLagS + CLOUD_CALL_TIMEOUT_MS;
     const expired = [...replica.goneRecords]
       .filter(([, proof]) => wallClockNow() - proof.value.at > keptMs)
       .filter(([, proof]) => proof.value.ids.every((id) => !replica.machines.has(id)))
--- a/src/coordination/fleet/unknown-machines.ts
+++ b/src/coordination/fleet/unknown-machines.ts
@@ -19,17 +19,17 @@
 import type { HttpClient } from "../../transport/client.js";
 import { monotonicNow, wallClockNow } from "../../transport/clock.js";
 import type { ControllerContext } from "../context.js";
-import { CLOUD_CALL_MS, type CloudClient } from "./cloud-client.js";
+import { CLOUD_CALL_TIMEOUT_MS, type CloudClient } from "./cloud-client.js";
 import type { FleetRecords, NewMachine } from "./fleet-records.js";
 import type { MachineTypes } from "./machine-types.js";
 
 const LIST_INTERVAL_MS = 15_000;
 /** Machines asked at a time, and how long they have to answer. */
-const MAX_CONCURRENT_CALLS = 64;
-const STATUS_TIMEOUT_MS = 2000;
+const MAX_CONCURRENT_STATUS_CALLS = 64;
+const STATUS_CALL_TIMEOUT_MS = 2000;
 
 /** A machine that was seen while no record knew it, and up to where the records were known then. */
-type SeenMachine = Omit<NewMachine, "shard"> & { readonly seenAt: Revision };
+type ConfirmedMachine = Omit<NewMachine, "shard"> & { readonly seenAt: Revision };
 
 /** What a machine says of itself, or the cloud of it. */
 interface MachineDescription {
@@ -41,7 +41,7 @@
 /** Finds and adopts machines without a record. */
 export class UnknownMachines {
   readonly #asking = new Set<MachineId>();
-  readonly #seen = new Map<MachineId, SeenMachine>();
+  readonly #seen = new Map<MachineId, ConfirmedMachine>();
   #listedAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
   /** Machines adopted since the start. */
   readonly counters = { adopted: 0 };
@@ -58,17 +58,17 @@
    * Takes in a heartbeat of an unknown machine. It may be a late copy from one that was returned
    * long ago, under whatever leader: the machine is adopted once it has itself answered a question.
    */
-  recordStatus(status: WorkerStatus): void {
+  recordHeartbeat(status: WorkerStatus): void {
     const { machine } = status;
     if (this.#asking.has(machine) || this.records.isKnown(machine)) return;
-    if (this.records.wasReturned(machine) || this.#asking.size >= MAX_CONCURRENT_CALLS) return;
+    if (this.records.wasReturned(machine) || this.#asking.size >= MAX_CONCURRENT_STATUS_CALLS) return;
     this.#asking.add(machine);
     // Not awaited: a heartbeat's answer doesn't wait for it.
     void this.#askMachine(status).finally(() => this.#asking.delete(machine));
   }
 
   async #askMachine({ machine, endpoint }: WorkerStatus): Promise<void> {
-    const reply = await this.workers.call(endpoint, "GET", "/status", undefined, STATUS_TIMEOUT_MS);
+    const reply = await this.workers.call(endpoint, "GET", "/status", undefined, STATUS_CALL_TIMEOUT_MS);
     const answered = reply.kind === "answer" ? parseWorkerStatus(reply.body) : undefined;
     if (answered?.machine === machine) this.#recordSeen(machine, answered, answered.endpoint);
   }
@@ -87,7 +87,7 @@
   }
 
   /** Enters machines that have shown themselves, many in one write. */
-  async adopt(): Promise<void> {
+  async adoptConfirmed(): Promise<void> {
     if (this.#seen.size === 0 || !this.records.writable) return;
     const { replica, log } = this.ctx;
     const nextShard = this.#shardsByLoad();
@@ -99,7 +99,7 @@
       if (!this.records.isKnown(id) && !this.records.wasReturned(id))
         rows.push([id, { ...machine, shard: nextShard(machine.type) }]);
     }
-    if (rows.length === 0 || !(await this.records.enter(rows, [], []))) return;
+    if (rows.length === 0 || !(await this.records.insertMachines(rows, [], []))) return;
     this.counters.adopted += rows.length;
     log.info("machines adopted", { machines: rows.map(([id]) => id) });
   }
@@ -123,7 +123,7 @@
    * Reads the cloud's list, seldom: for machines that send no heartbeat. Returns those with a record
    * that the cloud calls failed; of a list that breaks off, those on the pages before.
    */
-  async list(): Promise<readonly MachineId[]> {
+  async scanCloudList(): Promise<readonly MachineId[]> {
     const now = monotonicNow();
     if (now - this.#listedAt < LIST_INTERVAL_MS) return [];
     this.#listedAt = now;
@@ -151,7 +151,7 @@
 
   /** A machine that is young may only not be in the records yet. */
   #recordListed(machine: ListedMachine): void {
-    const minAgeS = 2 * this.ctx.settings.cloud.listLagS + CLOUD_CALL_MS / 1000;
+    const minAgeS = 2 * this.ctx.settings.cloud.listLagS + CLOUD_CALL_TIMEOUT_MS / 1000;
     if (machine.ageS <= minAgeS || machine.phase === "failed") return;
     if (this.records.wasReturned(machine.id)) return;
     this.#recordSeen(machine.id, machine, machine.phase === "running" ? machine.endpoint : "");
--- a/test/coordination/fleet/pending-transfers.test.ts
+++ b/test/coordination/fleet/pending-transfers.test.ts
@@ -12,7 +12,7 @@
 
 const askedFor = (drain: boolean): PendingTransfers => {
   const transfers = new PendingTransfers();
-  transfers.record([{ machine: MACHINE, to: TO, drain }], monotonicMs(ASKED_AT));
+  transfers.recordRequests([{ machine: MACHINE, to: TO, drain }], monotonicMs(ASKED_AT));
   return transfers;
 };
 
@@ -39,7 +39,7 @@
 test("a newer request replaces the older one of the same machine", () => {
   const transfers = askedFor(false);
   const later = monotonicMs(ASKED_AT + 2000);
-  transfers.record([{ machine: MACHINE, to: OTHER, drain: false }], later);
+  transfers.recordRequests([{ machine: MACHINE, to: OTHER, drain: false }], later);
   assert.equal(transfers.destinationOf(MACHINE, FROM, monotonicMs(ASKED_AT + 4000)), OTHER);
 });
 
