--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -42,7 +42,7 @@
   /** Plans rentals, returns and transfers, asks the owners for theirs and writes rental intents. */
   async plan(): Promise<void> {
     const { replica, operators, settings, log } = this.ctx;
-    if (!this.records.writable || replica.machineTypes === undefined) return;
+    if (!this.records.canWrite || replica.machineTypes === undefined) return;
     if (replica.teams === undefined) return;
     const now = monotonicNow();
     const elapsedS = (now - this.#plannedAt) / 1000;
@@ -72,7 +72,7 @@
    * own machines have room for a shard's owner has placed by then.
    */
   async rebalance(): Promise<void> {
-    if (!this.records.writable || this.ctx.replica.machineTypes === undefined) return;
+    if (!this.records.canWrite || this.ctx.replica.machineTypes === undefined) return;
     if (!this.demand.hasUnplacedTasks()) return;
     const now = monotonicNow();
     const machines = this.#view.idleMachines(now);
--- a/src/coordination/fleet/leader-records.ts
+++ b/src/coordination/fleet/leader-records.ts
@@ -26,7 +26,7 @@
   ) {}
 
   /** Whether this controller leads, and knows the records. */
-  get writable(): boolean {
+  get canWrite(): boolean {
     return this.ctx.isReplicaSynced && this.membership.isActiveLeader();
   }
 
--- a/src/coordination/fleet/leader.ts
+++ b/src/coordination/fleet/leader.ts
@@ -68,7 +68,7 @@
 
   /** All that waits for the cloud, apart from planning: it may take seconds in an outage. */
   async callCloud(): Promise<void> {
-    if (!this.#records.writable) return;
+    if (!this.#records.canWrite) return;
     await this.#returns.returnDecommissioned();
     await this.#types.refresh();
     await this.#rentals.executeIntents();
@@ -76,12 +76,12 @@
   }
 
   /** Takes in a heartbeat of a machine that no record knows. */
-  adoptMachine(status: WorkerStatus): void {
+  handleUnknownMachine(status: WorkerStatus): void {
     this.#unknown.recordHeartbeat(status);
   }
 
   /** Enters unknown machines that have shown themselves into the records. */
-  async adoptAll(): Promise<void> {
+  async adoptMachines(): Promise<void> {
     await this.#unknown.adoptConfirmed();
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Asks owners for machines, to be handed over once they are empty. */
-  transferMachines(transfers: readonly MachineTransferRequest[]): void {
+  requestTransfers(transfers: readonly MachineTransferRequest[]): void {
     this.#planner.requestTransfers(transfers);
   }
 
--- a/src/coordination/fleet/unknown-machines.ts
+++ b/src/coordination/fleet/unknown-machines.ts
@@ -88,7 +88,7 @@
 
   /** Enters machines that have shown themselves, many in one write. */
   async adoptConfirmed(): Promise<void> {
-    if (this.#seen.size === 0 || !this.records.writable) return;
+    if (this.#seen.size === 0 || !this.records.canWrite) return;
     const { replica, log } = this.ctx;
     const nextShard = this.#shardsByLoad();
     const rows: (readonly [MachineId, NewMachine])[] = [];
--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -51,7 +51,7 @@
 
   /** Whether this controller leads, and knows the records. */
   get writable(): boolean {
-    return this.records.writable;
+    return this.records.canWrite;
   }
 
   /** True if the span was changed so. */
--- a/src/service/controller-tasks.ts
+++ b/src/service/controller-tasks.ts
@@ -66,7 +66,7 @@
     periodicTask("lease", renewalMs, () => membership.maintainLease()),
     periodicTask("membership", MEMBERSHIP_MS, () => membership.reconcile()),
     periodicTask("availability", AVAILABILITY_MS, () => availability.update()),
-    periodicTask("adoption", ADOPTION_MS, () => leader.adoptAll()),
+    periodicTask("adoption", ADOPTION_MS, () => leader.adoptMachines()),
     periodicTask("cancellations", CANCELLATIONS_MS, () => cancels.reconcile()),
     periodicTask("watch", operators.watchPauseMs, () => sync.follow()),
     periodicTask("rounds", MIN_ROUND_GAP_MS, () => rounds.run(() => owner.runRound())),
--- a/src/service/load-spread-loader.ts
+++ b/src/service/load-spread-loader.ts
@@ -40,7 +40,7 @@
   async #load(): Promise<LoadSpread> {
     const { LoadSpread } = await import("../coordination/load-spread/load-spread.js");
     const transfer = (requests: readonly MachineTransferRequest[]): void =>
-      this.leader.transferMachines(requests);
+      this.leader.requestTransfers(requests);
     this.#loaded = new LoadSpread(this.ctx, this.membership, this.owner, this.settings, transfer);
     if (this.settings.enabled) this.ctx.loadSpread = this.#loaded.hooks();
     return this.#loaded;
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -50,7 +50,7 @@
 const handleHeartbeat = ({ owner, leader }: Parts, bytes: Buffer): HttpResponse => {
   const body = decodeBody(bytes);
   if (!body.ok) return NOT_CBOR;
-  return owner.handleHeartbeat(body.value, (status) => leader.adoptMachine(status));
+  return owner.handleHeartbeat(body.value, (status) => leader.handleUnknownMachine(status));
 };
 
 /** The one method of each path of a user's request. */
