--- a/src/coordination/fleet/failing-jobs.ts
+++ b/src/coordination/fleet/failing-jobs.ts
@@ -1,9 +1,9 @@
 /**
- * Jobs that fail wherever they are started, as their owners tell the leader.
+ * Jobs that fail on every machine, as reported to the leader by their owners.
  *
- * Owns until when each notice is valid. What must hold: a failing job wants room for one task beyond
- * those it has open, to see whether it still fails: with a mistake in it, it would occupy all idle
- * machines for its shard, and scale the fleet out.
+ * Owns the expiry time of each report. Demand counts only the open tasks of a failing job, or a
+ * single task while none is open, which shows whether the job still fails. Otherwise a job with a
+ * fault of its own would occupy all idle machines for its shard and scale the fleet out.
  */
 import { type JobId, type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
@@ -14,28 +14,29 @@
 import { type ControllerContext, peerAddress } from "../context.js";
 import type { LocalShardOwner } from "./local-shard-owner.js";
 
-/** How long an owner's notice that a job fails is valid. */
+/** How long an owner's report of a failing job is valid; owners repeat it more often than that. */
 const REPORT_TTL_MS = 8000;
 const PEER_CALL_TIMEOUT_MS = 1000;
 
-/** Limits what failing jobs count for in demand. */
+/** Limits how many tasks of failing jobs count as demand. */
 export class FailingJobs {
-  readonly #failingUntil = new Map<JobId, MonotonicMs>();
+  /** When the latest report of each failing job expires. */
+  readonly #reportExpiry = new Map<JobId, MonotonicMs>();
 
-  /** @param owner knows which jobs of the shards owned here fail */
+  /** @param owner detects failing jobs in the shards that this controller owns */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly owner: LocalShardOwner,
     private readonly peers: HttpClient,
   ) {}
 
-  /** Takes in an owner's notice; it is valid for a few seconds, and repeated by its owner. */
+  /** Records an owner's report. It expires after a few seconds unless the owner repeats it. */
   recordReport(jobs: Iterable<JobId>): void {
-    const until = monotonicMs(monotonicNow() + REPORT_TTL_MS);
-    for (const job of jobs) this.#failingUntil.set(job, until);
+    const expiresAt = monotonicMs(monotonicNow() + REPORT_TTL_MS);
+    for (const job of jobs) this.#reportExpiry.set(job, expiresAt);
   }
 
-  /** Tells the leader which jobs of the shards owned here fail; it may be this controller. */
+  /** Reports the failing jobs of this controller's shards to the leader, which may be itself. */
   async reportToLeader(): Promise<void> {
     const { replica, settings, self } = this.ctx;
     const failing = [...this.owner.state.failingJobs()];
@@ -51,12 +52,12 @@
     await this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_TIMEOUT_MS);
   }
 
-  /** How many tasks of a job demand counts with. */
+  /** How many of a job's tasks, completed ones included, count in demand; all unless it fails. */
   desiredTaskCount(id: JobId, spec: JobSpec): number {
-    const until = this.#failingUntil.get(id);
-    if (until === undefined) return spec.taskCount;
-    if (until <= monotonicNow()) {
-      this.#failingUntil.delete(id);
+    const expiresAt = this.#reportExpiry.get(id);
+    if (expiresAt === undefined) return spec.taskCount;
+    if (expiresAt <= monotonicNow()) {
+      this.#reportExpiry.delete(id);
       return spec.taskCount;
     }
     const job = this.ctx.replica.job(id);
@@ -64,10 +65,10 @@
     return Math.min(spec.taskCount, completedTaskCount(job) + Math.max(1, job.open.length));
   }
 
-  /** The live jobs as demand sees them. */
+  /** All live jobs; the task counts of failing jobs are reduced to `desiredTaskCount`. */
   *jobsWithDesiredTasks(): Iterable<readonly [JobId, LiveJob]> {
     for (const [id, job] of this.ctx.replica.allJobs()) {
-      const taskCount = this.#failingUntil.has(id)
+      const taskCount = this.#reportExpiry.has(id)
         ? this.desiredTaskCount(id, job.spec)
         : job.spec.taskCount;
       yield taskCount === job.spec.taskCount
--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -1,8 +1,9 @@
 /**
  * The demand of all shards for machines.
  *
- * Owns the smoothed level of each demand group. What must hold: levels rise and fall by the time
- * between two plans alone; a look in between, of no time, changes none.
+ * Owns the smoothed demand level of each demand group. Smoothing advances only by the time between
+ * two plans: a rebalance computes the demand with an elapsed time of 0, which leaves the smoothed
+ * levels of known groups unchanged.
  */
 import type { JobId } from "@umberfold/ids";
 import { computeDemand } from "../../scheduling/demand.js";
@@ -13,39 +14,46 @@
 import type { LocalShardOwner } from "./local-shard-owner.js";
 import type { MachineTypes } from "./machine-types.js";
 
-/** A job is this old before its owner must have tried to place it on the shard's own machines. */
+/**
+ * Once this much time has passed since a job was accepted, its owner is assumed to have tried to
+ * place it on the shard's own machines.
+ */
 const OWNER_PLACEMENT_DELAY_MS = 150;
 
-/** Adds up demand, group by group. */
+/** Computes the demand of each demand group. */
 export class FleetDemand {
-  #levels: ReadonlyMap<string, number> = new Map();
+  #smoothedLevels: ReadonlyMap<string, number> = new Map();
 
-  /** @param owner gives expected run times */
+  /** @param owner estimates the run times of tasks */
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly types: MachineTypes,
-    private readonly failing: FailingJobs,
+    private readonly machineTypes: MachineTypes,
+    private readonly failingJobs: FailingJobs,
     private readonly owner: LocalShardOwner,
   ) {}
 
-  /** The level of each demand group after the newest look, for the log. */
+  /** The demand levels of the latest computation, for the log. */
   get smoothedLevels(): ReadonlyMap<string, number> {
-    return this.#levels;
+    return this.#smoothedLevels;
   }
 
-  /** Demand now, `elapsedS` seconds after the look before. */
+  /**
+   * Computes the current demand and updates the smoothed levels.
+   *
+   * @param elapsedS seconds by which the smoothing advances
+   */
   computeGroups(elapsedS: number): readonly DemandGroup[] {
     const { replica, settings, operators, teams } = this.ctx;
-    const types = this.types.all();
+    const types = this.machineTypes.all();
     const demand = computeDemand({
-      jobs: this.failing.jobsWithDesiredTasks(),
+      jobs: this.failingJobs.jobsWithDesiredTasks(),
       shardOf: (id) => replica.shardOf(id),
       teams,
       withinGuarantee: this.jobsWithinGuarantee(),
       objectives: settings.objectives,
       runS: (job) => this.owner.state.expectedRunS(job.spec),
       types,
-      bootS: Math.min(...types.map((t) => t.bootS)),
+      bootS: Math.min(...types.map((type) => type.bootS)),
       headroom: operators.headroom,
       patience: operators.patience,
       lastPatience: operators.lastPatience,
@@ -54,25 +62,25 @@
       margin: operators.margin,
       dtS: elapsedS,
       now: wallClockNow(),
-      levels: this.#levels,
+      levels: this.#smoothedLevels,
     });
-    this.#levels = demand.levels;
+    this.#smoothedLevels = demand.levels;
     return demand.groups;
   }
 
-  /** Jobs within their team's guarantee; of one that fails everywhere only the tasks it wants. */
+  /** Jobs within their team's guarantee; failing jobs count with `desiredTaskCount` tasks only. */
   jobsWithinGuarantee(): ReadonlySet<JobId> {
     const { replica, quotas } = this.ctx;
     const jobs = new Set<JobId>();
     for (const [shard, { index }] of replica.allShardJobs())
       for (const id of index.withinGuarantee(quotas.teamsForShard(shard).values(), (job, spec) =>
-        this.failing.desiredTaskCount(job, spec),
+        this.failingJobs.desiredTaskCount(job, spec),
       ))
         jobs.add(id);
     return jobs;
   }
 
-  /** Whether a task waits that its owner must have tried to place on the shard's own machines. */
+  /** Whether any task is still waiting that its owner has had time to place on its own machines. */
   hasUnplacedTasks(): boolean {
     const now = wallClockNow();
     for (const [, { index }] of this.ctx.replica.allShardJobs())
--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -1,10 +1,10 @@
 /**
- * Planning of the fleet: its size follows the demand of all shards, and free machines go to shards
- * whose tasks wait.
+ * Plans the fleet: sizes it to the demand of all shards, and transfers free machines to shards with
+ * waiting tasks.
  *
- * Owns the time of the newest plan; what is kept between plans is in `MachineView`, `FleetDemand`
- * and `PendingTransfers`. What must hold: only the active leader plans, and nothing is planned
- * before the machine types are known.
+ * Owns the time of the latest plan; `MachineView`, `FleetDemand` and `PendingTransfers` hold the
+ * other state that is kept between plans. Only the active leader plans, and only once the machine
+ * types are known.
  */
 import type { MonotonicMs, ShardId } from "@umberfold/ids";
 import { MAX_RENTALS_PER_CALL } from "../../protocol/cloud.js";
@@ -22,35 +22,38 @@
 import { logFleetPlan } from "./plan-log.js";
 import type { Rentals } from "./rentals.js";
 
-/** Sizes the fleet to the demand of all shards, and moves free machines between shards. */
+/** Plans rentals, returns and transfers, and passes them on to be carried out. */
 export class FleetPlanner {
-  readonly #transfers = new PendingTransfers();
-  readonly #view: MachineView;
-  #plannedAt: MonotonicMs = monotonicNow();
+  readonly #pendingTransfers = new PendingTransfers();
+  readonly #machineView: MachineView;
+  #lastPlannedAt: MonotonicMs = monotonicNow();
 
   constructor(
     private readonly ctx: ControllerContext,
     private readonly records: FleetRecords,
-    private readonly types: MachineTypes,
+    private readonly machineTypes: MachineTypes,
     private readonly rentals: Rentals,
-    private readonly owners: OwnerRequests,
+    private readonly ownerRequests: OwnerRequests,
     private readonly demand: FleetDemand,
   ) {
-    this.#view = new MachineView(ctx, types, this.#transfers);
+    this.#machineView = new MachineView(ctx, machineTypes, this.#pendingTransfers);
   }
 
-  /** Plans rentals, returns and transfers, asks the owners for theirs and writes rental intents. */
+  /** Makes a plan, requests transfers and returns from the owners, and writes rental intents. */
   async plan(): Promise<void> {
     const { replica, operators, settings, log } = this.ctx;
     if (!this.records.canWrite || replica.machineTypes === undefined) return;
     if (replica.teams === undefined) return;
     const now = monotonicNow();
-    const elapsedS = (now - this.#plannedAt) / 1000;
-    this.#plannedAt = now;
-    const { machines, neverBooted } = this.#view.snapshot(now, this.demand.jobsWithinGuarantee());
-    this.owners.forceDecommission(neverBooted, "never booted");
+    const elapsedS = (now - this.#lastPlannedAt) / 1000;
+    this.#lastPlannedAt = now;
+    const { machines, neverBooted } = this.#machineView.snapshot(
+      now,
+      this.demand.jobsWithinGuarantee(),
+    );
+    this.ownerRequests.forceDecommission(neverBooted, "never booted");
     const plan = planFleet({
-      types: this.types.all(),
+      types: this.machineTypes.all(),
       machines,
       demand: this.demand.computeGroups(elapsedS),
       refusedOffers: this.rentals.refusedOffers(now),
@@ -58,43 +61,43 @@
       maxRentals: MAX_RENTALS_PER_CALL * Math.max(1, Math.floor(settings.cloud.rps)),
       machineLifeS: operators.lifeS,
       shardCount: settings.shardCount,
-      overloaded: this.#overloaded(),
+      overloaded: this.#overloadedShards(),
     });
     if (log.enabled("debug")) logFleetPlan(this.ctx, machines, plan, this.demand.smoothedLevels);
-    this.#transfers.recordRequests(plan.transfers, now);
-    this.owners.requestTransfers(plan.transfers, plan.returns);
+    this.#pendingTransfers.recordRequests(plan.transfers, now);
+    this.ownerRequests.requestTransfers(plan.transfers, plan.returns);
     await this.rentals.writeIntents(plan.rentals);
   }
 
   /**
-   * Between two plans: idle machines go to shards whose tasks wait, for a job array that arrives at
-   * one shard may want more than its part of what is idle. Looks at idle machines only; what its
-   * own machines have room for a shard's owner has placed by then.
+   * Transfers idle machines to shards with waiting tasks, between two plans. A job array submitted
+   * to one shard may need more than that shard's share of the idle machines. Machines with open
+   * attempts are not considered: by now the owners have filled the free capacity of their own.
    */
   async rebalance(): Promise<void> {
     if (!this.records.canWrite || this.ctx.replica.machineTypes === undefined) return;
     if (!this.demand.hasUnplacedTasks()) return;
     const now = monotonicNow();
-    const machines = this.#view.idleMachines(now);
+    const machines = this.#machineView.idleMachines(now);
     if (machines.length === 0) return;
     const { shardCount } = this.ctx.settings;
-    const overloaded = this.#overloaded();
+    const overloaded = this.#overloadedShards();
     const demand = this.demand.computeGroups(0);
-    const input = { types: this.types.all(), machines, demand, shardCount, overloaded };
+    const input = { types: this.machineTypes.all(), machines, demand, shardCount, overloaded };
     this.#requestTransfers(planIdleTransfers(input), now);
   }
 
-  /** Transfers that others decided on: they count as planned here. */
+  /** Requests transfers decided by load spreading; they count as pending like planned ones. */
   requestTransfers(transfers: readonly MachineTransferRequest[]): void {
     this.#requestTransfers(transfers, monotonicNow());
   }
 
   #requestTransfers(transfers: readonly MachineTransferRequest[], now: MonotonicMs): void {
-    this.#transfers.recordRequests(transfers, now);
-    this.owners.requestTransfers(transfers);
+    this.#pendingTransfers.recordRequests(transfers, now);
+    this.ownerRequests.requestTransfers(transfers);
   }
 
-  #overloaded(): ReadonlySet<ShardId> {
+  #overloadedShards(): ReadonlySet<ShardId> {
     return overloadedShards(this.ctx.replica, this.ctx.settings.workers.reportS);
   }
 }
--- a/src/coordination/fleet/fleet-records.ts
+++ b/src/coordination/fleet/fleet-records.ts
@@ -1,8 +1,8 @@
 /**
- * The leader's records of machines: their names, and which machines were returned.
+ * The machine records that the leader creates, and which machines were returned.
  *
- * Owns the machines returned lately and those whose records are being written. What must hold: a
- * machine stands in one page only, and one that was returned is never entered again.
+ * Owns the recently returned machines and the machines whose records are being written. Each
+ * machine is a row of one page only, and a returned machine is never inserted again.
  */
 import { KEY_ABSENT, type MachineId, type ShardId } from "@umberfold/ids";
 import type { Condition, WriteOperation } from "../../protocol/store.js";
@@ -11,63 +11,66 @@
 import { maxPageBytes } from "../../storage/transaction-batch.js";
 import { LeaderRecords } from "./leader-records.js";
 
-/** Machines returned lately, whose late heartbeats must not have them adopted again. */
+/** How many returned machines are remembered, so that a late heartbeat doesn't readopt them. */
 const MAX_RETURNED_MACHINES = 10_000;
 
-/** A machine that is about to be entered; its token floor follows from when it is. */
+/** A machine to be inserted. Its token floor is the latest revision known at the insertion. */
 export type NewMachine = Omit<MachineRecord, "tokenFloor">;
 
-/** Writes the pages of new machines under the leader's term. */
+/** Writes pages of new machines on the condition that this controller still leads. */
 export class FleetRecords extends LeaderRecords {
-  readonly #returned = new Set<MachineId>();
+  readonly #recentlyReturned = new Set<MachineId>();
   /** Machines whose records are being written. */
-  readonly #entering = new Set<MachineId>();
-  #namesGiven = 0;
+  readonly #inserting = new Set<MachineId>();
+  #issuedNameCount = 0;
 
-  /** Named by this term of leadership: no two terms have the same revision, no term a number. */
+  /**
+   * A record name that is never issued twice: each leadership term has a revision of its own, and
+   * the names issued within a term are numbered.
+   */
   nextRecordName(): string {
-    return `${this.ctx.replica.leader?.rev}-${++this.#namesGiven}`;
+    return `${this.ctx.replica.leader?.rev}-${++this.#issuedNameCount}`;
   }
 
-  /** In the records, or on its way there: a machine must not stand in two pages. */
+  /** Whether the machine has a record or one is being written; it must not be inserted again. */
   isKnown(id: MachineId): boolean {
-    return this.ctx.replica.machines.has(id) || this.#entering.has(id);
+    return this.ctx.replica.machines.has(id) || this.#inserting.has(id);
   }
 
-  /** Returned by this controller, or by any leader, as the records say. */
+  /** Whether this controller has returned the machine, or a gone record names it. */
   wasReturned(id: MachineId): boolean {
-    return this.#returned.has(id) || this.ctx.replica.isGone(id);
+    return this.#recentlyReturned.has(id) || this.ctx.replica.isGone(id);
   }
 
-  /** Remembers machines that the cloud has taken back; the oldest are forgotten. */
+  /** Remembers machines whose return the cloud has confirmed; the oldest entries are evicted. */
   recordReturned(ids: readonly MachineId[]): void {
-    for (const id of ids) this.#returned.add(id);
-    for (const id of this.#returned) {
-      if (this.#returned.size <= MAX_RETURNED_MACHINES) break;
-      this.#returned.delete(id);
+    for (const id of ids) this.#recentlyReturned.add(id);
+    for (const id of this.#recentlyReturned) {
+      if (this.#recentlyReturned.size <= MAX_RETURNED_MACHINES) break;
+      this.#recentlyReturned.delete(id);
     }
   }
 
   /**
-   * Writes new machines, a page for each shard: few writes however many they are. `conditions` and
-   * `ops` go into the same transaction. True if it was applied.
+   * Writes new machines, grouped into pages by shard, so that many machines take few writes.
+   * `conditions` and `ops` are added to the same transaction. Returns true if it was applied.
    */
   async insertMachines(
     rows: readonly (readonly [MachineId, NewMachine])[],
     conditions: readonly Condition[],
     ops: readonly WriteOperation[],
   ): Promise<boolean> {
-    for (const [id] of rows) this.#entering.add(id);
-    const puts = this.#pages(rows);
+    for (const [id] of rows) this.#inserting.add(id);
+    const puts = this.#machinePages(rows);
     const absent = puts.map(({ key }) => ({ key, rev: KEY_ABSENT }));
     try {
       return await this.write({ conditions: [...conditions, ...absent], ops: [...puts, ...ops] });
     } finally {
-      for (const [id] of rows) this.#entering.delete(id);
+      for (const [id] of rows) this.#inserting.delete(id);
     }
   }
 
-  #pages(rows: readonly (readonly [MachineId, NewMachine])[]): readonly WriteOperation[] {
+  #machinePages(rows: readonly (readonly [MachineId, NewMachine])[]): readonly WriteOperation[] {
     const { replica, settings } = this.ctx;
     const machinesByShard = new Map<ShardId, [MachineId, MachineRecord][]>();
     for (const [id, machine] of rows) {
--- a/src/coordination/fleet/leader-records.ts
+++ b/src/coordination/fleet/leader-records.ts
@@ -1,9 +1,9 @@
 /**
- * The records that only the leader writes.
+ * Writes records that only the leader may write.
  *
- * Owns no state: the leader's record in the replica says whose term it is. What must hold: each
- * write is conditional on this term of leadership, so that one of a deposed leader fails however
- * late it is carried out.
+ * Owns no state: the leader record in the replica identifies the current term. Each write is
+ * conditional on that record's revision, so that a delayed write of a former leader fails
+ * whenever it reaches the state store.
  */
 import type { Revision } from "@umberfold/ids";
 import type { Transaction } from "../../protocol/store.js";
@@ -11,21 +11,21 @@
 import { applyCommitted, type ControllerContext, rereadKeys } from "../context.js";
 import type { Membership } from "../membership/membership.js";
 
-/** Whether this controller may write as the leader; `revision` names its term. */
+/** Whether this controller may write as the leader; `revision` identifies its term. */
 export type LeaderTerm =
   | { readonly kind: "not_leading" }
   | { readonly kind: "leading"; readonly revision: Revision };
 
 const NOT_LEADING: LeaderTerm = { kind: "not_leading" };
 
-/** Writes under the leader's term. */
+/** Commits transactions on the condition that the leadership term still holds. */
 export class LeaderRecords {
   constructor(
     protected readonly ctx: ControllerContext,
     private readonly membership: Membership,
   ) {}
 
-  /** Whether this controller leads, and knows the records. */
+  /** Whether this controller is the active leader and its replica is synced. */
   get canWrite(): boolean {
     return this.ctx.isReplicaSynced && this.membership.isActiveLeader();
   }
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Commits a transaction on the added condition that the term still holds. True if it was applied;
-   * else what stood in the way is known by now. False at once without leadership.
+   * Commits a transaction on the additional condition that the term still holds. Returns true if it
+   * was applied. After a conflict it rereads the keys of all conditions and returns false. Returns
+   * false at once if this controller doesn't lead.
    */
   async write(transaction: Transaction): Promise<boolean> {
     const { ctx } = this;
--- a/src/coordination/fleet/leader.ts
+++ b/src/coordination/fleet/leader.ts
@@ -1,9 +1,9 @@
 /**
- * The leader's work: all calls of the cloud, and which shard a free machine serves. The facade over
- * the parts in this folder.
+ * Facade of the leader's work: all calls to the cloud, the size of the fleet, and which shard each
+ * free machine serves.
  *
- * Owns no state beside its parts. It exists on each controller; what must hold is that it writes and
- * calls the cloud on the active leader alone, which its parts check each time.
+ * Owns no state besides its parts. Every controller has one instance. Only the active leader writes
+ * and calls the cloud, which the parts check each time.
  */
 import type { JobId } from "@umberfold/ids";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
@@ -23,20 +23,20 @@
 import { Returns } from "./returns.js";
 import { UnknownMachines } from "./unknown-machines.js";
 
-/** What the leader does for the whole cluster. */
+/** Delegates the leader's cluster-wide work to the parts of this folder. */
 export class Leader {
   readonly #records: FleetRecords;
-  readonly #types: MachineTypes;
+  readonly #machineTypes: MachineTypes;
   readonly #rentals: Rentals;
   readonly #returns: Returns;
-  readonly #unknown: UnknownMachines;
-  readonly #owners: OwnerRequests;
-  readonly #failing: FailingJobs;
+  readonly #unknownMachines: UnknownMachines;
+  readonly #ownerRequests: OwnerRequests;
+  readonly #failingJobs: FailingJobs;
   readonly #planner: FleetPlanner;
 
   /**
-   * @param owner the owner of shards on this controller
-   * @param cloudCalls connections to the cloud, used within its limit
+   * @param owner the shard owner on this controller
+   * @param cloudCalls connections to the cloud; calls are kept within its rate limit
    * @param peers connections to the other controllers
    * @param workers direct connections to machines
    */
@@ -50,73 +50,83 @@
   ) {
     const cloud = new CloudClient(cloudCalls, ctx.settings.cloudAddress, ctx.settings.cloud.rps);
     this.#records = new FleetRecords(ctx, membership);
-    this.#types = new MachineTypes(ctx, this.#records, cloud);
+    this.#machineTypes = new MachineTypes(ctx, this.#records, cloud);
     this.#rentals = new Rentals(ctx, this.#records, cloud);
     this.#returns = new Returns(ctx, this.#records, cloud);
-    this.#unknown = new UnknownMachines(ctx, this.#records, this.#types, cloud, workers);
-    this.#owners = new OwnerRequests(ctx, membership, owner, peers);
-    this.#failing = new FailingJobs(ctx, owner, peers);
+    this.#unknownMachines = new UnknownMachines(
+      ctx,
+      this.#records,
+      this.#machineTypes,
+      cloud,
+      workers,
+    );
+    this.#ownerRequests = new OwnerRequests(ctx, membership, owner, peers);
+    this.#failingJobs = new FailingJobs(ctx, owner, peers);
     this.#planner = new FleetPlanner(
       ctx,
       this.#records,
-      this.#types,
+      this.#machineTypes,
       this.#rentals,
-      this.#owners,
-      new FleetDemand(ctx, this.#types, this.#failing, owner),
+      this.#ownerRequests,
+      new FleetDemand(ctx, this.#machineTypes, this.#failingJobs, owner),
     );
   }
 
-  /** All that waits for the cloud, apart from planning: it may take seconds in an outage. */
+  /**
+   * Does all work that waits for responses of the cloud: returns, the machine types, rentals and
+   * the list of machines. Separate from planning, because it may take seconds while the cloud is
+   * down.
+   */
   async callCloud(): Promise<void> {
     if (!this.#records.canWrite) return;
     await this.#returns.returnDecommissioned();
-    await this.#types.refresh();
+    await this.#machineTypes.refresh();
     await this.#rentals.executeIntents();
-    this.#owners.forceDecommission(await this.#unknown.scanCloudList(), "failed");
+    this.#ownerRequests.forceDecommission(await this.#unknownMachines.scanCloudList(), "failed");
   }
 
-  /** Takes in a heartbeat of a machine that no record knows. */
+  /** Handles a heartbeat of a machine without a record: the machine is checked, then adopted. */
   handleUnknownMachine(status: WorkerStatus): void {
-    this.#unknown.recordHeartbeat(status);
+    this.#unknownMachines.recordHeartbeat(status);
   }
 
-  /** Enters unknown machines that have shown themselves into the records. */
+  /** Writes records for the unknown machines whose existence is confirmed. */
   async adoptMachines(): Promise<void> {
-    await this.#unknown.adoptConfirmed();
+    await this.#unknownMachines.adoptConfirmed();
   }
 
-  /** An owner's notice that these jobs fail wherever they are started. */
+  /** Records an owner's report that these jobs fail on every machine. */
   recordFailingJobs(ids: Iterable<JobId>): void {
-    this.#failing.recordReport(ids);
+    this.#failingJobs.recordReport(ids);
   }
 
-  /** Tells the leader, on whichever controller, of jobs that fail in the shards owned here. */
+  /** Reports failing jobs of this controller's shards to the leader, on any controller. */
   async reportFailingJobs(): Promise<void> {
-    await this.#failing.reportToLeader();
+    await this.#failingJobs.reportToLeader();
   }
 
-  /** Sizes the fleet to demand, and moves machines between shards. */
+  /** Plans rentals, returns and transfers for the demand of all shards. */
   async plan(): Promise<void> {
     await this.#planner.plan();
   }
 
-  /** Asks owners for machines, to be handed over once they are empty. */
+  /** Requests transfers of machines from their owners, on behalf of load spreading. */
   requestTransfers(transfers: readonly MachineTransferRequest[]): void {
     this.#planner.requestTransfers(transfers);
   }
 
-  /** Between two plans: gives idle machines to shards whose tasks wait. */
+  /** Transfers idle machines to shards with waiting tasks, between two plans. */
   async rebalance(): Promise<void> {
     await this.#planner.rebalance();
   }
 
-  /** Counts since the start, for the log event `stats`. */
+  /** Counters since the process started, for the log event `stats`. */
   stats(): Readonly<Record<string, unknown>> {
     return {
       ...this.#rentals.counters,
       ...this.#returns.counters,
-      ...this.#owners.counters,
-      ...this.#unknown.counters,
+      ...this.#ownerRequests.counters,
+      ...this.#unknownMachines.counters,
     };
   }
 }
--- a/src/coordination/fleet/local-shard-owner.ts
+++ b/src/coordination/fleet/local-shard-owner.ts
@@ -1,25 +1,28 @@
 /**
- * What the leader's part needs of the owner of shards on the same controller. `ShardOwner` satisfies
- * it; being structural, it keeps the fleet independent of an owner's rounds.
+ * What the leader needs of the shard owner on the same controller. `ShardOwner` satisfies these
+ * interfaces structurally, so that this folder does not depend on `rounds`.
  */
 import type { JobId, MachineId } from "@umberfold/ids";
 import type { JobSpec } from "../../protocol/jobs.js";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
 
-/** What an owner has learnt of jobs; it steers choices and proves nothing. */
+/** An owner's estimates about its jobs. They guide decisions and are never evidence. */
 export interface OwnerEstimates {
-  /** Live jobs that failed on so many machines that they are at fault themselves. */
+  /** Live jobs that failed on so many machines that the job is presumed to be at fault. */
   failingJobs(): Iterable<JobId>;
-  /** How long a task of the job runs, in seconds, corrected by what its class was seen to take. */
+  /** Expected run time of a task, in seconds, corrected by the measured run times of its class. */
   expectedRunS(spec: JobSpec): number;
 }
 
-/** The owner of the shards on this controller. Requests about machines of others are ignored. */
+/** The shard owner on this controller. It ignores requests for machines that it does not own. */
 export interface LocalShardOwner {
-  /** What it has learnt of its jobs. */
+  /** Its estimates about the jobs of its shards. */
   readonly state: OwnerEstimates;
-  /** Asks for a machine to be handed over to another shard. */
+  /** Requests the transfer of a machine to another shard. */
   requestTransfer(request: MachineTransferRequest): void;
-  /** Without a reason the machine is surplus, and goes once it is empty; else it goes at once. */
+  /**
+   * Requests the decommission of a machine. With a reason the machine counts as lost and is
+   * returned at once; without one it is surplus and is returned once it is empty.
+   */
   requestDecommission(machine: MachineId, reason?: string): void;
 }
--- a/src/coordination/fleet/machine-types.ts
+++ b/src/coordination/fleet/machine-types.ts
@@ -1,8 +1,9 @@
 /**
- * The machine types on offer: read from the cloud by the leader, and known to all by a record.
+ * The machine types on offer. The leader reads them from the cloud and writes them to a record,
+ * from which all controllers know them.
  *
- * Owns when the cloud was last asked; the types themselves are the record's. What must hold: an
- * answer without types never replaces the record.
+ * Owns the time of the latest successful read; the types themselves are kept in the record. A
+ * response without types never replaces the record.
  */
 import { type MonotonicMs, monotonicMs } from "@umberfold/ids";
 import { type MachineType, parseMachineTypes } from "../../protocol/cloud.js";
@@ -15,9 +16,9 @@
 
 const REFRESH_INTERVAL_MS = 60_000;
 
-/** Keeps the record of machine types in line with the cloud's offers. */
+/** Keeps the record of machine types up to date with the cloud's offers. */
 export class MachineTypes {
-  #readAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
+  #refreshedAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
 
   constructor(
     private readonly ctx: ControllerContext,
@@ -25,25 +26,28 @@
     private readonly cloud: CloudClient,
   ) {}
 
-  /** All types on offer; none before the record is known. */
+  /** All types on offer; empty until the record is known. */
   all(): readonly MachineType[] {
     return this.ctx.replica.machineTypes?.value ?? [];
   }
 
-  /** The type of this name, if it is on offer. */
+  /** The type with this name, or undefined if it is not on offer. */
   find(name: string): MachineType | undefined {
-    return this.all().find((t) => t.name === name);
+    return this.all().find((type) => type.name === name);
   }
 
-  /** Asks the cloud if it is time to, and writes the record if the answer differs from it. */
+  /**
+   * Reads the types from the cloud if the interval has passed since the last read, and writes the
+   * record if they have changed.
+   */
   async refresh(): Promise<void> {
     const { replica } = this.ctx;
     const now = monotonicNow();
-    if (replica.machineTypes !== undefined && now - this.#readAt < REFRESH_INTERVAL_MS) return;
-    const answer = await this.cloud.call("GET", "/flavors");
-    const types = answer?.status === 200 ? parseMachineTypes(answer.body) : undefined;
+    if (replica.machineTypes !== undefined && now - this.#refreshedAt < REFRESH_INTERVAL_MS) return;
+    const response = await this.cloud.call("GET", "/flavors");
+    const types = response?.status === 200 ? parseMachineTypes(response.body) : undefined;
     if (types === undefined || types.length === 0) return;
-    this.#readAt = now;
+    this.#refreshedAt = now;
     const value = encodeMachineTypes(types);
     if (JSON.stringify(value) === JSON.stringify(encodeMachineTypes(this.all()))) return;
     await this.records.write({
--- a/src/coordination/fleet/machine-view.ts
+++ b/src/coordination/fleet/machine-view.ts
@@ -1,8 +1,8 @@
 /**
- * The machines as planning sees them.
+ * The machines as input of fleet planning.
  *
- * Owns since when machines are idle and attempts open, as this leader has seen it. What must hold: a
- * machine that is about to go to another shard counts as empty and as that shard's.
+ * Owns how long each machine has been idle and each attempt open, as observed by this leader. A
+ * machine with a pending transfer counts as empty and as part of its destination shard.
  */
 import type { JobId, MachineId, MonotonicMs } from "@umberfold/ids";
 import type { MachineType } from "../../protocol/cloud.js";
@@ -15,42 +15,50 @@
 import type { MachineTypes } from "./machine-types.js";
 import type { PendingTransfers } from "./pending-transfers.js";
 
-/** Ranks before every job's: what runs within a guarantee is not the leader's to take away. */
+/**
+ * Ranks before the priority of any job (lower numbers rank first): the leader's plan never preempts
+ * tasks within a guarantee.
+ */
 const GUARANTEED_PRIORITY = -1;
 
 type FleetTask = FleetMachine["tasks"][number];
 
-/** All machines that are up or still boot. */
+/** All machines that are up or booting, for one plan. */
 export interface FleetSnapshot {
-  /** Those that planning may count with. */
+  /** Machines that planning may use. */
   readonly machines: readonly FleetMachine[];
-  /** Those that should have come up long ago, to be decommissioned. */
+  /** Machines that sent no heartbeat within `#maxBootS`; they are to be decommissioned. */
   readonly neverBooted: readonly MachineId[];
 }
 
-/** Reads the records of machines for planning. */
+/** Builds the machine list of a plan from the replica. */
 export class MachineView {
+  /** When each idle machine was first seen without open attempts. */
   readonly #idleSince = new Map<MachineId, MonotonicMs>();
-  /** When each open attempt was first seen in the records, by its key. */
+  /** When each open attempt was first seen in the replica, by the attempt's key. */
   #openSince: ReadonlyMap<string, MonotonicMs> = new Map();
 
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly types: MachineTypes,
-    private readonly transfers: PendingTransfers,
+    private readonly machineTypes: MachineTypes,
+    private readonly pendingTransfers: PendingTransfers,
   ) {}
 
-  /** All machines, with what stands on them; `withinGuarantee` names jobs whose tasks stay. */
+  /**
+   * All machines with their open attempts, for a full plan.
+   *
+   * @param withinGuarantee jobs whose tasks must not be preempted
+   */
   snapshot(now: MonotonicMs, withinGuarantee: ReadonlySet<JobId>): FleetSnapshot {
     const { replica } = this.ctx;
     const openSince = new Map<string, MonotonicMs>();
     const machines: FleetMachine[] = [];
     const neverBooted: MachineId[] = [];
     for (const [id, record] of replica.machines) {
-      const type = this.types.find(record.type);
+      const type = this.machineTypes.find(record.type);
       if (record.phase !== "up" || type === undefined || replica.isGone(id)) continue;
       const idleS = this.#idleS(id, record, now);
-      const destination = this.transfers.destinationOf(id, record.shard, now);
+      const destination = this.pendingTransfers.destinationOf(id, record.shard, now);
       const heldS = Math.max(0, (wallClockNow() - record.rentedAt) / 1000);
       if (record.endpoint === "" && heldS > this.#maxBootS(type)) {
         neverBooted.push(id);
@@ -78,18 +86,18 @@
     return { machines, neverBooted };
   }
 
-  /** Machines that are up with nothing on them, whatever their time of idleness. */
+  /** Machines that are up and have no open attempts, however short a time they have been idle. */
   idleMachines(now: MonotonicMs): readonly FleetMachine[] {
     const { replica } = this.ctx;
     const machines: FleetMachine[] = [];
     for (const [id, record] of replica.machines) {
       if (record.phase !== "up" || record.endpoint === "" || replica.isGone(id)) continue;
       if (this.#openAttempts(id, record).size > 0) continue;
-      const type = this.types.find(record.type);
+      const type = this.machineTypes.find(record.type);
       if (type === undefined) continue;
       machines.push({
         id,
-        shard: this.transfers.destinationOf(id, record.shard, now) ?? record.shard,
+        shard: this.pendingTransfers.destinationOf(id, record.shard, now) ?? record.shard,
         type,
         zone: record.zone,
         spot: record.spot,
@@ -104,7 +112,7 @@
     return machines;
   }
 
-  /** Seconds after its rental at which a machine of this type counts as never booted. */
+  /** Seconds from its rental after which a machine without a heartbeat counts as never booted. */
   #maxBootS(type: MachineType): number {
     const { operators, settings } = this.ctx;
     return type.bootS * operators.bootPatience + settings.workers.reportS;
@@ -134,6 +142,7 @@
       if (job === undefined) continue;
       const since = this.#openSince.get(key) ?? now;
       openSince.set(key, since);
+      // With checkpoints only the save since the last one is lost, otherwise all work so far.
       const { checkpointIntervalS, checkpointSaveS, resources } = job.spec;
       const lossS = checkpointIntervalS > 0 ? checkpointSaveS : (now - since) / 1000;
       const priority = withinGuarantee.has(jobId)
--- a/src/coordination/fleet/owner-requests.ts
+++ b/src/coordination/fleet/owner-requests.ts
@@ -1,9 +1,8 @@
 /**
- * What the leader asks of the shards' owners.
+ * Requests of the leader to the owners of shards.
  *
- * Owns no state. What must hold: an owner alone knows that a machine of its is free, so it is the
- * owner that transfers or decommissions it. Requests are hints: a lost one is made again by a later
- * plan.
+ * Owns no state. Only its owner knows whether a machine is free, so only the owner transfers or
+ * decommissions it. Requests are hints: a lost one is repeated by a later plan.
  */
 import type { ControllerLabel, MachineId } from "@umberfold/ids";
 import {
@@ -18,15 +17,15 @@
 
 const PEER_CALL_TIMEOUT_MS = 1000;
 
-/** What one owner is asked for, under the names of a peer message. */
+/** The requests to one owner; the field names are those of a peer message. */
 interface RequestBatch {
   readonly moves: MachineTransferRequest[];
   readonly retire: MachineId[];
 }
 
-/** Sends the leader's requests to the owners; to its own controller's owner by a direct call. */
+/** Sends requests to owners: a direct call on this controller, a peer message to the others. */
 export class OwnerRequests {
-  /** Transfers of idle machines, and of machines to be drained, requested since the start. */
+  /** Requested transfers since the process started: `moved` without and `drained` with a drain. */
   readonly counters = { moved: 0, drained: 0 };
 
   constructor(
@@ -36,7 +35,7 @@
     private readonly peers: HttpClient,
   ) {}
 
-  /** Asks for transfers, and for surplus machines to be decommissioned once they are empty. */
+  /** Requests transfers, and the decommission of surplus machines once they are empty. */
   requestTransfers(
     transfers: readonly MachineTransferRequest[],
     surplus: readonly MachineId[] = [],
@@ -45,7 +44,7 @@
     this.#send(transfers, surplus, "");
   }
 
-  /** Machines that are lost are decommissioned at once, whatever stands on them. */
+  /** Requests the immediate decommission of lost machines, even with open attempts on them. */
   forceDecommission(lost: readonly MachineId[], reason: string): void {
     if (lost.length > 0) this.#send([], lost, reason);
   }
@@ -55,12 +54,12 @@
     decommissions: readonly MachineId[],
     reason: string,
   ): void {
-    for (const [owner, requests] of this.#byOwner(transfers, decommissions))
-      if (owner === this.ctx.self.label) this.#askLocalOwner(requests, reason);
-      else this.#askPeer(owner, requests, reason);
+    for (const [owner, requests] of this.#groupByOwner(transfers, decommissions))
+      if (owner === this.ctx.self.label) this.#sendToLocalOwner(requests, reason);
+      else this.#sendToPeer(owner, requests, reason);
   }
 
-  #byOwner(
+  #groupByOwner(
     transfers: readonly MachineTransferRequest[],
     decommissions: readonly MachineId[],
   ): ReadonlyMap<ControllerLabel, RequestBatch> {
@@ -78,12 +77,12 @@
     return requestsByOwner;
   }
 
-  #askLocalOwner({ moves, retire }: RequestBatch, reason: string): void {
+  #sendToLocalOwner({ moves, retire }: RequestBatch, reason: string): void {
     for (const transfer of moves) this.owner.requestTransfer(transfer);
     for (const id of retire) this.owner.requestDecommission(id, reason);
   }
 
-  #askPeer(owner: ControllerLabel, requests: RequestBatch, reason: string): void {
+  #sendToPeer(owner: ControllerLabel, requests: RequestBatch, reason: string): void {
     const { settings, self } = this.ctx;
     const address = peerAddress(settings, owner);
     if (address === undefined) return;
@@ -93,7 +92,7 @@
       ...requests,
       reason,
     });
-    // Not awaited: its result changes nothing, for a later plan makes the request again.
+    // Not awaited: the result is not needed, because a later plan repeats the request.
     void this.peers.callRaw(address, "POST", "/peer", payload, PEER_CALL_TIMEOUT_MS);
   }
 }
--- a/src/coordination/fleet/pending-transfers.ts
+++ b/src/coordination/fleet/pending-transfers.ts
@@ -1,16 +1,16 @@
 /**
- * Machines that owners were asked to hand over to another shard.
+ * Transfers requested from owners that have not taken effect yet.
  *
- * Owns the requests in flight. What must hold: a machine counts as its new shard's from the request
- * on, until it has arrived there or the request has timed out; so no second one is asked for in its
- * place. A request may be lost: it is only a hint to the owner, and nothing depends on it.
+ * Owns the pending requests. A machine counts as part of its destination shard from the request
+ * until it has arrived there or the request has timed out, so that no other machine is requested in
+ * its place. Requests may be lost: each is only a hint to the owner, and nothing depends on it.
  */
 import { type MachineId, type MonotonicMs, monotonicMs, type ShardId } from "@umberfold/ids";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
 
-/** How long a machine may take to be drained before another is asked for. */
+/** How long the transfer of a machine to be drained stays pending. */
 const DRAIN_TRANSFER_TIMEOUT_MS = 6000;
-/** The same for a machine that is idle. */
+/** How long the transfer of an idle machine stays pending. */
 const IDLE_TRANSFER_TIMEOUT_MS = 3000;
 
 interface PendingTransfer {
@@ -29,11 +29,11 @@
   return transfer.expiresAt > now ? "pending" : "timed_out";
 };
 
-/** The transfers that were asked for and have not come about yet. */
+/** Tracks the requested transfers by machine. */
 export class PendingTransfers {
   readonly #transfers = new Map<MachineId, PendingTransfer>();
 
-  /** Takes in requests that are sent now; a newer one replaces an older one of the same machine. */
+  /** Records requests sent now. A newer request for a machine replaces the older one. */
   recordRequests(requests: readonly MachineTransferRequest[], now: MonotonicMs): void {
     for (const { machine, to, drain } of requests) {
       const timeoutMs = drain ? DRAIN_TRANSFER_TIMEOUT_MS : IDLE_TRANSFER_TIMEOUT_MS;
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The shard that a machine is about to go to; undefined if it stays in its current shard. */
+  /** The destination of a machine's pending transfer; undefined if none is pending. */
   destinationOf(machine: MachineId, currentShard: ShardId, now: MonotonicMs): ShardId | undefined {
     const transfer = this.#transfers.get(machine);
     if (transfer === undefined) return undefined;
--- a/src/coordination/fleet/plan-log.ts
+++ b/src/coordination/fleet/plan-log.ts
@@ -1,4 +1,4 @@
-/** A plan of the fleet as log lines, one for each shard: for tuning, and written at level debug only. */
+/** Logs a fleet plan at level debug, one event for each shard, as an aid for tuning. */
 import type { FleetMachine, FleetPlan } from "../../scheduling/fleet-plan.js";
 import { waitingTaskCount } from "../../storage/records.js";
 import type { ControllerContext } from "../context.js";
@@ -6,13 +6,13 @@
 const totalCpus = (machines: readonly FleetMachine[]): number =>
   machines.reduce((sum, machine) => sum + machine.type.capacity.cpus, 0);
 
-/** `class.priority=level` of each demand group; the parts of its key between them are left out. */
+/** Formats each level as `class.tier=level`: the first and the last part of its key. */
 const formatLevels = (levels: ReadonlyMap<string, number>): readonly string[] =>
   [...levels].map(
     ([key, level]) => `${key.split("|")[0]}.${key.split("|").pop()}=${level.toFixed(1)}`,
   );
 
-/** Writes the log event `fleet planned` for each shard; processors are counted, not machines. */
+/** Logs the event `fleet planned` for each shard; amounts are in processors, not in machines. */
 export const logFleetPlan = (
   { log, replica }: ControllerContext,
   machines: readonly FleetMachine[],
--- a/src/coordination/fleet/rental-outcome.ts
+++ b/src/coordination/fleet/rental-outcome.ts
@@ -1,15 +1,15 @@
 /**
- * What the cloud's answer to a rental means for its intent: a pure transition from the intent that
- * is being carried out to its end, if the answer brings one.
+ * Maps the cloud's response to a rental to the outcome of the rental intent, as a pure function.
  */
 import type { MachineId } from "@umberfold/ids";
 import { parseRentedMachines } from "../../protocol/cloud.js";
 import type { CloudResponse } from "./cloud-client.js";
 
 /**
- * - `rented`: these machines, perhaps fewer than asked for; the intent is done;
- * - `refused`: the offer is not to be had, or can't be asked for; the intent is dropped;
- * - `undecided`: any other answer; the intent stays, and is carried out again under its name.
+ * - `rented`: the cloud rented these machines, possibly fewer than requested; the intent is
+ *   complete.
+ * - `refused`: the cloud has no capacity or rejects the request as invalid; the intent is deleted.
+ * - `undecided`: any other response; the intent remains and is executed again under the same name.
  */
 export type RentalOutcome =
   | { readonly kind: "rented"; readonly machines: readonly MachineId[] }
@@ -19,11 +19,11 @@
 const isNoCapacityError = ({ status, body }: CloudResponse): boolean =>
   status === 503 && String(JSON.stringify(body)).includes("no capacity");
 
-/** The outcome that an answer of the cloud brings. */
-export const rentalOutcome = (answer: CloudResponse): RentalOutcome => {
-  if (answer.status === 200)
-    return { kind: "rented", machines: parseRentedMachines(answer.body) ?? [] };
-  return isNoCapacityError(answer) || answer.status === 400
+/** The outcome of a rental intent, given the cloud's response. */
+export const rentalOutcome = (response: CloudResponse): RentalOutcome => {
+  if (response.status === 200)
+    return { kind: "rented", machines: parseRentedMachines(response.body) ?? [] };
+  return isNoCapacityError(response) || response.status === 400
     ? { kind: "refused" }
     : { kind: "undecided" };
 };
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -1,14 +1,15 @@
 /**
  * Scale-out by rental intents.
  *
- * Owns which offers were refused lately and which intents are being carried out. What must hold: an
- * intent is written before the cloud is called, so that any later leader carries it out under the
- * same name, which the cloud answers the same way however often it is asked. A name is repeated
- * until it has an answer, and never reused.
+ * Owns the recently refused offers and the set of intents with a call in flight. An intent is
+ * written before the cloud is called, so that any later leader can execute it under the same name.
+ * The call is idempotent: the cloud gives the same response to every call with that name. A call is
+ * repeated under its name until it has a definite response, and no name is reused for another
+ * rental.
  *
- * An intent is `written` (a record), then `calling` (in flight from here), and ends by its outcome:
- * `rented` enters the machines and deletes the record in one transaction, `refused` deletes it,
- * `undecided` leaves it written.
+ * The states of an intent are `written` (the record exists) and `in flight` (this controller is
+ * calling the cloud). It ends by its outcome: `rented` inserts the machines and deletes the record
+ * in one transaction, `refused` deletes the record, and `undecided` returns it to `written`.
  */
 import {
   KEY_ABSENT,
@@ -28,18 +29,19 @@
 import type { FleetRecords } from "./fleet-records.js";
 import { rentalOutcome } from "./rental-outcome.js";
 
-/** Most intents written at a time. */
+/** Maximum number of intents in one transaction. */
 const MAX_INTENTS_PER_WRITE = 8;
 
-/** A machine type in a zone, as a spot machine or an ordinary one. */
+/** A machine type in a zone, as a spot or an ordinary machine. */
 type Offer = Pick<PlannedRental, "type" | "zone" | "spot">;
 
-/** Writes rental intents and carries them out. */
+/** Writes rental intents and executes them. */
 export class Rentals {
+  /** Until when each refused offer is not requested again, by `offerKey`. */
   readonly #refusedUntil = new Map<string, MonotonicMs>();
-  /** Names of intents whose calls are in flight. */
-  readonly #calling = new Set<string>();
-  /** Machines rented, and refusals, since the start. */
+  /** Names of the intents with a call in flight. */
+  readonly #inFlight = new Set<string>();
+  /** Rented machines and refusals since the process started. */
   readonly counters = { rented: 0, refused: 0 };
 
   constructor(
@@ -48,13 +50,13 @@
     private readonly cloud: CloudClient,
   ) {}
 
-  /** Offers refused lately, and not asked for again yet, by `offerKey`. */
+  /** Keys (`offerKey`) of recently refused offers that must not be requested yet. */
   refusedOffers(now: MonotonicMs): ReadonlySet<string> {
     for (const [key, until] of this.#refusedUntil) if (until <= now) this.#refusedUntil.delete(key);
     return new Set(this.#refusedUntil.keys());
   }
 
-  /** Writes the intents to rent, unless older ones are open; any later leader carries them out. */
+  /** Writes rental intents, unless earlier ones are pending. Any later leader can execute them. */
   async writeIntents(rentals: readonly PlannedRental[]): Promise<void> {
     const { replica, settings, log } = this.ctx;
     if (rentals.length === 0 || replica.rentals.size > 0) return;
@@ -74,34 +76,34 @@
     if (written) log.debug("rental intents written", { intents: intents.length });
   }
 
-  /** Carries out written intents that are not in flight already. */
+  /** Executes the written intents that have no call in flight. */
   async executeIntents(): Promise<void> {
-    const open = [...this.ctx.replica.rentals].filter(([name]) => !this.#calling.has(name));
-    await Promise.all(open.map(([name, intent]) => this.#carryOutOne(name, intent)));
+    const pending = [...this.ctx.replica.rentals].filter(([name]) => !this.#inFlight.has(name));
+    await Promise.all(pending.map(([name, intent]) => this.#executeIntent(name, intent)));
   }
 
-  async #carryOutOne(name: string, intent: Versioned<RentalIntent>): Promise<void> {
-    this.#calling.add(name);
+  async #executeIntent(name: string, intent: Versioned<RentalIntent>): Promise<void> {
+    this.#inFlight.add(name);
     try {
       const { value } = intent;
       const body = rentalBody({ name, ...value, count: value.shards.length });
-      const answer = await this.cloud.call("POST", "/machines", body);
-      if (answer !== undefined) await this.#applyOutcome(keys.rental(name), intent, answer);
+      const response = await this.cloud.call("POST", "/machines", body);
+      if (response !== undefined) await this.#applyOutcome(keys.rental(name), intent, response);
     } finally {
-      this.#calling.delete(name);
+      this.#inFlight.delete(name);
     }
   }
 
   async #applyOutcome(
     key: string,
     intent: Versioned<RentalIntent>,
-    answer: CloudResponse,
+    response: CloudResponse,
   ): Promise<void> {
     const { value, rev } = intent;
-    const outcome = rentalOutcome(answer);
+    const outcome = rentalOutcome(response);
     if (outcome.kind === "undecided") return;
     if (outcome.kind === "rented") {
-      await this.#enterRented(key, rev, value, outcome.machines);
+      await this.#insertRented(key, rev, value, outcome.machines);
       return;
     }
     this.#recordRefusal(value);
@@ -115,7 +117,7 @@
     this.#refusedUntil.set(offerKey(offer.type, offer.zone, offer.spot), until);
   }
 
-  async #enterRented(
+  async #insertRented(
     key: string,
     rev: Revision,
     intent: RentalIntent,
@@ -125,8 +127,8 @@
     if (ids.length < intent.shards.length) this.#recordRefusal(intent);
     const { type, zone, spot } = intent;
     const row = { type, zone, spot, endpoint: "", phase: "up", rentedAt: wallClockNow() } as const;
-    // An intent that was written late, after it had been carried out and dropped, has the same
-    // answer as then: what was returned since must not come back.
+    // A delayed write may recreate an intent that was already executed and deleted. The cloud then
+    // repeats its response, and machines returned in the meantime must not be inserted again.
     const newMachines = ids.flatMap((id, i) =>
       this.records.isKnown(id) || this.records.wasReturned(id)
         ? []
@@ -136,7 +138,7 @@
   }
 }
 
-/** One call of the cloud rents a bounded number of machines. */
+/** Splits a rental into parts that respect the cloud's limit of machines for each call. */
 const splitIntoCalls = (rental: PlannedRental): readonly PlannedRental[] => {
   const calls: PlannedRental[] = [];
   for (let i = 0; i < rental.shards.length; i += MAX_RENTALS_PER_CALL)
--- a/src/coordination/fleet/returns.ts
+++ b/src/coordination/fleet/returns.ts
@@ -1,9 +1,9 @@
 /**
- * Scale-in: returns decommissioned machines whose owners have let go of them.
+ * Scale-in: returns decommissioned machines that their owners have released.
  *
- * Owns no state; the proofs of returned machines are records. What must hold: the proof is kept
- * until the owners have terminated all that stood on the machines, and until no list of the cloud
- * can show them any more.
+ * Owns no state. A gone record is termination evidence for everything on the machines it names. It
+ * is kept until the owners have terminated all attempts on them, and until no list of the cloud can
+ * show them any more.
  */
 import { KEY_ABSENT, type MachineId } from "@umberfold/ids";
 import { MAX_RETURNS_PER_CALL, returnBody } from "../../protocol/cloud.js";
@@ -13,12 +13,15 @@
 import { CLOUD_CALL_TIMEOUT_MS, type CloudClient } from "./cloud-client.js";
 import type { FleetRecords } from "./fleet-records.js";
 
-/** A list may show a machine for twice its lag after its return, and the call that reads it. */
+/**
+ * The cloud's list may still show a returned machine for this many times the list's lag, plus the
+ * duration of the call that reads the list.
+ */
 const LIST_LAG_FACTOR = 2;
 
-/** Returns machines to the cloud. */
+/** Returns machines to the cloud and keeps the gone records. */
 export class Returns {
-  /** Machines whose return the cloud has confirmed, since the start. */
+  /** Machines whose return the cloud has confirmed since the process started. */
   readonly counters = { returned: 0 };
 
   constructor(
@@ -27,11 +30,14 @@
     private readonly cloud: CloudClient,
   ) {}
 
-  /** Returns what is to be returned; a 200 is proof that the machines and all on them are gone. */
+  /**
+   * Returns decommissioned machines and deletes expired gone records. A response with status 200
+   * proves that the machines and everything on them are gone.
+   */
   async returnDecommissioned(): Promise<void> {
     const ids = this.#decommissioned();
     if (ids.length > 0) await this.#return(ids);
-    await this.#dropProofs();
+    await this.#deleteExpiredGoneRecords();
   }
 
   #decommissioned(): readonly MachineId[] {
@@ -45,8 +51,8 @@
   }
 
   async #return(ids: readonly MachineId[]): Promise<void> {
-    const answer = await this.cloud.call("POST", "/machines/return", returnBody(ids));
-    if (answer?.status !== 200) return;
+    const response = await this.cloud.call("POST", "/machines/return", returnBody(ids));
+    if (response?.status !== 200) return;
     this.counters.returned += ids.length;
     this.records.recordReturned(ids);
     const key = keys.gone(this.records.nextRecordName());
@@ -56,17 +62,17 @@
     });
   }
 
-  /** Deletes proofs that nobody needs any more. */
-  async #dropProofs(): Promise<void> {
+  /** Deletes gone records that are old enough and name no machine that still has a record. */
+  async #deleteExpiredGoneRecords(): Promise<void> {
     const { replica, settings } = this.ctx;
-    const keptMs = LIST_LAG_FACTOR * 1000 * settings.cloud.listLagS + CLOUD_CALL_TIMEOUT_MS;
+    const ttlMs = LIST_LAG_FACTOR * 1000 * settings.cloud.listLagS + CLOUD_CALL_TIMEOUT_MS;
     const expired = [...replica.goneRecords]
-      .filter(([, proof]) => wallClockNow() - proof.value.at > keptMs)
-      .filter(([, proof]) => proof.value.ids.every((id) => !replica.machines.has(id)))
+      .filter(([, record]) => wallClockNow() - record.value.at > ttlMs)
+      .filter(([, record]) => record.value.ids.every((id) => !replica.machines.has(id)))
       .slice(0, settings.state.txnOps);
     if (expired.length === 0) return;
     await this.records.write({
-      conditions: expired.map(([name, proof]) => ({ key: keys.gone(name), rev: proof.rev })),
+      conditions: expired.map(([name, record]) => ({ key: keys.gone(name), rev: record.rev })),
       ops: expired.map(([name]) => ({ kind: "delete", key: keys.gone(name) })),
     });
   }
