--- a/test/coordination/fleet/overloaded-shards.test.ts
+++ b/test/coordination/fleet/overloaded-shards.test.ts
@@ -1,7 +1,8 @@
 /**
- * `overloadedShards`: shards whose owners don't keep up with their machines' heartbeats.
+ * `overloadedShards`: detects shards whose owners can't handle the heartbeats of their machines.
  *
- * The owner of a flooded shard was rented hundreds of machines whose heartbeats it could not answer.
+ * Guards against renting hundreds more machines for a shard whose owner can't answer the heartbeats
+ * of those it has.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
@@ -16,30 +17,30 @@
 import { SimulatedClock } from "../../sim/clock.js";
 
 /**
- * Numbers of machines that are up, that should have been up long ago but sent no heartbeat, and that
- * are still booting.
+ * Numbers of machines that are up, that are overdue (no heartbeat long after their boot time), and
+ * that are still booting.
  */
 const cases: readonly [
   name: string,
   up: number,
-  due: number,
+  overdue: number,
   booting: number,
   overloaded: boolean,
 ][] = [
   ["all up", 100, 0, 0, false],
-  ["some never came up", 100, 5, 0, false],
-  ["a tenth and more not heard from", 100, 14, 0, true],
+  ["few of many overdue", 100, 5, 0, false],
+  ["more than a tenth overdue", 100, 14, 0, true],
   ["none up yet, all booting", 0, 0, 100, false],
-  ["none up, all due", 0, 10, 0, true],
-  ["few machines, none of them up", 0, 3, 0, false],
+  ["none up, all overdue", 0, 10, 0, true],
+  ["few machines, all overdue", 0, 3, 0, false],
 ];
 
-for (const [name, up, due, booting, overloaded] of cases)
+for (const [name, up, overdue, booting, overloaded] of cases)
   test(`a shard is ${overloaded ? "" : "not "}overloaded: ${name}`, () => {
     new SimulatedClock(1).now = 1_000_000;
     const replica = new Replica();
     const rows: [MachineId, MachineRecord][] = [];
-    const add = (count: number, endpoint: string, ageS: number): void => {
+    const addMachines = (count: number, endpoint: string, ageS: number): void => {
       for (let i = 0; i < count; i++) {
         const rentedAt = wallClockMs(wallClockNow() - ageS * 1000);
         const row = { shard: shardId(1), type: SMALL.name, zone: "a", spot: true, endpoint };
@@ -49,9 +50,9 @@
         ]);
       }
     };
-    add(up, "m:1", 500);
-    add(due, "", 500);
-    add(booting, "", 1);
+    addMachines(up, "m:1", 500);
+    addMachines(overdue, "", 500);
+    addMachines(booting, "", 1);
     const types = encodeMachineTypes([SMALL]);
     replica.apply({ kind: "put", key: keys.types, value: types, rev: revision(1) });
     const page = encodeMachinePage(rows);
