--- a/src/service/controller-tasks.ts
+++ b/src/service/controller-tasks.ts
@@ -71,7 +71,7 @@
     periodicTask("lease", renewalMs, () => membership.maintainLease()),
     periodicTask("membership", MEMBERSHIP_PERIOD_MS, () => membership.reconcile()),
     periodicTask("availability", AVAILABILITY_PERIOD_MS, () => availability.update()),
-    periodicTask("adoption", ADOPTION_PERIOD_MS, () => leader.adoptAll()),
+    periodicTask("adoption", ADOPTION_PERIOD_MS, () => leader.adoptMachines()),
     periodicTask("cancellations", CANCELLATIONS_PERIOD_MS, () => cancellations.reconcile()),
     periodicTask("watch", operators.watchPauseMs, () => sync.syncOnce()),
     periodicTask("rounds", MIN_ROUND_PAUSE_MS, () => rounds.run(() => owner.runRound())),
