--- a/test/cli/load-files.test.ts
+++ b/test/cli/load-files.test.ts
@@ -5,7 +5,7 @@
 import test from "node:test";
 import { loadFiles } from "../../src/cli/load-files.js";
 
-test("every fault of all files is reported at once, each with its file's name", async () => {
+test("all faults of all files are reported at once, each with its file's name", async () => {
   const directory = mkdtempSync(path.join(tmpdir(), "load-files-"));
   try {
     const config = path.join(directory, "settings.toml");
--- a/test/cli/start.test.ts
+++ b/test/cli/start.test.ts
@@ -7,7 +7,7 @@
 
 const BUILT_FILES = ["start.cjs", "umberfold.cjs", "umberfold.cache"];
 
-/** Copies built files, without what else the build made, to a directory that is removed afterwards. */
+/** Copies only the given built files to a temporary directory, which is removed afterwards. */
 const withBuiltCopy = (files: readonly string[], use: (target: string) => void): void => {
   const directory = mkdtempSync(path.join(tmpdir(), "start-"));
   try {
@@ -21,15 +21,15 @@
   }
 };
 
-const runStart = (target: string, ...words: readonly string[]): string =>
-  execFileSync(process.execPath, [path.join(target, "start.cjs"), ...words]).toString();
+const runStart = (target: string, ...args: readonly string[]): string =>
+  execFileSync(process.execPath, [path.join(target, "start.cjs"), ...args]).toString();
 
-/** The bundle starts whatever became of its code cache: that only makes it faster. */
+/** The bundle must start with any state of its code cache, which only speeds up the start. */
 const caches: readonly (readonly [name: string, damage: ((file: string) => void) | undefined])[] = [
   ["as built", undefined],
   ["missing", (file) => rmSync(file)],
-  ["cut short", (file) => writeFileSync(file, readFileSync(file).subarray(0, 1000))],
-  ["of something else", (file) => writeFileSync(file, "no cache at all")],
+  ["truncated", (file) => writeFileSync(file, readFileSync(file).subarray(0, 1000))],
+  ["replaced by other content", (file) => writeFileSync(file, "no cache at all")],
 ];
 for (const [name, damage] of caches)
   test(`the program starts with its code cache ${name}`, () => {
@@ -40,7 +40,7 @@
     });
   });
 
-test("a package that is off is not loaded: the program checks its settings without its file", () => {
+test("a disabled package is not loaded: settings are validated without the package's files", () => {
   withBuiltCopy([...BUILT_FILES, "packages.json"], (target) => {
     const packages = path.join(target, "packages.json");
     const settings = path.join("target", "build-settings.toml");
@@ -49,12 +49,12 @@
   });
 });
 
-test("settings with faults end the program with exit code 1 and a line for each on standard error", () => {
+test("invalid settings exit with code 1 and one line for each fault on standard error", () => {
   withBuiltCopy(BUILT_FILES, (target) => {
     const settings = path.join(target, "settings.toml");
     writeFileSync(settings, 'label = "a"\n');
-    const words = [path.join(target, "start.cjs"), "--check", "--config", settings];
-    const finished = spawnSync(process.execPath, words, { encoding: "utf8" });
+    const args = [path.join(target, "start.cjs"), "--check", "--config", settings];
+    const finished = spawnSync(process.execPath, args, { encoding: "utf8" });
     assert.equal(finished.status, 1);
     assert.equal(finished.stdout, "");
     const lines = finished.stderr.trimEnd().split("\n");
--- a/test/config/settings.test.ts
+++ b/test/config/settings.test.ts
@@ -38,12 +38,16 @@
 `;
 
 const cases: (readonly [name: string, source: string, fault: string | null])[] = [
-  ["as handed over", SETTINGS, null],
+  ["a valid file", SETTINGS, null],
   ["not TOML", "label = ", "not TOML"],
   ["a missing address", SETTINGS.replace('cloud = "10.2.0.2:8443"', ""), "services.cloud"],
-  ["a name for an address", SETTINGS.replace("10.2.0.1:2379", "state:2379"), "services.state"],
+  ["a host name in an address", SETTINGS.replace("10.2.0.1:2379", "state:2379"), "services.state"],
   ["a negative limit", SETTINGS.replace("rps = 250.0", "rps = -1.0"), "params.state.rps"],
-  ["a fraction of a controller", SETTINGS.replace("size = 2", "size = 2.5"), "params.size"],
+  [
+    "a number of shards that is no integer",
+    SETTINGS.replace("size = 2", "size = 2.5"),
+    "params.size",
+  ],
   ["a label twice", SETTINGS.replace('"loom-1"', '"loom-0"'), "seeds"],
 ];
 
@@ -51,13 +55,13 @@
 cases.push(
   ["too little memory", SETTINGS.replace("178.0", "40.0"), "params.resources.ram_mb"],
   [
-    "sockets for less than a part of each kind",
+    "too few sockets for all kinds of connections",
     SETTINGS.replace(RESOURCES, `${RESOURCES}\nmax_sockets = 60`),
     "params.resources.max_sockets",
   ],
 );
 
-test("objectives that can't be read are ignored, and all others used", () => {
+test("invalid objectives are ignored, and all others are used", () => {
   const rows = [
     'kind = "wait"\nclass = "c"\nwithin_s = 20.0\nshare = 0.9',
     'kind = "wait"\nclass = "c"\nwithin_s = 70.0',
@@ -98,7 +102,7 @@
     }
   });
 
-/** A fault names the field, what is allowed, and what is there instead. */
+/** A fault names the field, the allowed values and the actual value. */
 const lines: readonly (readonly [name: string, source: string, line: string])[] = [
   [
     "a number out of bounds",
@@ -106,7 +110,7 @@
     "params.state.rps: must be a number, at least 1, not -1",
   ],
   [
-    "a text for a number",
+    "a string instead of a number",
     SETTINGS.replace("rps = 250.0", 'rps = "fast"'),
     'params.state.rps: must be a number, at least 1, not "fast"',
   ],
@@ -122,7 +126,7 @@
   ],
 ];
 for (const [name, source, line] of lines)
-  test(`the fault says field, what is allowed and the value: ${name}`, () => {
+  test(`a fault names the field, the allowed values and the actual value: ${name}`, () => {
     const parsed = parseSettings(source);
     assert.deepEqual(parsed, { ok: false, faults: [line] });
   });
--- a/test/service/periodic-task.test.ts
+++ b/test/service/periodic-task.test.ts
@@ -7,25 +7,26 @@
 } from "../../src/service/periodic-task.js";
 import { SimulatedClock } from "../sim/clock.js";
 
-/** How long a decision that took so long rests, at five times as long. */
+/** Durations of a run and of the rest after it, with a rest factor of 5. */
 const cases: readonly (readonly [name: string, tookMs: number, restMs: number])[] = [
-  ["too short to count", 1, 0],
-  ["in proportion", 20, 100],
-  // A process pause in the middle of it: its clock ran on, and nothing would be moved for minutes.
-  ["after a pause not for minutes", 35_000, 2000],
+  ["none after a short run", 1, 0],
+  ["in proportion to the run", 20, 100],
+  // The process was paused in the middle of the run, so that the run seems to have taken 35 s. In
+  // proportion to that, the task would rest for minutes, and no machine would be moved meanwhile.
+  ["at most 2 s after a process pause", 35_000, 2000],
 ];
 
 for (const [name, tookMs, restMs] of cases)
-  test(`a decision rests: ${name}`, async () => {
+  test(`rest after a run: ${name}`, async () => {
     const clock = new SimulatedClock(1);
     let restedFrom = -1;
     let until = -1;
-    const decide = withProportionalRest(5, async () => {
+    const run = withProportionalRest(5, async () => {
       clock.now += tookMs;
       restedFrom = clock.now;
     });
     clock.after(1, () => {
-      void decide().then(() => {
+      void run().then(() => {
         until = clock.now;
       });
     });
@@ -33,7 +34,7 @@
     assert.equal(until - restedFrom, restMs);
   });
 
-test("a task that fails is logged and run again, until it is stopped", async () => {
+test("a failed run is reported, and the task continues until it is stopped", async () => {
   const failures: string[] = [];
   const stops: (() => void)[] = [];
   let runs = 0;
--- a/test/service/run-controller.test.ts
+++ b/test/service/run-controller.test.ts
@@ -8,7 +8,7 @@
 import { ListenError, runController } from "../../src/service/run-controller.js";
 import { settingsOf } from "../sim/settings.js";
 
-test("a controller whose address is taken fails with the address and Node's code", async () => {
+test("a controller whose address is in use fails with it and Node's error code", async () => {
   const taken = net.createServer();
   await new Promise<void>((resolve) => taken.listen(0, "127.0.0.1", resolve));
   const frontAddress = `127.0.0.1:${(taken.address() as AddressInfo).port}`;
