--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -34,7 +34,7 @@
   readonly withinS: number | null;
   /** The fraction of the jobs for which the objective should hold. */
   readonly share: number | null;
-  /** For deadlines: how many times as long as a job's own. */
+  /** For deadline objectives: factor on the job's own deadline. */
   readonly times: number | null;
 }
 
@@ -194,10 +194,15 @@
   listLagS: section.number("list_lag_s", 0, UNLIMITED, 0),
 });
 
-const readResources = (section: FieldReader, members: number): ProcessResources => ({
+const readResources = (section: FieldReader, controllerCount: number): ProcessResources => ({
   cpuFraction: section.number("cpu_share", 0.001, UNLIMITED, 1),
   ramMb: section.number("ram_mb", MIN_RAM_MB, UNLIMITED, DEFAULT_RAM_MB),
-  maxSockets: section.integer("max_sockets", minSockets(members), MAX_SOCKETS, DEFAULT_MAX_SOCKETS),
+  maxSockets: section.integer(
+    "max_sockets",
+    minSockets(controllerCount),
+    MAX_SOCKETS,
+    DEFAULT_MAX_SOCKETS,
+  ),
 });
 
 /** Reads the fields in the order of the file, in which the faults are then reported. */
--- a/src/service/availability-monitor.ts
+++ b/src/service/availability-monitor.ts
@@ -33,8 +33,8 @@
 
   /**
    * Reassesses availability once. After an isolation or a rejoin, restarts the timers of failure
-   * detection. Releases the shards if this controller reaches no machines while other controllers
-   * reach theirs, so that one of those takes them over.
+   * detection. Releases the shards for other controllers if this one reaches no machines, unless
+   * others report that they receive no heartbeats either.
    */
   async update(): Promise<void> {
     const { ctx, membership, owner } = this;
@@ -53,8 +53,7 @@
     const hasPeers = ctx.replica.members.size > 1;
     if (owner.channel.connectivity !== "disconnected" || !hasPeers) return;
     if (availability !== "available" || !membership.holdsValidLease()) return;
-    // If no other controller receives heartbeats either, releasing the shards would not help: then
-    // the machines or the common network have failed.
+    // If the other controllers receive no heartbeats either, none of them could use the shards.
     const heartbeats = await this.#askPeers(PEER_HEARTBEAT_RECEPTION_PATH);
     if (heartbeats.availableCount > 0 || heartbeats.unavailableCount === 0)
       await membership.releaseShards();
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -66,7 +66,7 @@
 
 const makeContext = (inputs: ControllerInputs): ControllerContext => {
   const { settings, operators, log, connections, incarnation, random } = inputs;
-  const members = settings.seeds.length + 1;
+  const controllerCount = settings.seeds.length + 1;
   const replica = new Replica(settings.shardCount);
   const teams = new Map(settings.teams.map((team) => [team.name, team]));
   return {
@@ -74,7 +74,12 @@
     teams,
     quotas: new ShardQuotas(replica, teams),
     operators,
-    store: new StateStore(settings.stateAddress, settings.state, connections.state, members),
+    store: new StateStore(
+      settings.stateAddress,
+      settings.state,
+      connections.state,
+      controllerCount,
+    ),
     replica,
     self: { label: settings.label, incarnation },
     log,
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -27,7 +27,7 @@
 
 /** Handles the users' submissions. */
 export class JobSubmission {
-  #pending = 0;
+  #pendingCount = 0;
 
   constructor(private readonly dependencies: JobWriteDependencies) {}
 
@@ -68,14 +68,14 @@
       if (found.kind !== "none") return answers.answer(spec.id, found);
       return neverRuns(runnability.reason);
     }
-    if (this.#pending >= this.#maxPending() || !ctx.store.mayWriteNow(1)) return tryAgain(429);
-    this.#pending++;
+    if (this.#pendingCount >= this.#maxPending() || !ctx.store.mayWriteNow(1)) return tryAgain(429);
+    this.#pendingCount++;
     const startedAt = monotonicNow();
     try {
       return await this.#accept(spec);
     } finally {
       ctx.metrics.record("accept", monotonicNow() - startedAt);
-      this.#pending--;
+      this.#pendingCount--;
     }
   }
 
--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -103,8 +103,8 @@
   log: Logger,
 ): Effect.Effect<never, ListenError, Scope.Scope> =>
   Effect.gen(function* () {
-    const members = settings.seeds.length + 1;
-    const parts = socketParts(settings.resources.maxSockets, members);
+    const controllerCount = settings.seeds.length + 1;
+    const parts = socketParts(settings.resources.maxSockets, controllerCount);
     // Each start has a new incarnation, which also seeds the random number generator.
     const uuid = randomUUID();
     const generator = xoroshiro128plus(Number.parseInt(uuid.slice(0, 8), 16));
