--- a/src/storage/final-job-cache.ts
+++ b/src/storage/final-job-cache.ts
@@ -14,7 +14,7 @@
   }
 
   /** Remembers a final record, and forgets the oldest if there are too many. */
-  remember(id: JobId, final: FinalJob): void {
+  put(id: JobId, final: FinalJob): void {
     if (this.#finals.size >= this.maxEntries) {
       const oldest = this.#finals.keys().next().value;
       if (oldest !== undefined) this.#finals.delete(oldest);
--- a/src/storage/fleet-index.ts
+++ b/src/storage/fleet-index.ts
@@ -32,27 +32,27 @@
   constructor(private readonly revisionOf: (key: string) => Revision) {}
 
   /** The key of the page that a machine is in. */
-  pageOf(id: MachineId): string | undefined {
+  pageKeyOf(id: MachineId): string | undefined {
     return this.#pageKeyOf.get(id);
   }
 
   /** A page was written. */
-  put(key: string, page: MachinePage): void {
-    this.#removeMissing(key, page);
+  putPage(key: string, page: MachinePage): void {
+    this.#removeMachinesNotIn(key, page);
     this.pages.set(key, page);
     for (const [id, machine] of page.machines) {
       const otherKey = this.#pageKeyOf.get(id);
-      const inYoungerPage =
+      const isInNewerPage =
         otherKey !== undefined && otherKey !== key && this.revisionOf(otherKey) > page.rev;
-      if (inYoungerPage) continue;
+      if (isInNewerPage) continue;
       this.#pageKeyOf.set(id, key);
       this.machines.set(id, machine);
     }
   }
 
   /** A page was deleted. */
-  drop(key: string): void {
-    this.#removeMissing(key, undefined);
+  deletePage(key: string): void {
+    this.#removeMachinesNotIn(key, undefined);
     this.pages.delete(key);
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** Removes the machines of a page that its next content lacks. */
-  #removeMissing(key: string, next: MachinePage | undefined): void {
+  #removeMachinesNotIn(key: string, next: MachinePage | undefined): void {
     this.version++;
     for (const id of this.pages.get(key)?.machines.keys() ?? []) {
       // A machine that moved to another page is indexed there already.
--- a/src/storage/job-page-drafts.ts
+++ b/src/storage/job-page-drafts.ts
@@ -13,7 +13,7 @@
 import type { Replica } from "./replica.js";
 
 /** What a page takes beside its rows. */
-export const PAGE_BASE_BYTES = 64;
+export const PAGE_OVERHEAD_BYTES = 64;
 
 /** A page as it is to be written. */
 export interface JobPageDraft {
@@ -38,15 +38,15 @@
   id: JobId,
   progress: JobProgress | null,
 ): number => {
-  const growth = progressGrowth(draft, id, progress);
-  draft.bytes += growth;
+  const growthBytes = progressGrowthBytes(draft, id, progress);
+  draft.bytes += growthBytes;
   if (progress === null) draft.entries.delete(id);
   else draft.entries.set(id, progress);
-  return growth;
+  return growthBytes;
 };
 
 /** By how many bytes a draft would grow. */
-export const progressGrowth = (
+export const progressGrowthBytes = (
   draft: JobPageDraft,
   id: JobId,
   progress: JobProgress | null,
@@ -62,7 +62,7 @@
 export class JobPageDrafts {
   readonly #drafts = new Map<string, JobPageDraft>();
   /** The page of each job that this transaction moves to another. */
-  readonly #movedTo = new Map<JobId, string>();
+  readonly #newPageKeyOf = new Map<JobId, string>();
 
   /** `maxPageBytes` is what one page may take. */
   constructor(
@@ -76,12 +76,12 @@
   }
 
   /** The key of the page that a job's progress is in, or is to be in; undefined for none. */
-  pageOf(shard: ShardId, id: JobId): string | undefined {
-    return this.#movedTo.get(id) ?? this.replica.shardJobs(shard).pageOf(id);
+  pageKeyOf(shard: ShardId, id: JobId): string | undefined {
+    return this.#newPageKeyOf.get(id) ?? this.replica.shardJobs(shard).pageOf(id);
   }
 
   /** The draft of a page. A new one is no part of the transaction until it is added. */
-  open(shard: ShardId, key: string): OpenedDraft {
+  openDraft(shard: ShardId, key: string): OpenedDraft {
     const draft = this.#drafts.get(key);
     return draft === undefined
       ? { draft: this.#fromReplica(shard, key), isNew: true }
@@ -96,36 +96,36 @@
   }
 
   /** Whether a draft of this size would still be a page. */
-  isWithinPage(bytes: number): boolean {
+  fitsInPage(bytes: number): boolean {
     return bytes <= this.maxPageBytes;
   }
 
   /** Remembers that a job is in another page from now on. */
-  moved(id: JobId, key: string): void {
-    this.#movedTo.set(id, key);
+  recordMove(id: JobId, key: string): void {
+    this.#newPageKeyOf.set(id, key);
   }
 
   /**
    * The key of a page of the shard with room for so many bytes: one that is written anyway, else
    * the first that has room, else a new one; never `except`.
    */
-  pageWithRoom(shard: ShardId, bytes: number, except: string | undefined): string {
+  pageKeyWithCapacity(shard: ShardId, bytes: number, excludedKey: string | undefined): string {
     for (const [key, draft] of this.#drafts)
-      if (draft.shard === shard && key !== except && this.isWithinPage(draft.bytes + bytes))
+      if (draft.shard === shard && key !== excludedKey && this.fitsInPage(draft.bytes + bytes))
         return key;
     const { pages } = this.replica.shardJobs(shard);
     for (let page = 0; ; page++) {
       const key = keys.work(shard, page);
-      if (key === except || this.#drafts.has(key)) continue;
+      if (key === excludedKey || this.#drafts.has(key)) continue;
       if (!pages.has(key)) return key;
-      if (this.isWithinPage(this.#fromReplica(shard, key).bytes + bytes)) return key;
+      if (this.fitsInPage(this.#fromReplica(shard, key).bytes + bytes)) return key;
     }
   }
 
   #fromReplica(shard: ShardId, key: string): JobPageDraft {
     const page = this.replica.shardJobs(shard).pages.get(key);
     const entries = new Map(page?.entries ?? []);
-    let bytes = PAGE_BASE_BYTES;
+    let bytes = PAGE_OVERHEAD_BYTES;
     for (const progress of entries.values()) bytes += progressBytes(progress);
     return { key, shard, rev: page?.rev ?? KEY_ABSENT, entries, bytes };
   }
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -121,7 +121,7 @@
     if (read.kind === "absent") return { kind: "none" };
     const job = parseFinalJob(read.item.value);
     if (job === undefined) return UNAVAILABLE;
-    this.#finals.remember(id, job);
+    this.#finals.put(id, job);
     return { kind: "final", job };
   }
 
--- a/src/storage/replica.ts
+++ b/src/storage/replica.ts
@@ -81,7 +81,7 @@
     },
     fleet: {
       put: (name, value, rev, key) => this.#putMachinePage(shardOfPage(name), key, value, rev),
-      drop: (_name, key) => this.#fleet.drop(key),
+      drop: (_name, key) => this.#fleet.deletePage(key),
     },
     gone: {
       put: (name, value, rev) => this.#putGoneRecord(name, value, rev),
@@ -123,7 +123,7 @@
       put: (_name, value, rev) => this.#putTeams(value, rev),
       drop: () => {
         this.teams = undefined;
-        this.spans.homesChanged();
+        this.spans.homeShardsChanged();
       },
     },
     span: {
@@ -194,7 +194,7 @@
 
   /** The key of the page that a machine's row is in. */
   machinePageOf(id: MachineId): string | undefined {
-    return this.#fleet.pageOf(id);
+    return this.#fleet.pageKeyOf(id);
   }
 
   /** Whether the cloud has said that the machine is gone, and the record of it is still there. */
@@ -267,7 +267,7 @@
   #putMachinePage(shard: ShardId, key: string, value: unknown, rev: Revision): void {
     // An unreadable page leaves what was last known of its machines.
     const machines = parseMachinePage(shard, value) ?? this.machinePages.get(key)?.machines;
-    this.#fleet.put(key, { shard, rev, machines: machines ?? new Map() });
+    this.#fleet.putPage(key, { shard, rev, machines: machines ?? new Map() });
   }
 
   #putGoneRecord(name: string, value: unknown, rev: Revision): void {
@@ -282,7 +282,7 @@
 
   #putTeams(value: unknown, rev: Revision): void {
     this.teams = { value: parseTeams(value), rev };
-    this.spans.homesChanged();
+    this.spans.homeShardsChanged();
     for (const id of this.accepted.keys()) this.#jobChanged(id);
   }
 
--- a/src/storage/request-budget.ts
+++ b/src/storage/request-budget.ts
@@ -17,9 +17,9 @@
 }
 
 /** What part of the write limit all controllers may use together. */
-const USABLE_WRITE_PART = 0.9;
+const USABLE_WRITE_FRACTION = 0.9;
 /** How many equal parts of the write limit one controller may use at the most. */
-const MAX_EQUAL_PARTS = 2.5;
+const MAX_EQUAL_SHARE_FACTOR = 2.5;
 
 /** Says whether a request or change may be sent now. All methods are synchronous and never wait. */
 export class RequestBudget {
@@ -31,11 +31,11 @@
   /** `members` is how many controllers share the limits. */
   constructor(
     private readonly limits: StoreLimits,
-    members: number,
+    memberCount: number,
   ) {
     const now = monotonicNow();
-    const requests = limits.rps / members;
-    const writes = limits.writeRps / members;
+    const requests = limits.rps / memberCount;
+    const writes = limits.writeRps / memberCount;
     this.#requests = new TokenBucket(requests, requests, now);
     this.#writes = new TokenBucket(writes, writes, now);
     this.#urgentWrites = new TokenBucket(writes, writes, now);
@@ -45,26 +45,29 @@
    * Divides the limits anew between the live controllers. What the watch shows the others not to
    * use (`othersWrites` is what they write a second) may be used as well, up to a few equal parts.
    */
-  updateShares(members: number, othersWrites: number): void {
+  updateShares(memberCount: number, peerWritesPerS: number): void {
     const now = monotonicNow();
-    const requests = this.limits.rps / members;
+    const requests = this.limits.rps / memberCount;
     this.#requests.reconfigure(requests, requests, now);
-    const equalPart = (this.limits.writeRps * USABLE_WRITE_PART) / members;
-    const unused = this.limits.writeRps * USABLE_WRITE_PART - othersWrites;
-    const urgent = this.limits.writeRps / members;
+    const equalShare = (this.limits.writeRps * USABLE_WRITE_FRACTION) / memberCount;
+    const unusedByPeers = this.limits.writeRps * USABLE_WRITE_FRACTION - peerWritesPerS;
+    const urgent = this.limits.writeRps / memberCount;
     this.#urgentWrites.reconfigure(urgent, urgent, now);
-    const writes = Math.max(equalPart, Math.min(unused, equalPart * MAX_EQUAL_PARTS));
+    const writes = Math.max(
+      equalShare,
+      Math.min(unusedByPeers, equalShare * MAX_EQUAL_SHARE_FACTOR),
+    );
     // Bursts stay an equal part: those of all together must fit into the store's own second.
-    this.#writes.reconfigure(writes, equalPart, now);
+    this.#writes.reconfigure(writes, equalShare, now);
   }
 
   /** Takes one request. */
-  mayRead(): boolean {
+  tryTakeRequest(): boolean {
     return this.#requests.take(1, monotonicNow());
   }
 
   /** For what can't wait: an equal part of the limit at the most, which all others pay off first. */
-  mayWriteNow(changes: number): boolean {
+  tryTakeUrgentWrites(changes: number): boolean {
     const now = monotonicNow();
     if (!this.#urgentWrites.take(changes, now)) return false;
     this.#writes.forceTake(changes, now);
@@ -72,7 +75,7 @@
   }
 
   /** For batches: lets one through once `minChanges` are there, and makes the next wait for it. */
-  mayWriteBatch(changes: number, minChanges: number): boolean {
+  tryTakeBatchWrites(changes: number, minChanges: number): boolean {
     return this.#writes.takeWithDebt(changes, minChanges, monotonicNow());
   }
 
@@ -82,8 +85,8 @@
   }
 
   /** How full the budget of changes is, from 0 to 1. */
-  writeLevel(): number {
-    return this.#writes.fillLevel(monotonicNow());
+  writeFillFraction(): number {
+    return this.#writes.fillFraction(monotonicNow());
   }
 
   /** The state store answered that its limit was exceeded: others use more than we know of. */
--- a/src/storage/span-index.ts
+++ b/src/storage/span-index.ts
@@ -34,7 +34,7 @@
   }
 
   /** The record of teams' home shards changed. */
-  homesChanged(): void {
+  homeShardsChanged(): void {
     this.version++;
   }
 
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -80,17 +80,17 @@
 
   /** Whether a read may be sent now; takes it from the budget if so. */
   mayRead(): boolean {
-    return this.#budget.mayRead();
+    return this.#budget.tryTakeRequest();
   }
 
   /** Whether changes that a user waits for may be sent now; takes them from the budget if so. */
   mayWriteNow(changes: number): boolean {
-    return this.#budget.mayWriteNow(changes);
+    return this.#budget.tryTakeUrgentWrites(changes);
   }
 
   /** Whether a batch may be sent once `minChanges` are there; takes `changes` if so. */
   mayWriteBatch(changes: number, minChanges: number): boolean {
-    return this.#budget.mayWriteBatch(changes, minChanges);
+    return this.#budget.tryTakeBatchWrites(changes, minChanges);
   }
 
   /** Milliseconds until this many changes may be written. */
@@ -100,7 +100,7 @@
 
   /** How full the budget of changes is, from 0 to 1. */
   writeLevel(): number {
-    return this.#budget.writeLevel();
+    return this.#budget.writeFillFraction();
   }
 
   /** The newest call was refused (503) or got no answer. */
--- a/src/storage/token-bucket.ts
+++ b/src/storage/token-bucket.ts
@@ -40,7 +40,7 @@
     this.#refilledAt = now;
   }
 
-  #has(count: number, now: MonotonicMs): boolean {
+  #canTake(count: number, now: MonotonicMs): boolean {
     this.#refill(now);
     // A batch above the whole bucket is let through when the bucket is full, and paid off after.
     return this.#tokens >= Math.min(count, this.#capacity());
@@ -53,7 +53,7 @@
 
   /** Takes `count` tokens as soon as `minTokens` are there: what is lacking is a debt. */
   takeWithDebt(count: number, minTokens: number, now: MonotonicMs): boolean {
-    if (!this.#has(Math.min(count, minTokens), now)) return false;
+    if (!this.#canTake(Math.min(count, minTokens), now)) return false;
     this.#tokens -= count;
     return true;
   }
@@ -67,12 +67,14 @@
   /** Milliseconds until `take(count)` succeeds if nobody else takes any. */
   waitMs(count: number, now: MonotonicMs): number {
     this.#refill(now);
-    const lacking = Math.min(count, this.#capacity()) - this.#tokens;
-    return lacking <= 0 ? 0 : (lacking / Math.max(this.tokensPerS, MIN_TOKENS_PER_S)) * 1000;
+    const missingTokens = Math.min(count, this.#capacity()) - this.#tokens;
+    return missingTokens <= 0
+      ? 0
+      : (missingTokens / Math.max(this.tokensPerS, MIN_TOKENS_PER_S)) * 1000;
   }
 
   /** How full it is, from 0 (empty or in debt) to 1. */
-  fillLevel(now: MonotonicMs): number {
+  fillFraction(now: MonotonicMs): number {
     this.#refill(now);
     return Math.max(0, this.#tokens / this.#capacity());
   }
--- a/src/storage/transaction-batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -24,8 +24,8 @@
   type JobPageDraft,
   JobPageDrafts,
   type OpenedDraft,
-  PAGE_BASE_BYTES,
-  progressGrowth,
+  PAGE_OVERHEAD_BYTES,
+  progressGrowthBytes,
   putProgress,
 } from "./job-page-drafts.js";
 import { encodeFinalJob, type FinalJob, type JobProgress } from "./job-records.js";
@@ -132,12 +132,12 @@
 
   /** Writes a job's progress, or with null takes it out. False if it has to wait. */
   putJob(shard: ShardId, id: JobId, progress: JobProgress | null): boolean {
-    const key = this.#jobPages.pageOf(shard, id);
+    const key = this.#jobPages.pageKeyOf(shard, id);
     if (key === undefined)
       return progress === null || this.#putInAnotherPage(shard, id, progress, undefined);
-    const current = this.#jobPages.open(shard, key);
-    const growth = progressGrowth(current.draft, id, progress);
-    if (progress !== null && !this.#jobPages.isWithinPage(current.draft.bytes + growth))
+    const current = this.#jobPages.openDraft(shard, key);
+    const growth = progressGrowthBytes(current.draft, id, progress);
+    if (progress !== null && !this.#jobPages.fitsInPage(current.draft.bytes + growth))
       return this.#putInAnotherPage(shard, id, progress, current);
     const bytes = bytesToInclude(current) + growth;
     if (!this.#admits(opsToInclude(current), bytes, 2)) return false;
@@ -153,14 +153,14 @@
     current: OpenedDraft | undefined,
   ): boolean {
     const size = progressBytes(progress);
-    const key = this.#jobPages.pageWithRoom(shard, size, current?.draft.key);
-    const next = this.#jobPages.open(shard, key);
+    const key = this.#jobPages.pageKeyWithCapacity(shard, size, current?.draft.key);
+    const next = this.#jobPages.openDraft(shard, key);
     const ops = opsToInclude(next) + opsToInclude(current);
     const bytes = size + bytesToInclude(next) + bytesToInclude(current);
     if (!this.#admits(ops, bytes, 3)) return false;
     if (current !== undefined) this.#putProgress(current.draft, id, null);
     this.#putProgress(next.draft, id, progress);
-    this.#jobPages.moved(id, key);
+    this.#jobPages.recordMove(id, key);
     return true;
   }
 
@@ -198,7 +198,7 @@
     if (draft !== undefined) return draft.machines;
     const page = this.replica.machinePages.get(key);
     if (page === undefined) return undefined;
-    const bytes = PAGE_BASE_BYTES + page.machines.size * MACHINE_BYTES;
+    const bytes = PAGE_OVERHEAD_BYTES + page.machines.size * MACHINE_BYTES;
     if (!this.#admits(1, bytes, 2)) return undefined;
     const machines = new Map(page.machines);
     this.#includeMachinePage(key, { rev: page.rev, machines }, bytes);
@@ -210,7 +210,7 @@
   newMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
     const draft = this.#machinePages.get(key);
     if (draft !== undefined) return draft.machines;
-    const bytes = PAGE_BASE_BYTES + MACHINE_BYTES;
+    const bytes = PAGE_OVERHEAD_BYTES + MACHINE_BYTES;
     if (!this.#admits(1, bytes, 1)) return undefined;
     const machines = new Map<MachineId, MachineRecord>();
     this.#includeMachinePage(key, { rev: KEY_ABSENT, machines }, bytes);
--- a/test/storage/token-bucket.test.ts
+++ b/test/storage/token-bucket.test.ts
@@ -19,7 +19,7 @@
 
 test("a bucket never fills beyond its capacity", () => {
   const bucket = newBucket();
-  assert.equal(bucket.fillLevel(at(60_000)), 1);
+  assert.equal(bucket.fillFraction(at(60_000)), 1);
   assert.equal(bucket.take(5, at(60_000)), true);
   assert.equal(bucket.take(1, at(60_000)), false);
 });
@@ -27,7 +27,7 @@
 test("more than the capacity is let through when full, and paid off before the next", () => {
   const bucket = newBucket();
   assert.equal(bucket.take(15, at(0)), true);
-  assert.equal(bucket.fillLevel(at(0)), 0);
+  assert.equal(bucket.fillFraction(at(0)), 0);
   assert.equal(bucket.waitMs(1, at(0)), 1100);
   assert.equal(bucket.take(1, at(1099)), false);
   assert.equal(bucket.take(1, at(1100)), true);
