--- a/src/coordination/fleet/fleet-records.ts
+++ b/src/coordination/fleet/fleet-records.ts
@@ -6,7 +6,7 @@
  */
 import { KEY_ABSENT, type MachineId, type ShardId } from "@umberfold/ids";
 import type { Condition, WriteOperation } from "../../protocol/store.js";
-import { encodeMachinePage, MACHINE_BYTES } from "../../storage/pages.js";
+import { encodeMachinePage, MAX_MACHINE_ROW_BYTES } from "../../storage/pages.js";
 import { keys, type MachineRecord } from "../../storage/records.js";
 import { maxPageBytes } from "../../storage/transaction-batch.js";
 import { LeaderRecords } from "./leader-records.js";
@@ -76,7 +76,7 @@
       machines.push([id, { ...machine, tokenFloor: replica.latestSeenRevision }]);
     }
     const maxMachinesPerPage = Math.floor(
-      maxPageBytes({ ...settings.state, shardCount: settings.shardCount }) / MACHINE_BYTES,
+      maxPageBytes({ ...settings.state, shardCount: settings.shardCount }) / MAX_MACHINE_ROW_BYTES,
     );
     const puts: WriteOperation[] = [];
     for (const [shard, machines] of machinesByShard)
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -68,7 +68,7 @@
       ops: intents.map(({ key, rental }) => ({
         kind: "put",
         key,
-        value: encodeRentalIntent({ ...rental, at: wallClockNow() }),
+        value: encodeRentalIntent({ ...rental, writtenAt: wallClockNow() }),
       })),
     });
     if (written) log.debug("rental intents written", { intents: intents.length });
--- a/src/coordination/fleet/returns.ts
+++ b/src/coordination/fleet/returns.ts
@@ -52,7 +52,7 @@
     const key = keys.gone(this.records.nextName());
     await this.records.write({
       conditions: [{ key, rev: KEY_ABSENT }],
-      ops: [{ kind: "put", key, value: encodeGoneRecord({ ids, at: wallClockNow() }) }],
+      ops: [{ kind: "put", key, value: encodeGoneRecord({ ids, reportedAt: wallClockNow() }) }],
     });
   }
 
@@ -61,7 +61,7 @@
     const { replica, settings } = this.ctx;
     const keptMs = LIST_LAGS_KEPT * 1000 * settings.cloud.listLagS + CLOUD_CALL_MS;
     const expired = [...replica.goneRecords]
-      .filter(([, proof]) => wallClockNow() - proof.value.at > keptMs)
+      .filter(([, proof]) => wallClockNow() - proof.value.reportedAt > keptMs)
       .filter(([, proof]) => proof.value.ids.every((id) => !replica.machines.has(id)))
       .slice(0, settings.state.txnOps);
     if (expired.length === 0) return;
--- a/src/coordination/membership/leader-election.ts
+++ b/src/coordination/membership/leader-election.ts
@@ -5,7 +5,7 @@
  */
 import { KEY_ABSENT, type LeaseId } from "@umberfold/ids";
 import type { Transaction } from "../../protocol/store.js";
-import { encodeControllerId, keys, sameController } from "../../storage/records.js";
+import { encodeControllerId, isSameController, keys } from "../../storage/records.js";
 import type { ControllerContext } from "../context.js";
 
 /** Decides whether this controller may claim leadership, and builds the transaction for it. */
@@ -16,7 +16,7 @@
   /** Whether the leader record names this controller with its current incarnation. */
   isLeader(): boolean {
     const { leader } = this.ctx.replica;
-    return leader !== undefined && sameController(leader.value, this.ctx.self);
+    return leader !== undefined && isSameController(leader.value, this.ctx.self);
   }
 
   /** The transaction that claims leadership; undefined while any controller is the leader. */
--- a/src/coordination/membership/member-registry.ts
+++ b/src/coordination/membership/member-registry.ts
@@ -8,8 +8,8 @@
 import {
   type ControllerId,
   encodeControllerId,
+  isSameController,
   keys,
-  sameController,
 } from "../../storage/records.js";
 import type { ControllerContext } from "../context.js";
 
@@ -26,7 +26,7 @@
   /** Whether the member record of this controller's label names its current incarnation. */
   isRegistered(): boolean {
     const { replica, self } = this.ctx;
-    return sameController(replica.members.get(self.label)?.value, self);
+    return isSameController(replica.members.get(self.label)?.value, self);
   }
 
   /** The transaction that writes this controller's member record, which expires with the lease. */
--- a/src/coordination/membership/shard-ownership.ts
+++ b/src/coordination/membership/shard-ownership.ts
@@ -1,6 +1,6 @@
 /** Which controller owns which shard, read from the replica. Stateless and without writes. */
 import type { ShardId } from "@umberfold/ids";
-import { type ControllerId, sameController } from "../../storage/records.js";
+import { type ControllerId, isSameController } from "../../storage/records.js";
 import type { ControllerContext } from "../context.js";
 
 /** Queries on the owners of shards. */
@@ -16,7 +16,7 @@
     const owner = this.ctx.replica.shardOwners.get(shard);
     return (
       owner !== undefined &&
-      sameController(owner.value, this.ctx.self) &&
+      isSameController(owner.value, this.ctx.self) &&
       this.ctx.replica.syncedRevision >= owner.rev
     );
   }
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -74,7 +74,7 @@
   const { index } = state.ctx.replica.shardJobs(round.shard);
   for (const finishable of [index.cancelled, index.complete])
     for (const [id, job] of finishable) {
-      if (round.batch.ops >= round.batch.maxOps * maxBatchFraction) return;
+      if (round.batch.opCount >= round.batch.maxOpCount * maxBatchFraction) return;
       if (job.open.length === 0 && !round.drafts.has(id)) terminateInJob(state, round, id, []);
     }
 };
@@ -159,7 +159,8 @@
   const revision = state.ctx.replica.accepted.get(id)?.rev;
   const hasTerminations = attempts.length > 0;
   // Without terminations, the job comes from `finishCompletedJobs`, which applies its own limit.
-  const mayFinish = !hasTerminations || batch.ops < batch.maxOps * MAX_FINISHED_JOBS_BATCH_FRACTION;
+  const mayFinish =
+    !hasTerminations || batch.opCount < batch.maxOpCount * MAX_FINISHED_JOBS_BATCH_FRACTION;
   const phase = isCancelled ? "cancelled" : "done";
   if (isOver && revision !== undefined && mayFinish)
     if (batch.finishJob(shard, id, revision, { phase, done: doneTasks })) return true;
--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -8,7 +8,7 @@
 import { attemptNumber, type MachineId } from "@umberfold/ids";
 import type { Settings } from "../../config/settings.js";
 import { addUse, type CandidateMachine } from "../../scheduling/placement.js";
-import { machineNameBytes, openAttemptBytes, progressBytes } from "../../storage/pages.js";
+import { machineIdBytes, openAttemptBytes, progressBytes } from "../../storage/pages.js";
 import type { LiveJob, OpenAttempt } from "../../storage/records.js";
 import { maxPageBytes } from "../../storage/transaction-batch.js";
 
@@ -46,7 +46,7 @@
   tryAdd(index: number, machine: CandidateMachine): boolean {
     const attempt = attemptNumber(this.#nextAttempt);
     this.#recordBytes += openAttemptBytes({ index, attempt });
-    if (!this.#namedMachines.has(machine.id)) this.#recordBytes += machineNameBytes(machine.id);
+    if (!this.#namedMachines.has(machine.id)) this.#recordBytes += machineIdBytes(machine.id);
     if (this.#recordBytes > this.#maxRecordBytes) return false;
     this.#nextAttempt++;
     this.#namedMachines.add(machine.id);
--- a/src/coordination/rounds/machine-page-compaction.ts
+++ b/src/coordination/rounds/machine-page-compaction.ts
@@ -5,7 +5,7 @@
  */
 import type { MachineId } from "@umberfold/ids";
 import type { MachinePage } from "../../storage/fleet-index.js";
-import { MACHINE_BYTES } from "../../storage/pages.js";
+import { MAX_MACHINE_ROW_BYTES } from "../../storage/pages.js";
 import type { MachineRecord } from "../../storage/records.js";
 import { maxPageBytes } from "../../storage/transaction-batch.js";
 import type { ControllerContext } from "../context.js";
@@ -76,7 +76,7 @@
   if (pages.length < MIN_PAGES_TO_COMPACT) return;
   if (writtenKeys.size === 0 && store.writeLevel() < MIN_WRITE_BUDGET_FRACTION) return;
   const pageBytes = maxPageBytes({ ...settings.state, shardCount: settings.shardCount });
-  const maxMachinesPerPage = (pageBytes * MAX_MERGED_PAGE_FRACTION) / MACHINE_BYTES;
+  const maxMachinesPerPage = (pageBytes * MAX_MERGED_PAGE_FRACTION) / MAX_MACHINE_ROW_BYTES;
   const pagesBySize = [...pages].sort((a, b) => a[1].machines.size - b[1].machines.size);
   const targetKey = compactionTarget(pagesBySize, writtenKeys, maxMachinesPerPage);
   if (targetKey === undefined) return;
--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -136,7 +136,7 @@
   #writeTransfer(id: MachineId, record: MachineRecord, round: ShardRound): boolean {
     const ownedSince = this.state.ctx.replica.shardOwners.get(round.shard)?.rev;
     const pageName = `${ownedSince}-${this.#pageNameCounter}`;
-    const page = round.batch.newMachinePage(keys.fleet(record.shard, pageName));
+    const page = round.batch.addMachinePage(keys.fleet(record.shard, pageName));
     page?.set(id, record);
     return page !== undefined;
   }
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -152,7 +152,7 @@
   #writeDraft(id: JobId, acceptedRevision: Revision, draft: LiveJob): boolean {
     const { batch, shard, drafts } = this.round;
     const { done, open, nextAttempt } = draft;
-    if (!batch.requireJob(id, acceptedRevision)) return false;
+    if (!batch.requireUnchangedJob(id, acceptedRevision)) return false;
     if (!batch.putJob(shard, id, { done, open, nextAttempt })) return false;
     drafts.set(id, draft);
     return true;
--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -88,7 +88,7 @@
     this.#evict(now, canWrite);
     if (canWrite) this.#swarm(shards, now);
     const decision = this.#decide(shards, now);
-    if (decision.batch.empty) {
+    if (decision.batch.isEmpty) {
       this.#dispatch(decision);
       return "idle";
     }
@@ -179,7 +179,7 @@
    * job or a machine record is written with them, or the delay is over.
    */
   #coalesceDelayMs(batch: TransactionBatch, now: MonotonicMs): number {
-    if (!batch.urgent) {
+    if (!batch.isUrgent) {
       this.#coalescingSince ??= now;
       const remainingMs = COALESCE_MAX_DELAY_MS - (now - this.#coalescingSince);
       if (remainingMs > 0) return remainingMs;
@@ -213,7 +213,7 @@
       // Read again for each transaction: a shard may have changed its owner during the last write.
       for (const shard of membership.ownedShards())
         finishCompletedJobs(state, newShardRound(shard, batch, monotonicNow()));
-      if (batch.empty) return;
+      if (batch.isEmpty) return;
       const transaction = batch.transaction();
       if (!store.mayWriteBatch(transaction.ops.length, MIN_WRITE_BUDGET_OPS)) return;
       if (!(await this.commit.commit(transaction))) return;
--- a/src/storage/controller-records.ts
+++ b/src/storage/controller-records.ts
@@ -16,7 +16,7 @@
 }
 
 /** Whether both are the same start of the same controller; an absent record names nobody. */
-export const sameController = (a: ControllerId | undefined, b: ControllerId): boolean =>
+export const isSameController = (a: ControllerId | undefined, b: ControllerId): boolean =>
   a !== undefined && a.label === b.label && a.incarnation === b.incarnation;
 
 /** The stored name of each field. */
--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -53,9 +53,13 @@
 export interface LiveJob extends AcceptedJob, JobProgress {}
 
 /** A job as it is at the moment of its acceptance. */
-export const newJob = (spec: JobSpec, at: WallClockMs, shard: ShardId | null = null): LiveJob => ({
+export const newJob = (
+  spec: JobSpec,
+  acceptedAt: WallClockMs,
+  shard: ShardId | null = null,
+): LiveJob => ({
   spec,
-  acceptedAt: at,
+  acceptedAt,
   cancelledAt: null,
   shard,
   ...NO_PROGRESS,
--- a/src/storage/machine-records.ts
+++ b/src/storage/machine-records.ts
@@ -39,7 +39,7 @@
 export interface GoneRecord {
   readonly ids: readonly MachineId[];
   /** When the cloud said so. */
-  readonly at: WallClockMs;
+  readonly reportedAt: WallClockMs;
 }
 
 /** The stored name of each field of a gone record. */
@@ -48,7 +48,7 @@
 /** The stored form of a gone record. */
 export const encodeGoneRecord = (gone: GoneRecord): unknown => ({
   [GONE_FIELD.ids]: gone.ids,
-  [GONE_FIELD.at]: gone.at,
+  [GONE_FIELD.at]: gone.reportedAt,
 });
 
 /** Undefined if no list of machines can be read; an unreadable time is 0. */
@@ -58,6 +58,6 @@
   if (ids === undefined) return undefined;
   return {
     ids: ids.map((id) => machineId(String(id))),
-    at: wallClockMs(amount(value[GONE_FIELD.at]) ?? 0),
+    reportedAt: wallClockMs(amount(value[GONE_FIELD.at]) ?? 0),
   };
 };
--- a/src/storage/pages.ts
+++ b/src/storage/pages.ts
@@ -34,43 +34,43 @@
 };
 
 /** What a job's row takes beside its numbers and machine ids. */
-const JOB_ROW_BYTES = 48;
+const JOB_ROW_OVERHEAD_BYTES = 48;
 /** The number by which an open attempt names its machine, and the commas after its numbers. */
-const OPEN_ATTEMPT_FIXED_BYTES = 7;
+const OPEN_ATTEMPT_OVERHEAD_BYTES = 7;
 /** Quotes and comma around a machine's id. */
-const MACHINE_ID_FIXED_BYTES = 3;
+const MACHINE_ID_OVERHEAD_BYTES = 3;
 
 /** What a machine's row takes at the most. */
-export const MACHINE_BYTES = 80;
+export const MAX_MACHINE_ROW_BYTES = 80;
 
 const digitCount = (value: number): number => (value < 10 ? 1 : Math.floor(Math.log10(value)) + 1);
 
 /** The bytes that one open attempt takes of a page, beside its machine's id. */
 export const openAttemptBytes = (attempt: Pick<OpenAttempt, "index" | "attempt">): number =>
-  OPEN_ATTEMPT_FIXED_BYTES + digitCount(attempt.index) + digitCount(attempt.attempt);
+  OPEN_ATTEMPT_OVERHEAD_BYTES + digitCount(attempt.index) + digitCount(attempt.attempt);
 
 /** The bytes that a machine's id takes, once for all that is open on it. */
-export const machineNameBytes = (id: MachineId): number => id.length + MACHINE_ID_FIXED_BYTES;
+export const machineIdBytes = (id: MachineId): number => id.length + MACHINE_ID_OVERHEAD_BYTES;
 
 /** Progress is never changed in place, so what it takes is computed once. */
-const computedBytes = new WeakMap<JobProgress, number>();
+const cachedProgressBytes = new WeakMap<JobProgress, number>();
 
 /**
  * An upper bound of the bytes that a job's progress takes of its page. It is close, for it decides
  * how many tasks of a large array run at a time.
  */
 export const progressBytes = (progress: JobProgress): number => {
-  const known = computedBytes.get(progress);
+  const known = cachedProgressBytes.get(progress);
   if (known !== undefined) return known;
   const machines = new Set<MachineId>();
-  let bytes = JOB_ROW_BYTES;
+  let bytes = JOB_ROW_OVERHEAD_BYTES;
   for (const bound of progress.done) bytes += digitCount(bound) + 1;
   for (const attempt of progress.open) {
     bytes += openAttemptBytes(attempt);
     machines.add(attempt.machine);
   }
-  for (const id of machines) bytes += machineNameBytes(id);
-  computedBytes.set(progress, bytes);
+  for (const id of machines) bytes += machineIdBytes(id);
+  cachedProgressBytes.set(progress, bytes);
   return bytes;
 };
 
--- a/src/storage/rental-records.ts
+++ b/src/storage/rental-records.ts
@@ -14,7 +14,7 @@
   /** The shard that each of the machines is for; as many are rented as are named here. */
   readonly shards: readonly ShardId[];
   /** When it was written. */
-  readonly at: WallClockMs;
+  readonly writtenAt: WallClockMs;
 }
 
 /** The stored name of each field. */
@@ -26,7 +26,7 @@
   [FIELD.zone]: intent.zone,
   [FIELD.spot]: intent.spot,
   [FIELD.shards]: intent.shards,
-  [FIELD.at]: intent.at,
+  [FIELD.at]: intent.writtenAt,
 });
 
 /** Undefined if type, zone or shards can't be read; a shard that is no number is shard 0. */
@@ -41,6 +41,6 @@
     zone,
     spot: value[FIELD.spot] === true,
     shards: shards.map((shard) => shardId(shard ?? 0)),
-    at: wallClockMs(amount(value[FIELD.at]) ?? 0),
+    writtenAt: wallClockMs(amount(value[FIELD.at]) ?? 0),
   };
 };
--- a/src/storage/transaction-batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -31,7 +31,7 @@
 import { encodeFinalJob, type FinalJob, type JobProgress } from "./job-records.js";
 import { keys } from "./keys.js";
 import type { MachineRecord } from "./machine-records.js";
-import { encodeJobPage, encodeMachinePage, MACHINE_BYTES, progressBytes } from "./pages.js";
+import { encodeJobPage, encodeMachinePage, MAX_MACHINE_ROW_BYTES, progressBytes } from "./pages.js";
 import type { Replica } from "./replica.js";
 
 /** Bytes of a transaction; the rest of the store's limit is left for keys, revisions and names. */
@@ -39,9 +39,9 @@
 /** Bytes of the store's limit of one value that a page leaves free. */
 const VALUE_MARGIN_BYTES = 512;
 /** What a final record takes at the most. */
-const FINAL_RECORD_BYTES = 160;
+const MAX_FINAL_RECORD_BYTES = 160;
 /** A page takes at most this part of a transaction, so that several go into one. */
-const PAGES_PER_TRANSACTION = 4;
+const MIN_PAGES_PER_TRANSACTION = 4;
 
 interface MachinePageDraft {
   readonly rev: Revision;
@@ -62,7 +62,7 @@
 export const maxPageBytes = (limits: BatchLimits): number =>
   Math.min(
     limits.valueKb * 1024 - VALUE_MARGIN_BYTES,
-    Math.floor(MAX_TRANSACTION_BYTES / PAGES_PER_TRANSACTION),
+    Math.floor(MAX_TRANSACTION_BYTES / MIN_PAGES_PER_TRANSACTION),
   );
 
 /** See the module's head. */
@@ -74,7 +74,7 @@
   #bytes = 0;
   #ops = 0;
   /** Something in it is waited for: a start, a job's end, a machine's record. */
-  urgent = false;
+  isUrgent = false;
 
   constructor(
     private readonly replica: Replica,
@@ -84,21 +84,21 @@
   }
 
   /** Whether it changes nothing. */
-  get empty(): boolean {
+  get isEmpty(): boolean {
     return this.#ops === 0;
   }
 
   /** How many changes it makes. */
-  get ops(): number {
+  get opCount(): number {
     return this.#ops;
   }
 
   /** The most changes that a transaction takes. */
-  get maxOps(): number {
+  get maxOpCount(): number {
     return this.limits.txnOps;
   }
 
-  #admits(ops: number, bytes: number, conditions: number): boolean {
+  #hasCapacity(ops: number, bytes: number, conditions: number): boolean {
     const { txnOps, shardCount } = this.limits;
     return (
       this.#ops + ops <= txnOps &&
@@ -107,26 +107,26 @@
     );
   }
 
-  #require(key: string, rev: Revision): void {
+  #addCondition(key: string, rev: Revision): void {
     this.#conditions.set(key, rev);
   }
 
   /** The shard must still have the same owner when this is applied. */
-  #requireOwner(shard: ShardId): void {
-    this.#require(keys.shard(shard), this.replica.revisionOf(keys.shard(shard)));
+  #addOwnerCondition(shard: ShardId): void {
+    this.#addCondition(keys.shard(shard), this.replica.revisionOf(keys.shard(shard)));
   }
 
   /** Makes a page part of the transaction, if it isn't yet. */
-  #include(draft: JobPageDraft): void {
+  #includeJobPage(draft: JobPageDraft): void {
     if (!this.#jobPages.add(draft)) return;
     this.#ops++;
     this.#bytes += draft.bytes;
-    this.#require(draft.key, draft.rev);
-    this.#requireOwner(draft.shard);
+    this.#addCondition(draft.key, draft.rev);
+    this.#addOwnerCondition(draft.shard);
   }
 
   #putProgress(draft: JobPageDraft, id: JobId, progress: JobProgress | null): void {
-    this.#include(draft);
+    this.#includeJobPage(draft);
     this.#bytes += putProgress(draft, id, progress);
   }
 
@@ -140,7 +140,7 @@
     if (progress !== null && !this.#jobPages.fitsInPage(current.draft.bytes + growth))
       return this.#putInAnotherPage(shard, id, progress, current);
     const bytes = bytesToInclude(current) + growth;
-    if (!this.#admits(opsToInclude(current), bytes, 2)) return false;
+    if (!this.#hasCapacity(opCountToInclude(current), bytes, 2)) return false;
     this.#putProgress(current.draft, id, progress);
     return true;
   }
@@ -155,9 +155,9 @@
     const size = progressBytes(progress);
     const key = this.#jobPages.pageKeyWithCapacity(shard, size, current?.draft.key);
     const next = this.#jobPages.openDraft(shard, key);
-    const ops = opsToInclude(next) + opsToInclude(current);
+    const ops = opCountToInclude(next) + opCountToInclude(current);
     const bytes = size + bytesToInclude(next) + bytesToInclude(current);
-    if (!this.#admits(ops, bytes, 3)) return false;
+    if (!this.#hasCapacity(ops, bytes, 3)) return false;
     if (current !== undefined) this.#putProgress(current.draft, id, null);
     this.#putProgress(next.draft, id, progress);
     this.#jobPages.recordMove(id, key);
@@ -165,26 +165,26 @@
   }
 
   /** A start is valid only while its job's record is as it was read: not cancelled meanwhile. */
-  requireJob(id: JobId, rev: Revision): boolean {
+  requireUnchangedJob(id: JobId, rev: Revision): boolean {
     const key = keys.live(id);
-    this.urgent = true;
+    this.isUrgent = true;
     if (this.#conditions.has(key)) return true;
-    if (!this.#admits(0, 0, 1)) return false;
-    this.#require(key, rev);
+    if (!this.#hasCapacity(0, 0, 1)) return false;
+    this.#addCondition(key, rev);
     return true;
   }
 
   /** Ends a job: its final record is written once, in the same transaction that drops the rest. */
   finishJob(shard: ShardId, id: JobId, rev: Revision, final: FinalJob): boolean {
-    if (!this.#admits(3, FINAL_RECORD_BYTES, 4)) return false;
+    if (!this.#hasCapacity(3, MAX_FINAL_RECORD_BYTES, 4)) return false;
     if (!this.putJob(shard, id, null)) return false;
-    this.urgent = true;
+    this.isUrgent = true;
     this.#finals.set(id, final);
     this.#ops += 2;
-    this.#bytes += FINAL_RECORD_BYTES;
-    this.#require(keys.live(id), rev);
-    this.#require(keys.final(id), KEY_ABSENT);
-    this.#requireOwner(shard);
+    this.#bytes += MAX_FINAL_RECORD_BYTES;
+    this.#addCondition(keys.live(id), rev);
+    this.#addCondition(keys.final(id), KEY_ABSENT);
+    this.#addOwnerCondition(shard);
     return true;
   }
 
@@ -193,25 +193,25 @@
    * there is no room, or no such page.
    */
   editMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
-    this.urgent = true;
+    this.isUrgent = true;
     const draft = this.#machinePages.get(key);
     if (draft !== undefined) return draft.machines;
     const page = this.replica.machinePages.get(key);
     if (page === undefined) return undefined;
-    const bytes = PAGE_OVERHEAD_BYTES + page.machines.size * MACHINE_BYTES;
-    if (!this.#admits(1, bytes, 2)) return undefined;
+    const bytes = PAGE_OVERHEAD_BYTES + page.machines.size * MAX_MACHINE_ROW_BYTES;
+    if (!this.#hasCapacity(1, bytes, 2)) return undefined;
     const machines = new Map(page.machines);
     this.#includeMachinePage(key, { rev: page.rev, machines }, bytes);
-    this.#requireOwner(page.shard);
+    this.#addOwnerCondition(page.shard);
     return machines;
   }
 
   /** The machines of a new page, which must not exist yet; undefined if there is no room. */
-  newMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
+  addMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
     const draft = this.#machinePages.get(key);
     if (draft !== undefined) return draft.machines;
-    const bytes = PAGE_OVERHEAD_BYTES + MACHINE_BYTES;
-    if (!this.#admits(1, bytes, 1)) return undefined;
+    const bytes = PAGE_OVERHEAD_BYTES + MAX_MACHINE_ROW_BYTES;
+    if (!this.#hasCapacity(1, bytes, 1)) return undefined;
     const machines = new Map<MachineId, MachineRecord>();
     this.#includeMachinePage(key, { rev: KEY_ABSENT, machines }, bytes);
     return machines;
@@ -221,7 +221,7 @@
     this.#machinePages.set(key, draft);
     this.#ops++;
     this.#bytes += bytes;
-    this.#require(key, draft.rev);
+    this.#addCondition(key, draft.rev);
   }
 
   /** The transaction as it is now. A machine page without machines is deleted. */
@@ -244,7 +244,8 @@
   }
 }
 
-const opsToInclude = (opened: OpenedDraft | undefined): number => (opened?.isNew === true ? 1 : 0);
+const opCountToInclude = (opened: OpenedDraft | undefined): number =>
+  opened?.isNew === true ? 1 : 0;
 
 const bytesToInclude = (opened: OpenedDraft | undefined): number =>
   opened?.isNew === true ? opened.draft.bytes : 0;
--- a/test/coordination/workers/direct-command-sender.test.ts
+++ b/test/coordination/workers/direct-command-sender.test.ts
@@ -124,7 +124,7 @@
 
 test("direct call: a machine that is proved gone is not called", () => {
   const { sender, calls, replica } = setUp();
-  const value = encodeGoneRecord({ ids: [MACHINE], at: wallClockMs(0) });
+  const value = encodeGoneRecord({ ids: [MACHINE], reportedAt: wallClockMs(0) });
   replica.apply({ kind: "put", key: keys.gone("1"), value, rev: revision(6) });
   sender.call(MACHINE, false);
   assert.equal(calls.length, 0);
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -185,7 +185,7 @@
     terminateAttempts(this.state, round, this.state.sessions.keys());
     if (PlacementPhase.isNeeded(this.state, round))
       new PlacementPhase(this.state, round, new Set()).run();
-    return { steps: this.steps, starts: this.state.counters.starts, ops: batch.ops };
+    return { steps: this.steps, starts: this.state.counters.starts, ops: batch.opCount };
   }
 
   /** How many machines' records a round examines, by the sessions it reads, and its operations. */
@@ -204,7 +204,7 @@
     const batch = new TransactionBatch(this.replica, LIMITS);
     records.reconcile(newShardRound(SHARD, batch, monotonicMs(atMs)), looked);
     sessions.get = get;
-    return { asked, ops: batch.ops };
+    return { asked, ops: batch.opCount };
   }
 
   newRecords(): MachineRecordPhase {
@@ -215,7 +215,7 @@
   finishOnly(): number {
     const batch = new TransactionBatch(this.replica, LIMITS);
     finishCompletedJobs(this.state, newShardRound(SHARD, batch, monotonicMs(0)));
-    return batch.ops;
+    return batch.opCount;
   }
 
   /** Steps of a pass over all live jobs. */
--- a/test/storage/transaction-batch.test.ts
+++ b/test/storage/transaction-batch.test.ts
@@ -69,7 +69,7 @@
   const batch = new TransactionBatch(replicaWith(jobs), LIMITS);
   assert.equal(batch.putJob(SHARD, jobId("wk-1"), progressOf(2)), true);
   assert.equal(batch.putJob(SHARD, jobId("wk-2"), null), true);
-  assert.equal(batch.ops, 1);
+  assert.equal(batch.opCount, 1);
   assert.deepEqual(writtenPages(batch), {
     [PAGE_0]: encodeJobPage([[jobId("wk-1"), progressOf(2)]]),
   });
@@ -106,7 +106,7 @@
   const id = jobId("wk-1");
   const batch = new TransactionBatch(replicaWith(new Map([[id, progressOf(1)]])), LIMITS);
   assert.equal(batch.finishJob(SHARD, id, revision(4), { phase: "done", done: 1 }), true);
-  assert.equal(batch.urgent, true);
+  assert.equal(batch.isUrgent, true);
   assert.deepEqual(writtenPages(batch), {
     [PAGE_0]: encodeJobPage([]),
     [keys.live(id)]: null,
