--- a/src/storage/cluster-records.ts
+++ b/src/storage/cluster-records.ts
@@ -1,6 +1,6 @@
 /**
- * The records of which there is one for the whole cluster, both written by the leader: the machine
- * types that the cloud offers (`now/types`) and the home shard of each team (`now/teams`).
+ * Codecs of the two cluster-wide records, which only the leader writes: the machine types that the
+ * cloud offers (`now/types`) and the home shard of each team (`now/teams`).
  */
 import { type ShardId, shardId, type TeamName, teamName } from "@umberfold/ids";
 import { amount, count, isMap, list, text } from "../protocol/cbor.js";
@@ -9,7 +9,7 @@
 /** The stored name of each field of a machine type, in the order in which they are stored. */
 const FIELD = {
   name: "l",
-  /** A list: processors, devices, memory in GB. */
+  /** A list: CPUs, GPUs, memory in GB. */
   capacity: "u",
   cacheGb: "c",
   fetchGbPerS: "f",
@@ -19,7 +19,7 @@
   zones: "z",
 } as const;
 
-/** The stored form of the machine types: a list. */
+/** Returns the stored form of the machine types, a list of maps. */
 export const encodeMachineTypes = (types: readonly MachineType[]): unknown =>
   types.map((type) => ({
     [FIELD.name]: type.name,
@@ -32,7 +32,10 @@
     [FIELD.zones]: type.zones,
   }));
 
-/** Rows that are no maps are ignored; a field that can't be read is empty or 0. */
+/**
+ * Parses the stored machine types. Rows that aren't maps are skipped; a missing or invalid field
+ * becomes an empty string, an empty list or 0.
+ */
 export const parseMachineTypesRecord = (value: unknown): readonly MachineType[] =>
   (list(value) ?? []).flatMap((row) => {
     if (!isMap(row)) return [];
@@ -53,11 +56,11 @@
     ];
   });
 
-/** The stored form of teams' home shards: a map by team name, in the map's order. */
+/** Returns the stored form of the teams' home shards: a map by team name, in the same order. */
 export const encodeTeams = (homes: ReadonlyMap<TeamName, ShardId>): unknown =>
   Object.fromEntries(homes);
 
-/** Teams whose shard can't be read are left out. */
+/** Parses the teams' home shards; teams with an invalid shard number are skipped. */
 export const parseTeams = (value: unknown): ReadonlyMap<TeamName, ShardId> => {
   const homes = new Map<TeamName, ShardId>();
   if (!isMap(value)) return homes;
--- a/src/storage/controller-records.ts
+++ b/src/storage/controller-records.ts
@@ -1,5 +1,6 @@
 /**
- * The record that names a controller: the value of `now/member/`, `now/share/` and `now/leader`.
+ * Codec of the record that identifies a controller: the value of the keys under `now/member/` and
+ * `now/share/`, and of `now/leader`.
  */
 import {
   type ControllerLabel,
@@ -9,26 +10,26 @@
 } from "@umberfold/ids";
 import { isMap, text } from "../protocol/cbor.js";
 
-/** The controller that a record names: its label, and the one start of its process under it. */
+/** Identifies one run of a controller process: the controller's label and the run's incarnation. */
 export interface ControllerId {
   readonly label: ControllerLabel;
   readonly incarnation: Incarnation;
 }
 
-/** Whether both are the same start of the same controller; an absent record names nobody. */
+/** Whether both ids are of the same run of the same controller; false if `a` is undefined. */
 export const isSameController = (a: ControllerId | undefined, b: ControllerId): boolean =>
   a !== undefined && a.label === b.label && a.incarnation === b.incarnation;
 
 /** The stored name of each field. */
 const FIELD = { label: "l", incarnation: "i" } as const;
 
-/** The stored form of a controller's id. */
+/** Returns the stored form of a controller's id. */
 export const encodeControllerId = (id: ControllerId): unknown => ({
   [FIELD.label]: id.label,
   [FIELD.incarnation]: id.incarnation,
 });
 
-/** Undefined if the value is no controller's id. */
+/** Returns undefined if the value isn't a controller's id. */
 export const parseControllerId = (value: unknown): ControllerId | undefined => {
   if (!isMap(value)) return undefined;
   const label = text(value[FIELD.label]);
--- a/src/storage/final-job-cache.ts
+++ b/src/storage/final-job-cache.ts
@@ -1,19 +1,19 @@
-/** Final records that were read. They never change, so they may be answered from memory for ever. */
+/** Cache of final job records. These records never change, so cached entries never become stale. */
 import type { JobId } from "@umberfold/ids";
 import type { FinalJob } from "./job-records.js";
 
-/** A bounded memory of final records: the one remembered first is forgotten first. */
+/** A bounded cache of final records with first-in, first-out eviction. */
 export class FinalJobCache {
   readonly #finals = new Map<JobId, FinalJob>();
 
   constructor(private readonly maxEntries: number) {}
 
-  /** Undefined if it isn't remembered, which says nothing of the job. */
+  /** Returns undefined if the record isn't cached; the store may hold it nevertheless. */
   get(id: JobId): FinalJob | undefined {
     return this.#finals.get(id);
   }
 
-  /** Remembers a final record, and forgets the oldest if there are too many. */
+  /** Adds a final record, and evicts the oldest entry if the cache is full. */
   put(id: JobId, final: FinalJob): void {
     if (this.#finals.size >= this.maxEntries) {
       const oldest = this.#finals.keys().next().value;
--- a/src/storage/fleet-index.ts
+++ b/src/storage/fleet-index.ts
@@ -1,15 +1,15 @@
 /**
- * The machines of all machine pages, the page that each is in, and which of them are proved gone.
- * Changed by the replica alone.
+ * Index of the machines in all machine pages: the page that holds each machine, and the machines
+ * that the cloud has reported gone. Only the replica modifies it.
  *
- * A machine that moves from one page to another is written into the new page and deleted from the
- * old one by one transaction, whose changes come in any order: the page of the higher revision has
- * the machine.
+ * One transaction moves a machine to another page: it writes the new page and removes the machine
+ * from the old one. The index may receive these two changes in either order. While both pages list
+ * the machine, the page with the higher revision holds it.
  */
 import type { MachineId, Revision, ShardId } from "@umberfold/ids";
 import type { MachineRecord } from "./machine-records.js";
 
-/** One machine page, as it was last read. */
+/** One machine page at the newest revision known to the replica. */
 export interface MachinePage {
   readonly shard: ShardId;
   readonly rev: Revision;
@@ -22,21 +22,21 @@
   readonly machines = new Map<MachineId, MachineRecord>();
   /** Pages by key. */
   readonly pages = new Map<string, MachinePage>();
-  /** The machines that a gone record names. */
+  /** Machines listed in a `gone` record, so reported gone by the cloud. */
   readonly gone = new Set<MachineId>();
-  /** Rises with every change; the replica raises it for shard owners, too. */
+  /** Incremented on every change; the replica also increments it when a shard's owner changes. */
   version = 0;
   readonly #pageKeyOf = new Map<MachineId, string>();
 
-  /** `revisionOf` answers the newest revision of a key. */
+  /** `revisionOf` returns the newest known revision of a key. */
   constructor(private readonly revisionOf: (key: string) => Revision) {}
 
-  /** The key of the page that a machine is in. */
+  /** The key of the page that holds a machine; undefined if no page does. */
   pageKeyOf(id: MachineId): string | undefined {
     return this.#pageKeyOf.get(id);
   }
 
-  /** A page was written. */
+  /** Replaces the content of a page. */
   putPage(key: string, page: MachinePage): void {
     this.#removeMachinesNotIn(key, page);
     this.pages.set(key, page);
@@ -50,24 +50,24 @@
     }
   }
 
-  /** A page was deleted. */
+  /** Removes a deleted page and its machines. */
   deletePage(key: string): void {
     this.#removeMachinesNotIn(key, undefined);
     this.pages.delete(key);
   }
 
-  /** Replaces the set of machines that are proved gone. */
+  /** Replaces the set of machines reported gone. */
   setGone(ids: Iterable<MachineId>): void {
     this.gone.clear();
     for (const id of ids) this.gone.add(id);
     this.version++;
   }
 
-  /** Removes the machines of a page that its next content lacks. */
+  /** Removes the machines of a page that its next content doesn't list. */
   #removeMachinesNotIn(key: string, next: MachinePage | undefined): void {
     this.version++;
     for (const id of this.pages.get(key)?.machines.keys() ?? []) {
-      // A machine that moved to another page is indexed there already.
+      // A machine that was moved is already indexed under its new page.
       if (next?.machines.has(id) || this.#pageKeyOf.get(id) !== key) continue;
       this.#pageKeyOf.delete(id);
       this.machines.delete(id);
--- a/src/storage/job-page-drafts.ts
+++ b/src/storage/job-page-drafts.ts
@@ -1,10 +1,10 @@
 /**
- * Page selection: which job page a job's progress is written to, and the pages that a transaction
- * in the making rewrites.
+ * Chooses the job page that a job's progress is written to, and holds the pages that a transaction
+ * under construction rewrites.
  *
- * A draft is a page as it is to be written. Progress stays in the page that it is in while that has
- * room; otherwise the job moves to another page of its shard. What a transaction may hold is judged
- * by `TransactionBatch`, which owns the drafts: nothing here refuses anything.
+ * A draft is the new content of a page. A job's progress stays in its current page while it fits
+ * there; otherwise the job moves to another page of its shard. The limits of the transaction are
+ * enforced by `TransactionBatch`, which owns the drafts, and not in this module.
  */
 import { type JobId, KEY_ABSENT, type Revision, type ShardId } from "@umberfold/ids";
 import type { JobProgress } from "./job-records.js";
@@ -12,27 +12,30 @@
 import { progressBytes } from "./pages.js";
 import type { Replica } from "./replica.js";
 
-/** What a page takes beside its rows. */
+/** Encoded size allowed for the parts of a page other than its rows. */
 export const PAGE_OVERHEAD_BYTES = 64;
 
-/** A page as it is to be written. */
+/** The new content of a job page. */
 export interface JobPageDraft {
   readonly key: string;
   readonly shard: ShardId;
-  /** The revision of the page that it was made from, on which its write is conditional. */
+  /** The revision of the page that the draft was copied from; the write is conditional on it. */
   readonly rev: Revision;
   readonly entries: Map<JobId, JobProgress>;
-  /** An upper bound of what it takes, kept up to date by `putProgress`. */
+  /** Upper bound of the encoded size; `putProgress` keeps it up to date. */
   bytes: number;
 }
 
-/** A draft, and whether it is yet to be added to the transaction. */
+/** A draft, and whether it still has to be added to the transaction. */
 export interface OpenedDraft {
   readonly draft: JobPageDraft;
   readonly isNew: boolean;
 }
 
-/** Writes a job's progress into a draft, or with null takes it out; answers the growth in bytes. */
+/**
+ * Sets a job's progress in a draft; null removes the job. Returns the growth of the draft in bytes,
+ * which is negative if it shrinks.
+ */
 export const putProgress = (
   draft: JobPageDraft,
   id: JobId,
@@ -45,7 +48,7 @@
   return growthBytes;
 };
 
-/** By how many bytes a draft would grow. */
+/** By how many bytes `putProgress` would make a draft grow. */
 export const progressGrowthBytes = (
   draft: JobPageDraft,
   id: JobId,
@@ -61,26 +64,32 @@
 /** The job pages that one transaction rewrites. */
 export class JobPageDrafts {
   readonly #drafts = new Map<string, JobPageDraft>();
-  /** The page of each job that this transaction moves to another. */
+  /** The new page of each job that this transaction moves to another page. */
   readonly #newPageKeyOf = new Map<JobId, string>();
 
-  /** `maxPageBytes` is what one page may take. */
+  /** `maxPageBytes` is the maximum encoded size of one page. */
   constructor(
     private readonly replica: Replica,
     private readonly maxPageBytes: number,
   ) {}
 
-  /** The drafts in the order in which they were added. */
+  /** The drafts of the transaction, in the order in which they were added. */
   values(): Iterable<JobPageDraft> {
     return this.#drafts.values();
   }
 
-  /** The key of the page that a job's progress is in, or is to be in; undefined for none. */
+  /**
+   * The key of the page that holds a job's progress, with the moves of this transaction applied;
+   * undefined if no page holds it.
+   */
   pageKeyOf(shard: ShardId, id: JobId): string | undefined {
     return this.#newPageKeyOf.get(id) ?? this.replica.shardJobs(shard).pageOf(id);
   }
 
-  /** The draft of a page. A new one is no part of the transaction until it is added. */
+  /**
+   * Returns the draft of a page, or a new copy of the page if the transaction has no draft of it.
+   * A new draft isn't part of the transaction until `add` is called with it.
+   */
   openDraft(shard: ShardId, key: string): OpenedDraft {
     const draft = this.#drafts.get(key);
     return draft === undefined
@@ -88,26 +97,27 @@
       : { draft, isNew: false };
   }
 
-  /** Adds a draft to the transaction; false if it is part of it already. */
+  /** Adds a draft to the transaction. Returns false if it has been added before. */
   add(draft: JobPageDraft): boolean {
     if (this.#drafts.has(draft.key)) return false;
     this.#drafts.set(draft.key, draft);
     return true;
   }
 
-  /** Whether a draft of this size would still be a page. */
+  /** Whether a draft of this size is within the maximum size of a page. */
   fitsInPage(bytes: number): boolean {
     return bytes <= this.maxPageBytes;
   }
 
-  /** Remembers that a job is in another page from now on. */
+  /** Records that this transaction moves a job to another page. */
   recordMove(id: JobId, key: string): void {
     this.#newPageKeyOf.set(id, key);
   }
 
   /**
-   * The key of a page of the shard with room for so many bytes: one that is written anyway, else
-   * the first that has room, else a new one; never `except`.
+   * Returns the key of a page of the shard to which this many bytes can be added: preferably a page
+   * that the transaction already rewrites, else the first existing page with enough free capacity,
+   * else a new page. Never returns `excludedKey`.
    */
   pageKeyWithCapacity(shard: ShardId, bytes: number, excludedKey: string | undefined): string {
     for (const [key, draft] of this.#drafts)
--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -1,7 +1,7 @@
 /**
- * Jobs as the records know them. A live job is two things: the record of its acceptance
- * (`now/live/`), seldom rewritten, and its progress, a row of a job page (codec in `pages.ts`). A
- * job that is over is a final record (`final/`), written once.
+ * Types and codecs of job records. A live job is stored in two parts: the record of its acceptance
+ * (`now/live/`), which is rarely rewritten, and its progress, a row of a job page (see `pages.ts`
+ * for the codec). A job that has ended is stored as a final record (`final/`), written only once.
  */
 import {
   type AttemptNumber,
@@ -17,42 +17,45 @@
 import { type JobSpec, PRIORITIES, type Resources } from "../protocol/jobs.js";
 import { type Ranges, rangesCount } from "./ranges.js";
 
-/** An attempt that was started and is not terminated. */
+/** An attempt that was started and isn't yet known to have terminated. */
 export interface OpenAttempt {
-  /** The task's number within its job. */
+  /** The index of the task within its job, from 0. */
   readonly index: number;
   readonly attempt: AttemptNumber;
   readonly machine: MachineId;
 }
 
-/** What a user was answered of a job, and whether it was cancelled since: one record a job. */
+/** A job as accepted from its user, and whether it was cancelled since: one record per job. */
 export interface AcceptedJob {
   readonly spec: JobSpec;
   readonly acceptedAt: WallClockMs;
-  /** When its user asked to cancel it, or null. */
+  /** When its user asked to cancel it; null if not cancelled. */
   readonly cancelledAt: WallClockMs | null;
-  /** The shard that it was placed in, for good, or null for its team's home shard. */
+  /** The shard that it was placed in, which never changes; null for its team's home shard. */
   readonly shard: ShardId | null;
 }
 
 /**
- * How far a job has come, kept in a page of its shard. Attempt numbers come from one counter for
- * the whole job, so none is used twice for a task and none need be kept for tasks not open.
+ * The progress of a job, stored in a page of its shard. One counter numbers the attempts of all
+ * tasks of the job. So no number is used twice for a task, and no number has to be stored for tasks
+ * without an open attempt.
  */
 export interface JobProgress {
-  /** The tasks that have completed. */
+  /** The indexes of the completed tasks. */
   readonly done: Ranges;
+  /** All open attempts of the job. */
   readonly open: readonly OpenAttempt[];
+  /** The number of the next attempt to be started, from 1. */
   readonly nextAttempt: number;
 }
 
-/** The progress of a job none of whose tasks was started yet: such a job is in no page. */
+/** The progress of a job before its first task is started; no page has a row for such a job. */
 export const NO_PROGRESS: JobProgress = { done: [], open: [], nextAttempt: 1 };
 
-/** An accepted job that is not over. */
+/** An accepted job that hasn't ended, with its progress. */
 export interface LiveJob extends AcceptedJob, JobProgress {}
 
-/** A job as it is at the moment of its acceptance. */
+/** Returns a job that has just been accepted: not cancelled and without progress. */
 export const newJob = (
   spec: JobSpec,
   acceptedAt: WallClockMs,
@@ -65,10 +68,10 @@
   ...NO_PROGRESS,
 });
 
-/** How many tasks have completed. */
+/** The number of completed tasks. */
 export const completedTaskCount = (job: JobProgress): number => rangesCount(job.done);
 
-/** How many tasks are neither completed nor open; none of a cancelled job. */
+/** The number of tasks that are neither completed nor open; 0 for a cancelled job. */
 export const waitingTaskCount = (job: LiveJob): number =>
   job.cancelledAt !== null ? 0 : job.spec.taskCount - completedTaskCount(job) - job.open.length;
 
@@ -78,13 +81,13 @@
   team: "t",
   priority: "r",
   taskCount: "n",
-  /** A list: processors, devices, memory in GB. */
+  /** A list: CPUs, GPUs, memory in GB. */
   resources: "u",
   image: "i",
   imageGb: "ig",
   machineTypes: "ty",
   zone: "z",
-  /** A sum of `FLAG`. */
+  /** Bitwise OR of the values of `FLAG`. */
   flags: "f",
   expectedRunS: "e",
   checkpointIntervalS: "k",
@@ -92,13 +95,13 @@
   deadlineS: "d",
   acceptedAt: "a",
   cancelledAt: "ca",
-  /** Absent for a job of its team's home shard. */
+  /** Absent for a job in its team's home shard. */
   shard: "s",
 } as const;
 
 const FLAG = { zoneAffinity: 1, spreadAcrossZones: 2, spotAllowed: 4 } as const;
 
-/** The stored form of an accepted job; its id is in the key. */
+/** Returns the stored form of an accepted job. The job's id isn't in it, but in the key. */
 export const encodeAcceptedJob = (job: AcceptedJob): unknown => {
   const { spec } = job;
   return {
@@ -126,8 +129,8 @@
 };
 
 /**
- * Undefined if the job can't be scheduled by what is stored: its resources, number of tasks,
- * priority or flags are missing or of another type. Any other field that can't be read is empty.
+ * Returns undefined if a field that scheduling depends on (resources, number of tasks, priority or
+ * flags) is missing or invalid. Any other missing or invalid field becomes empty, 0 or null.
  */
 export const parseAcceptedJob = (id: JobId, value: unknown): AcceptedJob | undefined => {
   if (!isMap(value)) return undefined;
@@ -184,10 +187,10 @@
     : { cpus: cpus ?? 0, gpus: gpus ?? 0, ramGb: ramGb ?? 0 };
 };
 
-/** What remains of a job that is over. */
+/** The result of a job that has ended. */
 export interface FinalJob {
   readonly phase: "done" | "cancelled";
-  /** How many of its tasks completed. */
+  /** The number of its completed tasks. */
   readonly done: number;
 }
 
@@ -195,13 +198,13 @@
 const FINAL_FIELD = { phase: "g", done: "n" } as const;
 const FINAL_PHASE = { done: 1, cancelled: 2 } as const;
 
-/** The stored form of a final record. */
+/** Returns the stored form of a final record. */
 export const encodeFinalJob = (final: FinalJob): unknown => ({
   [FINAL_FIELD.phase]: FINAL_PHASE[final.phase],
   [FINAL_FIELD.done]: final.done,
 });
 
-/** Undefined if the value is no final record; an unreadable number of tasks is 0. */
+/** Returns undefined if the value isn't a final record; an invalid number of tasks becomes 0. */
 export const parseFinalJob = (value: unknown): FinalJob | undefined => {
   if (!isMap(value)) return undefined;
   const stored = value[FINAL_FIELD.phase];
--- a/src/storage/pages.ts
+++ b/src/storage/pages.ts
@@ -1,13 +1,13 @@
 /**
- * Pages: records that hold many rows of one shard, so that a round changes a few keys however many
- * tasks started or ended in it. A job page (`now/work/`) holds the progress of jobs, a machine page
- * (`now/fleet/`) machines. Texts that many rows share (machine ids, machine types, zones) are
- * written once a page, and rows refer to them by number.
+ * Codecs of pages. A page is one record that holds many rows of one shard, so that a round writes
+ * only a few keys however many tasks it starts or ends. A job page (`now/work/`) holds the progress
+ * of jobs; a machine page (`now/fleet/`) holds machines. Strings that many rows share (machine ids,
+ * machine types, zones) are stored once per page, and rows refer to them by index.
  *
- * The stored forms, field by field:
- * - job page: `m` machine ids, `j` rows `[job, nextAttempt, done, open]`, where `done` is ranges and
- *   `open` is flat: `[index, attempt, machine number, ...]`.
- * - machine page: `t` machine types, `z` zones, `m` rows `[machine, type number, zone number, flags,
+ * The stored forms:
+ * - job page: `m` machine ids, `j` rows `[job, nextAttempt, done, open]`, where `done` is a set of
+ *   ranges and `open` is a flat list: `[task index, attempt, machine index, ...]`.
+ * - machine page: `t` machine types, `z` zones, `m` rows `[machine, type index, zone index, flags,
  *   rentedAt, endpoint, tokenFloor]`.
  */
 import {
@@ -26,38 +26,38 @@
 import type { MachineRecord } from "./machine-records.js";
 import { parseRanges } from "./ranges.js";
 
-/** Numbers distinct texts from 0, in the order in which they first appear. */
+/** Assigns an index, from 0, to each distinct string in the order of first appearance. */
 const numberDistinct = (texts: Iterable<string>): Map<string, number> => {
   const numbers = new Map<string, number>();
   for (const value of texts) if (!numbers.has(value)) numbers.set(value, numbers.size);
   return numbers;
 };
 
-/** What a job's row takes beside its numbers and machine ids. */
+/** Size of a job's row without its completed tasks, open attempts and machine ids. */
 const JOB_ROW_OVERHEAD_BYTES = 48;
-/** The number by which an open attempt names its machine, and the commas after its numbers. */
+/** Size of an open attempt's machine index, and of the commas after its three numbers. */
 const OPEN_ATTEMPT_OVERHEAD_BYTES = 7;
-/** Quotes and comma around a machine's id. */
+/** Size of the quotes and the comma around a machine id. */
 const MACHINE_ID_OVERHEAD_BYTES = 3;
 
-/** What a machine's row takes at the most. */
+/** Maximum encoded size of a machine's row. */
 export const MAX_MACHINE_ROW_BYTES = 80;
 
 const digitCount = (value: number): number => (value < 10 ? 1 : Math.floor(Math.log10(value)) + 1);
 
-/** The bytes that one open attempt takes of a page, beside its machine's id. */
+/** The encoded size of one open attempt in a page, without its machine's id. */
 export const openAttemptBytes = (attempt: Pick<OpenAttempt, "index" | "attempt">): number =>
   OPEN_ATTEMPT_OVERHEAD_BYTES + digitCount(attempt.index) + digitCount(attempt.attempt);
 
-/** The bytes that a machine's id takes, once for all that is open on it. */
+/** The encoded size of a machine id, which is stored once for all open attempts on the machine. */
 export const machineIdBytes = (id: MachineId): number => id.length + MACHINE_ID_OVERHEAD_BYTES;
 
-/** Progress is never changed in place, so what it takes is computed once. */
+/** Cached results of `progressBytes`; valid because a `JobProgress` is never modified in place. */
 const cachedProgressBytes = new WeakMap<JobProgress, number>();
 
 /**
- * An upper bound of the bytes that a job's progress takes of its page. It is close, for it decides
- * how many tasks of a large array run at a time.
+ * An upper bound of the encoded size of a job's progress in its page. It is a tight bound because
+ * it limits how many tasks of a large job array can run at the same time.
  */
 export const progressBytes = (progress: JobProgress): number => {
   const known = cachedProgressBytes.get(progress);
@@ -74,10 +74,10 @@
   return bytes;
 };
 
-/** The stored form of a job page without rows: what a deleted one is taken for. */
+/** The stored form of a job page without rows; a deleted job page is treated as this value. */
 export const EMPTY_JOB_PAGE: unknown = { m: [], j: [] };
 
-/** The stored form of a job page. */
+/** Returns the stored form of a job page. */
 export const encodeJobPage = (entries: Iterable<readonly [JobId, JobProgress]>): unknown => {
   const rows = [...entries];
   const machines = numberDistinct(
@@ -94,7 +94,7 @@
   };
 };
 
-/** Undefined if the page as a whole can't be read; a row that can't be is left out by itself. */
+/** Returns undefined if the page itself is invalid; an invalid row is skipped. */
 export const parseJobPage = (value: unknown): ReadonlyMap<JobId, JobProgress> | undefined => {
   if (!isMap(value)) return undefined;
   const machines = list(value.m)?.map((id) => machineId(String(id)));
@@ -107,7 +107,7 @@
     const openNumbers = list(openField) as readonly number[] | undefined;
     if (typeof id !== "string" || !isJobId(id)) continue;
     if (nextAttempt === undefined || openNumbers === undefined) continue;
-    // In place rather than in a function of its own: each round parses the pages that changed.
+    // Inlined for speed: this loop runs for every row of every changed page, in each round.
     const open: OpenAttempt[] = [];
     for (let i = 0; i + 2 < openNumbers.length; i += 3)
       open.push({
@@ -122,7 +122,7 @@
 
 const FLAG = { spot: 1, retiring: 2 } as const;
 
-/** The stored form of a machine page. */
+/** Returns the stored form of a machine page. */
 export const encodeMachinePage = (
   machines: Iterable<readonly [MachineId, MachineRecord]>,
 ): unknown => {
@@ -144,7 +144,7 @@
   };
 };
 
-/** Undefined if the page as a whole can't be read; a row that can't be is left out by itself. */
+/** Returns undefined if the page itself is invalid; an invalid row is skipped. */
 export const parseMachinePage = (
   shard: ShardId,
   value: unknown,
--- a/src/storage/ranges.ts
+++ b/src/storage/ranges.ts
@@ -1,12 +1,13 @@
 /**
- * Sets of task numbers as runs: the completed tasks of a job array are mostly neighbours, so a job
- * of thousands of tasks takes a few numbers of its page. A value is never changed in place.
+ * Sets of task indexes, stored as ranges. Most completed tasks of a job array have consecutive
+ * indexes, so the set of a job with thousands of tasks takes only a few numbers in its page. A set
+ * is never modified in place.
  */
 
-/** Sorted, disjoint, inclusive runs of task numbers, flat: [first, last, first, last, ...]. */
+/** Sorted, disjoint, inclusive ranges of task indexes as a flat list: [first, last, ...]. */
 export type Ranges = readonly number[];
 
-/** How many numbers are in the set. */
+/** The number of elements of the set. */
 export const rangesCount = (ranges: Ranges): number => {
   let total = 0;
   for (let i = 0; i < ranges.length; i += 2)
@@ -14,7 +15,7 @@
   return total;
 };
 
-/** Whether a number is in the set, by binary search. */
+/** Whether a number is in the set. Uses binary search. */
 export const rangesHas = (ranges: Ranges, value: number): boolean => {
   let low = 0;
   let high = ranges.length / 2 - 1;
@@ -27,11 +28,11 @@
   return false;
 };
 
-/** The set with one number more; the same object if it is in already. */
+/** Returns the set with a number added; the same object if the set contains it already. */
 export const rangesAdd = (ranges: Ranges, value: number): Ranges => {
   if (rangesHas(ranges, value)) return ranges;
   const result: number[] = [];
-  // The run that the number is in, grown by the runs that it touches.
+  // The range that contains the new number, merged with the ranges that overlap or adjoin it.
   let first = value;
   let last = value;
   let placed = false;
@@ -52,21 +53,21 @@
   return result;
 };
 
-/** Numbers below `end` that are neither in the set nor in `except`, in order, computed lazily. */
+/** Lazily yields, in ascending order, the numbers below `end` in neither the set nor `excluded`. */
 export function* rangesMissing(
   ranges: Ranges,
   end: number,
-  except: ReadonlySet<number>,
+  excluded: ReadonlySet<number>,
 ): Iterable<number> {
   let next = 0;
   for (let i = 0; i <= ranges.length; i += 2) {
     const stop = i < ranges.length ? (ranges[i] as number) : end;
-    for (; next < stop; next++) if (!except.has(next)) yield next;
+    for (; next < stop; next++) if (!excluded.has(next)) yield next;
     if (i < ranges.length) next = (ranges[i + 1] as number) + 1;
   }
 }
 
-/** The empty set for anything that is no list of pairs of whole numbers. */
+/** Returns the empty set if the value isn't a list of pairs of integers. */
 export const parseRanges = (value: unknown): Ranges =>
   Array.isArray(value) && value.length % 2 === 0 && value.every((n) => Number.isInteger(n))
     ? value
--- a/src/storage/record-handler.ts
+++ b/src/storage/record-handler.ts
@@ -1,14 +1,14 @@
-/** How records of one kind enter and leave the replica. */
+/** How the replica applies changes of the records of one kind. */
 import type { Revision } from "@umberfold/ids";
 import type { Versioned } from "./versioned.js";
 
-/** What a record of one kind changes; `name` is what follows the kind's prefix in the key. */
+/** Applies a written or deleted record; `name` is the part of the key after the kind's prefix. */
 export interface RecordHandler {
   readonly put: (name: string, value: unknown, rev: Revision, key: string) => void;
   readonly drop: (name: string, key: string) => void;
 }
 
-/** Puts a parsed record into a map; an unreadable value (undefined) counts as no record. */
+/** Stores a parsed record in a map, or deletes its entry if the value was invalid (undefined). */
 export const putParsed = <K, V>(
   map: Map<K, Versioned<V>>,
   key: K,
@@ -19,7 +19,7 @@
   else map.set(key, { value, rev });
 };
 
-/** The handler of records that change nothing but a map of them. */
+/** Returns a handler for a kind whose records are only kept in a map. */
 export const mapHandler = <K, V>(
   map: Map<K, Versioned<V>>,
   keyOf: (name: string) => K,
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,8 +1,7 @@
 /**
- * The index of the state store's keys and record codecs, for importers of other folders: it states
- * nothing of its own. Each family of records has a module with its type, the stored name of each
- * field and the pair of functions that write and read it. A codec's output is stored data: a
- * changed name or order of fields is a changed format.
+ * Re-exports the state store's keys and record codecs for other folders. Each kind of record has a
+ * module with its type, the stored names of its fields, and an encoder and a parser. The output of
+ * an encoder is stored data: changing the name or the order of its fields changes the format.
  */
 export * from "./controller-records.js";
 export * from "./job-records.js";
--- a/src/storage/rental-records.ts
+++ b/src/storage/rental-records.ts
@@ -1,26 +1,26 @@
 /**
- * Rental intents (`now/hire/`): written before the cloud is called, so that a leader that takes
- * over in between finds out what became of the rental.
+ * Codec of rental intents (`now/hire/`). A leader writes an intent before it calls the cloud, so
+ * that after a failover the next leader can find out whether the machines were rented.
  */
 import { type ShardId, shardId, type WallClockMs, wallClockMs } from "@umberfold/ids";
 import { amount, count, isMap, list, text } from "../protocol/cbor.js";
 
-/** Machines of one type in one zone that are about to be rented. */
+/** The intent to rent machines of one type in one zone. */
 export interface RentalIntent {
   /** The name of the machine type. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** The shard that each of the machines is for; as many are rented as are named here. */
+  /** One entry per machine to rent: the shard that the machine is for. */
   readonly shards: readonly ShardId[];
-  /** When it was written. */
+  /** When the intent was written. */
   readonly writtenAt: WallClockMs;
 }
 
 /** The stored name of each field. */
 const FIELD = { type: "t", zone: "z", spot: "p", shards: "s", at: "a" } as const;
 
-/** The stored form of a rental intent. */
+/** Returns the stored form of a rental intent. */
 export const encodeRentalIntent = (intent: RentalIntent): unknown => ({
   [FIELD.type]: intent.type,
   [FIELD.zone]: intent.zone,
@@ -29,7 +29,7 @@
   [FIELD.at]: intent.writtenAt,
 });
 
-/** Undefined if type, zone or shards can't be read; a shard that is no number is shard 0. */
+/** Returns undefined if type, zone or shards are invalid; an invalid shard number becomes 0. */
 export const parseRentalIntent = (value: unknown): RentalIntent | undefined => {
   if (!isMap(value)) return undefined;
   const type = text(value[FIELD.type]);
--- a/src/storage/span-index.ts
+++ b/src/storage/span-index.ts
@@ -1,7 +1,7 @@
 /**
- * Teams that span several shards, as their records (`now/span/`) say, and how many jobs were placed
- * outside their team's home shard. Changed by the replica alone; the codec of a span is in
- * `@umberfold/spans`.
+ * Index of the teams that span several shards (records under `now/span/`), and the number of live
+ * jobs that were placed outside their team's home shard. Only the replica modifies it. The codec of
+ * a span is in `@umberfold/spans`.
  */
 import type { Revision, TeamName } from "@umberfold/ids";
 import { parseSpan, type Span } from "@umberfold/spans";
@@ -11,34 +11,34 @@
 
 /** The spans of all teams. */
 export class SpanIndex {
-  /** By team; a record whose value is undefined can't be read. */
+  /** Span records by team; the value is undefined if the record is invalid. */
   readonly records = new Map<TeamName, Versioned<Span | undefined>>();
-  /** Rises with every change of spans and of teams' home shards. */
+  /** Incremented on every change of a span or of the teams' home shards. */
   version = 0;
-  /** Live jobs whose records name a shard. */
+  /** The number of live jobs whose record names a shard, that is, outside the home shard. */
   placedJobs = 0;
 
-  /** A span that names a shard not below `shardCount` can't be read. */
+  /** `shardCount` is the number of shards; a span with a shard number beyond it is invalid. */
   constructor(private readonly shardCount: number) {}
 
-  /** A span record was written; `name` is what follows the prefix in its key. */
+  /** Applies a written span record; `name` is the part of its key after the prefix. */
   put(name: string, value: unknown, rev: Revision): void {
     this.records.set(teamOfSpan(name), { value: parseSpan(value, this.shardCount), rev });
     this.version++;
   }
 
-  /** A span record was deleted: its team is in its home shard alone. */
+  /** Applies the deletion of a span record: its team is then only in its home shard. */
   drop(name: string): void {
     this.records.delete(teamOfSpan(name));
     this.version++;
   }
 
-  /** The record of teams' home shards changed. */
+  /** Called when the record of the teams' home shards has changed. */
   homeShardsChanged(): void {
     this.version++;
   }
 
-  /** A job's record was replaced; undefined stands for none. */
+  /** Called when a job's record has changed; undefined stands for a record that doesn't exist. */
   jobChanged(before: AcceptedJob | undefined, after: AcceptedJob | undefined): void {
     if (before !== undefined && before.shard !== null) this.placedJobs--;
     if (after !== undefined && after.shard !== null) this.placedJobs++;
--- a/src/storage/token-bucket.ts
+++ b/src/storage/token-bucket.ts
@@ -1,19 +1,19 @@
 /**
- * A token bucket, counted as the state store and the cloud count their limits: tokens come in at a
- * steady rate up to the bucket's capacity, and a call takes as many as it costs. The level may be
- * below zero: such a debt is paid off before the next call is let through.
+ * A token bucket that follows the rate limits of the state store and the cloud: tokens are added at
+ * a steady rate up to the bucket's capacity, and each call takes as many tokens as it costs. The
+ * number of tokens can be negative: such a debt delays the next call until it is refilled.
  */
 import type { MonotonicMs } from "@umberfold/ids";
 
-/** Keeps the division in `waitMs` finite at a rate of 0. */
+/** Lower bound of the rate in `waitMs`, which avoids a division by 0. */
 const MIN_TOKENS_PER_S = 1e-6;
 
-/** A rate limit on this side. All times are the caller's monotonic clock and must not go back. */
+/** A client-side rate limit. `now` is the caller's monotonic clock and must not decrease. */
 export class TokenBucket {
   #tokens: number;
   #refilledAt: MonotonicMs;
 
-  /** `burst` is the capacity, of which it starts full; a bucket never has room for less than 1. */
+  /** The bucket starts with `burst` tokens. Its capacity is `burst`, but at least 1 token. */
   constructor(
     private tokensPerS: number,
     private burst: number,
@@ -23,7 +23,7 @@
     this.#refilledAt = now;
   }
 
-  /** Changes rate and capacity from now on; what is in the bucket stays, up to the new capacity. */
+  /** Changes the rate and the capacity. The tokens are kept, up to the new capacity. */
   reconfigure(tokensPerS: number, burst: number, now: MonotonicMs): void {
     this.#refill(now);
     this.tokensPerS = tokensPerS;
@@ -42,29 +42,29 @@
 
   #canTake(count: number, now: MonotonicMs): boolean {
     this.#refill(now);
-    // A batch above the whole bucket is let through when the bucket is full, and paid off after.
+    // If the cost exceeds the capacity, a full bucket is enough; the rest becomes a debt.
     return this.#tokens >= Math.min(count, this.#capacity());
   }
 
-  /** Takes `count` tokens, or none and answers false if there are fewer. */
+  /** Takes `count` tokens. Takes none and returns false if there are too few. */
   take(count: number, now: MonotonicMs): boolean {
     return this.takeWithDebt(count, count, now);
   }
 
-  /** Takes `count` tokens as soon as `minTokens` are there: what is lacking is a debt. */
+  /** Takes `count` tokens if there are at least `minTokens`; the missing ones become a debt. */
   takeWithDebt(count: number, minTokens: number, now: MonotonicMs): boolean {
     if (!this.#canTake(Math.min(count, minTokens), now)) return false;
     this.#tokens -= count;
     return true;
   }
 
-  /** Takes `count` tokens however many there are. */
+  /** Takes `count` tokens unconditionally; the missing ones become a debt. */
   forceTake(count: number, now: MonotonicMs): void {
     this.#refill(now);
     this.#tokens -= count;
   }
 
-  /** Milliseconds until `take(count)` succeeds if nobody else takes any. */
+  /** Milliseconds until `take(count)` succeeds if no other call takes tokens meanwhile. */
   waitMs(count: number, now: MonotonicMs): number {
     this.#refill(now);
     const missingTokens = Math.min(count, this.#capacity()) - this.#tokens;
@@ -73,13 +73,13 @@
       : (missingTokens / Math.max(this.tokensPerS, MIN_TOKENS_PER_S)) * 1000;
   }
 
-  /** How full it is, from 0 (empty or in debt) to 1. */
+  /** How full the bucket is, from 0 (empty or in debt) to 1. */
   fillFraction(now: MonotonicMs): number {
     this.#refill(now);
     return Math.max(0, this.#tokens / this.#capacity());
   }
 
-  /** The other side answers that its limit was exceeded: starts from nothing; a debt stays. */
+  /** Removes all tokens but keeps a debt. Called when the server reports an exceeded limit. */
   drain(now: MonotonicMs): void {
     this.#refill(now);
     this.#tokens = Math.min(0, this.#tokens);
--- a/src/storage/transaction-batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -1,11 +1,11 @@
 /**
- * One transaction in the making, by which an owner commits a round (or the leader its machines).
+ * Builds the transaction by which a shard owner commits a round.
  *
- * What several tasks change in one page is one change. The batch keeps within the limits of the
- * state store (changes, conditions, bytes): whatever no longer fits is refused, changes nothing and
- * waits for the next round. Each page and job is written on the condition that it is still as the
- * replica has it, and that its shard still has the same owner. Which page a job's progress goes to
- * is decided in `job-page-drafts.ts`.
+ * All changes to the same page are one change of the transaction. The batch stays within the limits
+ * of the state store (changes, conditions, bytes): an addition that would exceed one of them is
+ * rejected without effect, and the caller retries it in the next round. Each page and job is
+ * written on the condition that its revision is still the one in the replica, and that its shard
+ * still has the same owner. `job-page-drafts.ts` chooses the page for a job's progress.
  */
 import {
   type JobId,
@@ -34,13 +34,13 @@
 import { encodeJobPage, encodeMachinePage, MAX_MACHINE_ROW_BYTES, progressBytes } from "./pages.js";
 import type { Replica } from "./replica.js";
 
-/** Bytes of a transaction; the rest of the store's limit is left for keys, revisions and names. */
+/** Maximum size of the values; the rest of the store's limit is for keys, revisions and names. */
 const MAX_TRANSACTION_BYTES = 58 * 1024;
-/** Bytes of the store's limit of one value that a page leaves free. */
+/** Safety margin between the maximum size of a page and the store's limit of one value. */
 const VALUE_MARGIN_BYTES = 512;
-/** What a final record takes at the most. */
+/** Upper bound of the encoded size of a final record. */
 const MAX_FINAL_RECORD_BYTES = 160;
-/** A page takes at most this part of a transaction, so that several go into one. */
+/** The size of a page is limited so that at least this many pages fit into one transaction. */
 const MIN_PAGES_PER_TRANSACTION = 4;
 
 interface MachinePageDraft {
@@ -50,22 +50,22 @@
 
 /** The limits of one transaction. */
 export interface BatchLimits {
-  /** Changes that a transaction takes. */
+  /** Maximum number of changes in a transaction. */
   readonly txnOps: number;
-  /** What a value may take, in KiB. */
+  /** Maximum size of one value in KiB. */
   readonly valueKb: number;
-  /** A condition is left free for each shard. */
+  /** Number of shards; one condition is reserved for the owner of each. */
   readonly shardCount: number;
 }
 
-/** The most bytes that one page may take. */
+/** The maximum encoded size of one page. */
 export const maxPageBytes = (limits: BatchLimits): number =>
   Math.min(
     limits.valueKb * 1024 - VALUE_MARGIN_BYTES,
     Math.floor(MAX_TRANSACTION_BYTES / MIN_PAGES_PER_TRANSACTION),
   );
 
-/** See the module's head. */
+/** A transaction under construction, kept within the limits of the state store. */
 export class TransactionBatch {
   readonly #jobPages: JobPageDrafts;
   readonly #machinePages = new Map<string, MachinePageDraft>();
@@ -73,7 +73,7 @@
   readonly #conditions = new Map<string, Revision>();
   #bytes = 0;
   #ops = 0;
-  /** Something in it is waited for: a start, a job's end, a machine's record. */
+  /** Whether it has a change that must not be delayed: a start, a job's end or a machine record. */
   isUrgent = false;
 
   constructor(
@@ -83,21 +83,22 @@
     this.#jobPages = new JobPageDrafts(replica, maxPageBytes(limits));
   }
 
-  /** Whether it changes nothing. */
+  /** Whether it has no changes. */
   get isEmpty(): boolean {
     return this.#ops === 0;
   }
 
-  /** How many changes it makes. */
+  /** The number of its changes. */
   get opCount(): number {
     return this.#ops;
   }
 
-  /** The most changes that a transaction takes. */
+  /** The maximum number of changes in a transaction. */
   get maxOpCount(): number {
     return this.limits.txnOps;
   }
 
+  /** Whether these additions stay within all limits of the transaction. */
   #hasCapacity(ops: number, bytes: number, conditions: number): boolean {
     const { txnOps, shardCount } = this.limits;
     return (
@@ -111,12 +112,12 @@
     this.#conditions.set(key, rev);
   }
 
-  /** The shard must still have the same owner when this is applied. */
+  /** Adds the condition that the shard still has the owner known to the replica. */
   #addOwnerCondition(shard: ShardId): void {
     this.#addCondition(keys.shard(shard), this.replica.revisionOf(keys.shard(shard)));
   }
 
-  /** Makes a page part of the transaction, if it isn't yet. */
+  /** Adds a job page to the transaction unless it has been added before. */
   #includeJobPage(draft: JobPageDraft): void {
     if (!this.#jobPages.add(draft)) return;
     this.#ops++;
@@ -130,33 +131,33 @@
     this.#bytes += putProgress(draft, id, progress);
   }
 
-  /** Writes a job's progress, or with null takes it out. False if it has to wait. */
+  /** Writes a job's progress; null removes it. Returns false if it exceeds the limits. */
   putJob(shard: ShardId, id: JobId, progress: JobProgress | null): boolean {
     const key = this.#jobPages.pageKeyOf(shard, id);
     if (key === undefined)
       return progress === null || this.#putInAnotherPage(shard, id, progress, undefined);
     const current = this.#jobPages.openDraft(shard, key);
-    const growth = progressGrowthBytes(current.draft, id, progress);
-    if (progress !== null && !this.#jobPages.fitsInPage(current.draft.bytes + growth))
+    const growthBytes = progressGrowthBytes(current.draft, id, progress);
+    if (progress !== null && !this.#jobPages.fitsInPage(current.draft.bytes + growthBytes))
       return this.#putInAnotherPage(shard, id, progress, current);
-    const bytes = bytesToInclude(current) + growth;
+    const bytes = bytesToInclude(current) + growthBytes;
     if (!this.#hasCapacity(opCountToInclude(current), bytes, 2)) return false;
     this.#putProgress(current.draft, id, progress);
     return true;
   }
 
-  /** Moves a job out of the page that it is in, if any, into one with room. */
+  /** Moves a job's progress from its current page, if any, to a page with enough free capacity. */
   #putInAnotherPage(
     shard: ShardId,
     id: JobId,
     progress: JobProgress,
     current: OpenedDraft | undefined,
   ): boolean {
-    const size = progressBytes(progress);
-    const key = this.#jobPages.pageKeyWithCapacity(shard, size, current?.draft.key);
+    const progressSizeBytes = progressBytes(progress);
+    const key = this.#jobPages.pageKeyWithCapacity(shard, progressSizeBytes, current?.draft.key);
     const next = this.#jobPages.openDraft(shard, key);
     const ops = opCountToInclude(next) + opCountToInclude(current);
-    const bytes = size + bytesToInclude(next) + bytesToInclude(current);
+    const bytes = progressSizeBytes + bytesToInclude(next) + bytesToInclude(current);
     if (!this.#hasCapacity(ops, bytes, 3)) return false;
     if (current !== undefined) this.#putProgress(current.draft, id, null);
     this.#putProgress(next.draft, id, progress);
@@ -164,7 +165,10 @@
     return true;
   }
 
-  /** A start is valid only while its job's record is as it was read: not cancelled meanwhile. */
+  /**
+   * Adds the condition that a job's record still has the revision `rev`, so that no task of a job
+   * that was cancelled meanwhile is started. Returns false if it exceeds the limits.
+   */
   requireUnchangedJob(id: JobId, rev: Revision): boolean {
     const key = keys.live(id);
     this.isUrgent = true;
@@ -174,7 +178,10 @@
     return true;
   }
 
-  /** Ends a job: its final record is written once, in the same transaction that drops the rest. */
+  /**
+   * Ends a job: writes its final record, and deletes its accepted record and its progress in the
+   * same transaction. Returns false if this exceeds the limits.
+   */
   finishJob(shard: ShardId, id: JobId, rev: Revision, final: FinalJob): boolean {
     if (!this.#hasCapacity(3, MAX_FINAL_RECORD_BYTES, 4)) return false;
     if (!this.putJob(shard, id, null)) return false;
@@ -189,8 +196,8 @@
   }
 
   /**
-   * The machines of a page, to be changed by the caller as they are to be written; undefined if
-   * there is no room, or no such page.
+   * Adds an existing machine page to the transaction and returns its machines, which the caller
+   * modifies. Returns undefined if the page doesn't exist or exceeds the limits.
    */
   editMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
     this.isUrgent = true;
@@ -206,7 +213,11 @@
     return machines;
   }
 
-  /** The machines of a new page, which must not exist yet; undefined if there is no room. */
+  /**
+   * Adds a new machine page to the transaction and returns its map of machines, which the caller
+   * fills. The transaction fails if the page already exists. Returns undefined if it exceeds the
+   * limits.
+   */
   addMachinePage(key: string): Map<MachineId, MachineRecord> | undefined {
     const draft = this.#machinePages.get(key);
     if (draft !== undefined) return draft.machines;
@@ -224,7 +235,7 @@
     this.#addCondition(key, draft.rev);
   }
 
-  /** The transaction as it is now. A machine page without machines is deleted. */
+  /** Returns the transaction built so far. Machine pages without machines are deleted. */
   transaction(): Transaction {
     const ops: WriteOperation[] = [];
     for (const { key, entries } of this.#jobPages.values())
--- a/src/storage/versioned.ts
+++ b/src/storage/versioned.ts
@@ -1,7 +1,7 @@
-/** The pair of a record's value and its revision, by which a write of it is made conditional. */
+/** A record's value with its revision, on which a later write of the record is conditional. */
 import type { Revision } from "@umberfold/ids";
 
-/** A record's value, and the revision of the write that it was read at. */
+/** A record's value and the revision at which it was written. */
 export interface Versioned<T> {
   readonly value: T;
   readonly rev: Revision;
--- a/test/storage/page-limits.test.ts
+++ b/test/storage/page-limits.test.ts
@@ -1,4 +1,4 @@
-/** How a batch divides records into pages, within the limits of values and transactions. */
+/** How a batch distributes job progress over pages within the limits of values and transactions. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { attemptNumber, jobId, machineId, revision, shardId } from "@umberfold/ids";
@@ -10,7 +10,7 @@
 const LIMITS = { txnOps: 16, valueKb: 8, shardCount: 3 };
 const SHARD = shardId(0);
 
-/** A job's progress with so many open attempts, each on a machine of its own. */
+/** Returns the progress of a job with this many open attempts, each on a different machine. */
 const openAttempts = (count: number): JobProgress => ({
   done: [],
   open: Array.from({ length: count }, (_, index) => ({
@@ -27,7 +27,7 @@
       replica.apply({ kind: "put", key: op.key, value: op.value, rev: revision(rev) });
 };
 
-test("pages are split before they pass a value, and what does not fit waits", () => {
+test("a batch splits pages at the value limit and rejects jobs over the transaction limit", () => {
   const replica = new Replica();
   replica.apply({
     kind: "put",
@@ -37,7 +37,7 @@
   });
   const batch = new TransactionBatch(replica, LIMITS);
   let written = 0;
-  // 40 jobs of 100 open attempts: more than one transaction may carry.
+  // 40 jobs of 100 open attempts exceed the limits of one transaction.
   for (let i = 0; i < 40; i++)
     if (batch.putJob(SHARD, jobId(`wk-${i}`), openAttempts(100))) written++;
   const transaction = batch.transaction();
@@ -46,7 +46,7 @@
   assert.ok(JSON.stringify(transaction).length <= 64 * 1024);
   for (const op of transaction.ops)
     assert.ok(op.kind === "put" && JSON.stringify(op.value).length <= LIMITS.valueKb * 1024);
-  // Once applied, the pages give the jobs back; one that outgrows its page moves to another.
+  // The replica reads the jobs back from the written pages. A job that outgrows its page is moved.
   applyPuts(replica, transaction.ops, 2);
   const openOn = (machine: string): number =>
     replica.shardJobs(SHARD).openAttemptsOn(machineId(machine)).size;
--- a/test/storage/pages.test.ts
+++ b/test/storage/pages.test.ts
@@ -9,9 +9,9 @@
   parseMachinePage,
 } from "../../src/storage/pages.js";
 
-const overTheWire = (value: unknown): unknown => decode(encode(value));
+const encodeAndDecode = (value: unknown): unknown => decode(encode(value));
 
-test("a work page keeps the progress of its jobs, and a row that can't be read loses only itself", () => {
+test("a job page preserves the progress of its jobs, and an invalid row is skipped", () => {
   const open = (index: number, attempt: number, machine: string) => ({
     index,
     attempt: attemptNumber(attempt),
@@ -24,14 +24,14 @@
     ],
     [jobId("wk-2"), { done: [], open: [open(0, 1, "m-1")], nextAttempt: 2 }],
   ]);
-  const value = overTheWire(encodeJobPage(entries)) as { j: unknown[] };
+  const value = encodeAndDecode(encodeJobPage(entries)) as { j: unknown[] };
   assert.deepEqual(parseJobPage(value), entries);
-  const spoilt = parseJobPage({ ...value, j: [["wk-9"], null, ...value.j] });
-  assert.deepEqual([...(spoilt?.keys() ?? [])], ["wk-1", "wk-2"]);
+  const parsedWithInvalidRows = parseJobPage({ ...value, j: [["wk-9"], null, ...value.j] });
+  assert.deepEqual([...(parsedWithInvalidRows?.keys() ?? [])], ["wk-1", "wk-2"]);
   assert.equal(parseJobPage("no page"), undefined);
 });
 
-test("a fleet page keeps its machines", () => {
+test("a machine page preserves its machines", () => {
   const machine = (zone: string, spot: boolean, phase: "up" | "retiring") => ({
     shard: shardId(2),
     type: "g8",
@@ -47,7 +47,7 @@
     [machineId("m-2"), machine("b", false, "retiring")],
   ]);
   assert.deepEqual(
-    parseMachinePage(shardId(2), overTheWire(encodeMachinePage(machines))),
+    parseMachinePage(shardId(2), encodeAndDecode(encodeMachinePage(machines))),
     machines,
   );
 });
--- a/test/storage/ranges.test.ts
+++ b/test/storage/ranges.test.ts
@@ -2,7 +2,7 @@
 import test from "node:test";
 import { rangesAdd, rangesCount, rangesHas, rangesMissing } from "../../src/storage/ranges.js";
 
-test("ranges of finished tasks", () => {
+test("ranges add, count, find and list missing task indexes", () => {
   const finished = [5, 0, 1, 3, 2, 9, 2].reduce(rangesAdd, [] as readonly number[]);
   assert.deepEqual(finished, [0, 3, 5, 5, 9, 9]);
   assert.equal(rangesCount(finished), 6);
--- a/test/storage/records.test.ts
+++ b/test/storage/records.test.ts
@@ -28,7 +28,7 @@
   dueS: 900.0,
 };
 
-test("a live job's record keeps everything", () => {
+test("the stored form of an accepted job preserves all its fields", () => {
   const parsed = parseSubmission(SUBMISSION);
   assert.ok(parsed.ok);
   const job = {
--- a/test/storage/transaction-batch.test.ts
+++ b/test/storage/transaction-batch.test.ts
@@ -18,12 +18,12 @@
 const SHARD = shardId(0);
 const OWNER_REV = revision(3);
 const PAGE_REV = revision(5);
-/** A page holds some 1000 bytes, and a transaction four changes. */
+/** A page is limited to about 1000 bytes, and a transaction to four changes. */
 const LIMITS = { txnOps: 4, valueKb: 1.5, shardCount: 1 };
 const PAGE_0 = keys.work(SHARD, 0);
 const PAGE_1 = keys.work(SHARD, 1);
 
-/** Progress with so many open attempts, each on a machine of its own. */
+/** Returns progress with this many open attempts, each on a different machine. */
 const progressOf = (openCount: number): JobProgress => ({
   done: [],
   open: Array.from({ length: openCount }, (_, index) => ({
@@ -34,7 +34,7 @@
   nextAttempt: openCount + 1,
 });
 
-/** A replica whose shard has an owner and one page with these jobs. */
+/** Returns a replica whose shard has an owner and, if there are jobs, one page with them. */
 const replicaWith = (jobs: ReadonlyMap<JobId, JobProgress>): Replica => {
   const replica = new Replica(1);
   const owner = { l: "controller-1", i: "1" };
@@ -49,7 +49,7 @@
     batch.transaction().ops.map((op) => [op.key, op.kind === "put" ? op.value : null]),
   );
 
-test("a job without progress goes into the first page, which must not exist yet", () => {
+test("the first job of a shard is written to a new page, conditional on its absence", () => {
   const batch = new TransactionBatch(replicaWith(new Map()), LIMITS);
   assert.equal(batch.putJob(SHARD, jobId("wk-1"), progressOf(1)), true);
   assert.deepEqual(writtenPages(batch), {
@@ -61,7 +61,7 @@
   ]);
 });
 
-test("several jobs of one page are one change, conditional on the page's revision", () => {
+test("changes of several jobs in one page are one change, conditional on its revision", () => {
   const jobs = new Map([
     [jobId("wk-1"), progressOf(1)],
     [jobId("wk-2"), progressOf(1)],
@@ -76,7 +76,7 @@
   assert.deepEqual(batch.transaction().conditions[0], { key: PAGE_0, rev: PAGE_REV });
 });
 
-test("a job that outgrows its page moves to another, and stays there", () => {
+test("a job that outgrows its page moves to another page and stays there", () => {
   const jobs = new Map([
     [jobId("wk-1"), progressOf(1)],
     [jobId("wk-2"), progressOf(30)],
@@ -90,9 +90,12 @@
   });
 });
 
-test("what no longer fits is refused and changes nothing", () => {
+test("a change beyond the limits is rejected and has no effect", () => {
   const batch = new TransactionBatch(replicaWith(new Map()), { ...LIMITS, txnOps: 2 });
-  assert.ok(2 * progressBytes(progressOf(45)) > maxPageBytes(LIMITS), "a page each");
+  assert.ok(
+    2 * progressBytes(progressOf(45)) > maxPageBytes(LIMITS),
+    "each job needs a page of its own",
+  );
   for (const [id, expected] of [
     ["wk-1", true],
     ["wk-2", true],
@@ -102,7 +105,7 @@
   assert.deepEqual(Object.keys(writtenPages(batch)), [PAGE_0, PAGE_1]);
 });
 
-test("finishing a job drops its progress and record and writes its final record once", () => {
+test("finishing a job deletes its progress and accepted record and writes its final record", () => {
   const id = jobId("wk-1");
   const batch = new TransactionBatch(replicaWith(new Map([[id, progressOf(1)]])), LIMITS);
   assert.equal(batch.finishJob(SHARD, id, revision(4), { phase: "done", done: 1 }), true);
