--- a/src/coordination/fleet/returns.ts
+++ b/src/coordination/fleet/returns.ts
@@ -58,7 +58,7 @@
     const key = keys.gone(this.records.nextRecordName());
     await this.records.write({
       conditions: [{ key, rev: KEY_ABSENT }],
-      ops: [{ kind: "put", key, value: encodeGoneRecord({ ids, at: wallClockNow() }) }],
+      ops: [{ kind: "put", key, value: encodeGoneRecord({ ids, reportedAt: wallClockNow() }) }],
     });
   }
 
@@ -67,7 +67,7 @@
     const { replica, settings } = this.ctx;
     const ttlMs = LIST_LAG_FACTOR * 1000 * settings.cloud.listLagS + CLOUD_CALL_TIMEOUT_MS;
     const expired = [...replica.goneRecords]
-      .filter(([, record]) => wallClockNow() - record.value.at > ttlMs)
+      .filter(([, record]) => wallClockNow() - record.value.reportedAt > ttlMs)
       .filter(([, record]) => record.value.ids.every((id) => !replica.machines.has(id)))
       .slice(0, settings.state.txnOps);
     if (expired.length === 0) return;
