--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -54,9 +54,9 @@
       machines,
       demand: this.demand.groups(elapsedS),
       refusedOffers: this.rentals.refusedOffers(now),
-      idleReturnS: operators.idleReturnS,
+      idleTimeoutS: operators.idleReturnS,
       maxRentals: MAX_RENTALS_PER_CALL * Math.max(1, Math.floor(settings.cloud.rps)),
-      machineLifeS: operators.lifeS,
+      meanMachineLifetimeS: operators.lifeS,
       shardCount: settings.shardCount,
       overloaded: this.#overloaded(),
     });
--- a/src/coordination/fleet/machine-view.ts
+++ b/src/coordination/fleet/machine-view.ts
@@ -64,7 +64,7 @@
         type,
         zone: record.zone,
         spot: record.spot,
-        up: record.endpoint !== "",
+        isUp: record.endpoint !== "",
         use: tasks.reduce((sum, task) => add(sum, task.resources), NO_RESOURCES),
         openAttempts: destination === undefined ? this.#openAttempts(id, record).size : 0,
         tasks,
@@ -93,7 +93,7 @@
         type,
         zone: record.zone,
         spot: record.spot,
-        up: true,
+        isUp: true,
         use: NO_RESOURCES,
         openAttempts: 0,
         tasks: [],
@@ -135,11 +135,11 @@
       const since = this.#openSince.get(key) ?? now;
       openSince.set(key, since);
       const { checkpointIntervalS, checkpointSaveS, resources } = job.spec;
-      const lossS = checkpointIntervalS > 0 ? checkpointSaveS : (now - since) / 1000;
+      const lostWorkS = checkpointIntervalS > 0 ? checkpointSaveS : (now - since) / 1000;
       const priority = withinGuarantee.has(jobId)
         ? GUARANTEED_PRIORITY
         : priorityOrder(job.spec.priority);
-      tasks.push({ priority, resources, lossS });
+      tasks.push({ priority, resources, lostWorkS });
     }
     return tasks;
   }
--- a/src/coordination/fleet/plan-log.ts
+++ b/src/coordination/fleet/plan-log.ts
@@ -24,10 +24,10 @@
     const waiting = [...replica.shardJobs(shard).index.waiting.values()];
     log.debug("fleet planned", {
       shard,
-      upCpus: totalCpus(inShard.filter((machine) => machine.up)),
-      bootingCpus: totalCpus(inShard.filter((machine) => !machine.up)),
+      upCpus: totalCpus(inShard.filter((machine) => machine.isUp)),
+      bootingCpus: totalCpus(inShard.filter((machine) => !machine.isUp)),
       usedCpus: inShard.reduce((sum, machine) => sum + machine.use.cpus, 0),
-      emptyCpus: totalCpus(inShard.filter((machine) => machine.up && machine.openAttempts === 0)),
+      emptyCpus: totalCpus(inShard.filter((machine) => machine.isUp && machine.openAttempts === 0)),
       waitingCpus: waiting.reduce(
         (sum, job) => sum + waitingTaskCount(job) * job.spec.resources.cpus,
         0,
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -9,7 +9,7 @@
 import { type MachineId, type ShardId, splitTask, type TaskId } from "@umberfold/ids";
 import type { Resources } from "../../protocol/jobs.js";
 import {
-  addUse,
+  addUsedResources,
   type CandidateMachine,
   countCompetingShapes,
   distinctShapes,
@@ -128,7 +128,7 @@
   for (const [task, reservation] of state.reservations) {
     const candidate = candidates.get(reservation.machine);
     const resources = shardJobs.jobs.get(splitTask(task).job)?.spec.resources;
-    if (candidate !== undefined && resources !== undefined) addUse(candidate, resources);
+    if (candidate !== undefined && resources !== undefined) addUsedResources(candidate, resources);
   }
 };
 
--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -7,7 +7,7 @@
  */
 import { attemptNumber, type MachineId } from "@umberfold/ids";
 import type { Settings } from "../../config/settings.js";
-import { addUse, type CandidateMachine } from "../../scheduling/placement.js";
+import { addUsedResources, type CandidateMachine } from "../../scheduling/placement.js";
 import { machineNameBytes, openAttemptBytes, progressBytes } from "../../storage/pages.js";
 import type { LiveJob, OpenAttempt } from "../../storage/records.js";
 import { maxPageBytes } from "../../storage/transaction-batch.js";
@@ -56,7 +56,7 @@
       machine.use = use;
       machine.smallestDemand = smallestDemand;
     });
-    addUse(machine, this.job.spec.resources);
+    addUsedResources(machine, this.job.spec.resources);
     return true;
   }
 
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -17,7 +17,7 @@
 } from "../../scheduling/placement.js";
 import type { PreemptionSearch } from "../../scheduling/preemption.js";
 import type { QueuedJob } from "../../scheduling/queue-order.js";
-import { fitsBeside, subtract } from "../../scheduling/resources.js";
+import { fitsRemainingCapacity, subtract } from "../../scheduling/resources.js";
 import type { ShardState } from "../ownership/shard-state.js";
 import { type MutableZoneCounts, zoneCounts } from "./candidate-machines.js";
 import { JobStarts } from "./job-starts.js";
@@ -185,7 +185,7 @@
     if (machine === undefined || !isPermitted(spec, machine, placement.zones)) return null;
     // The machine's use includes the reservation itself.
     const useByOthers = subtract(machine.use, spec.resources);
-    if (!fitsBeside(spec.resources, useByOthers, machine.capacity)) return null;
+    if (!fitsRemainingCapacity(spec.resources, useByOthers, machine.capacity)) return null;
     machine.use = useByOthers;
     this.state.reservations.delete(task);
     return machine;
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -11,7 +11,7 @@
 import { type JobSpec, priorityOrder } from "../../protocol/jobs.js";
 import { slackS, targetsOf } from "../../scheduling/objectives.js";
 import {
-  addUse,
+  addUsedResources,
   type CandidateMachine,
   hasZoneRules,
   isPermitted,
@@ -104,7 +104,7 @@
   tryPreempt(task: TaskId, preemptor: QueuedJob, search: PreemptionSearch): boolean {
     const { state, round } = this;
     const shardJobs = state.ctx.replica.shardJobs(round.shard);
-    const plan = search.take();
+    const plan = search.nextPlan();
     if (plan === null) return false;
     this.#preemptionCount++;
     for (const victim of plan.victims) {
@@ -116,8 +116,8 @@
     }
     const machine = this.candidates.get(plan.machine);
     // The victims use their capacity until they are terminated, so the reservation is added to it.
-    if (machine !== undefined) addUse(machine, preemptor.job.spec.resources);
-    search.noted(plan.machine);
+    if (machine !== undefined) addUsedResources(machine, preemptor.job.spec.resources);
+    search.markPlanRecorded(plan.machine);
     state.reserve(task, plan.machine, RESERVATION_TIMEOUT_MS);
     round.machinesToCall.add(plan.machine);
     return true;
@@ -156,11 +156,11 @@
         continue;
       }
       if (!mayPreempt(context, this.#preemptionContext(attempt.job, job.spec))) continue;
-      const lossS =
+      const lostWorkS =
         state.lossS(job, attemptState, round.now) +
         checkpointSaveS +
         this.#slackPenaltyOf(attempt.job, job);
-      victims.push({ task, resources, lossS });
+      victims.push({ task, resources, lostWorkS });
     }
     if (victims.length === 0 && !fits(preemptor.job.spec.resources, free)) return undefined;
     return { id: machine.id, free, victims };
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -46,7 +46,7 @@
   job: LiveJob,
   from: CandidateMachine,
   candidates: ReadonlyMap<MachineId, CandidateMachine>,
-): SwarmTask["allowed"] => {
+): SwarmTask["mayRunOn"] => {
   const zones = zoneCounts(state, job);
   zones.set(from.zone, Math.max(0, (zones.get(from.zone) ?? 0) - 1));
   return (to) => {
@@ -82,9 +82,9 @@
       use = subtract(use, job.spec.resources);
       continue;
     }
-    const allowed = destinationFilter(state, job, machine, candidates);
-    const lossS = state.lossS(job, attemptState, now);
-    tasks.push({ task, resources: job.spec.resources, lossS, allowed });
+    const mayRunOn = destinationFilter(state, job, machine, candidates);
+    const lostWorkS = state.lossS(job, attemptState, now);
+    tasks.push({ task, resources: job.spec.resources, lostWorkS, mayRunOn });
   }
   return { id: machine.id, capacity: machine.capacity, use, tasks };
 };
@@ -121,8 +121,8 @@
     if (!hasDemand) machines.push(toSwarmMachine(state, shard, candidate, candidates, now));
   }
   const moves = planSwarmMoves(machines, random, {
-    cap: Math.max(operators.swarmMoves, Math.floor(machines.length * operators.swarmPart)),
-    maxLossS: operators.swarmMaxLossS,
+    maxMoves: Math.max(operators.swarmMoves, Math.floor(machines.length * operators.swarmPart)),
+    maxLostWorkS: operators.swarmMaxLossS,
   });
   applyMoves(state, shard, moves);
 };
--- a/src/scheduling/demand-bound.ts
+++ b/src/scheduling/demand-bound.ts
@@ -9,7 +9,7 @@
 export interface DueWork {
   readonly windowS: number;
   /** Processor seconds. */
-  readonly work: number;
+  readonly cpuSeconds: number;
 }
 
 /**
@@ -23,7 +23,7 @@
   let work = 0;
   let bound = 0;
   for (const item of [...due].sort((a, b) => a.windowS - b.windowS)) {
-    work += item.work;
+    work += item.cpuSeconds;
     bound = Math.max(bound, work / item.windowS);
   }
   return bound;
--- a/src/scheduling/demand-totals.ts
+++ b/src/scheduling/demand-totals.ts
@@ -15,11 +15,11 @@
 import { fits } from "./resources.js";
 
 /** Tasks that take no processors count as taking this many: a demand of none has no bound. */
-const MIN_CPUS = 0.1;
+const MIN_CPUS_PER_TASK = 0.1;
 /** No window is shorter: work is divided by it. */
 const MIN_WINDOW_S = 1;
 /** In processors: a limit that is short of a whole task by less than this still allows the task. */
-const LIMIT_TOLERANCE = 1e-9;
+const LIMIT_TOLERANCE_CPUS = 1e-9;
 
 /** What the demand is computed from, apart from the smoothing. */
 export interface DemandSource {
@@ -36,9 +36,9 @@
   /** Seconds of the fastest boot on offer: what must start sooner needs a machine that is up. */
   readonly bootS: number;
   /** The part (0 to 1) of its spare time that a class should wait at most. */
-  readonly patience: number;
+  readonly desiredSlackFraction: number;
   /** The part of its spare time that it may wait if capacity is expensive; more than `patience`. */
-  readonly lastPatience: number;
+  readonly requiredSlackFraction: number;
   readonly now: WallClockMs;
 }
 
@@ -67,7 +67,7 @@
   readonly pool: MachineTypePool;
   openAttempts: number;
   waitingTasks: number;
-  readonly waitingByShard: Map<ShardId, number>;
+  readonly waitingTasksByShard: Map<ShardId, number>;
   /** Slots that the group would need alone, running tasks included. */
   readonly slots: Record<DemandTier, number>;
   /** Tasks whose objectives leave less time than a machine takes to boot. */
@@ -117,14 +117,19 @@
     group.openAttempts += open.length;
     group.waitingTasks += waiting;
     if (waiting > 0)
-      group.waitingByShard.set(shard, (group.waitingByShard.get(shard) ?? 0) + waiting);
+      group.waitingTasksByShard.set(shard, (group.waitingTasksByShard.get(shard) ?? 0) + waiting);
     // Counted by task, so that one long job doesn't make its whole class urgent.
-    if (maxTimeInSystemS(targets, runS, source.patience) < source.bootS)
+    if (maxTimeInSystemS(targets, runS, source.desiredSlackFraction) < source.bootS)
       group.tasksDueBeforeBoot += waiting + open.length;
     const ageS = Math.max(0, (source.now - job.acceptedAt) / 1000);
     const work = { waiting, open: open.length, runS };
-    addWork(group, work, "desired", workWindowS(targets, ageS, runS, source.patience));
-    addWork(group, work, "required", workWindowS(targets, ageS, runS, source.lastPatience));
+    addWork(group, work, "desired", workWindowS(targets, ageS, runS, source.desiredSlackFraction));
+    addWork(
+      group,
+      work,
+      "required",
+      workWindowS(targets, ageS, runS, source.requiredSlackFraction),
+    );
   }
 
   /** The groups by key, once all jobs are added: decides which are urgent, and fills the pools. */
@@ -132,7 +137,7 @@
     for (const group of this.#groups.values()) {
       const tasks = group.openAttempts + group.waitingTasks;
       group.urgent = 2 * group.tasksDueBeforeBoot > tasks;
-      const cpus = Math.max(group.resources.cpus, MIN_CPUS);
+      const cpus = Math.max(group.resources.cpus, MIN_CPUS_PER_TASK);
       for (const tier of TIERS) {
         if (group.urgent) group.slots[tier] = tasks;
         group.pool.separateCpus[tier] += group.slots[tier] * cpus;
@@ -155,7 +160,7 @@
       pool: this.#poolOf(spec),
       openAttempts: 0,
       waitingTasks: 0,
-      waitingByShard: new Map(),
+      waitingTasksByShard: new Map(),
       slots: { desired: 0, required: 0 },
       tasksDueBeforeBoot: 0,
       urgent: false,
@@ -184,7 +189,9 @@
     const { team, resources, taskCount } = job.spec;
     const cpusLeft = this.#cpusLeft.get(team) ?? this.source.teams.get(team)?.cpusMax ?? 0;
     const maxTasks =
-      resources.cpus > 0 ? Math.floor((cpusLeft + LIMIT_TOLERANCE) / resources.cpus) : taskCount;
+      resources.cpus > 0
+        ? Math.floor((cpusLeft + LIMIT_TOLERANCE_CPUS) / resources.cpus)
+        : taskCount;
     const waiting = Math.max(0, Math.min(waitingTaskCount(job), maxTasks - job.open.length));
     this.#cpusLeft.set(team, cpusLeft - (waiting + job.open.length) * resources.cpus);
     return waiting;
@@ -203,7 +210,7 @@
   group.pool.dueWork[tier].push({
     // No work is done in less time than a task runs.
     windowS: Math.max(windowS, runS, MIN_WINDOW_S),
-    work: (waiting + open / 2) * runS * Math.max(group.resources.cpus, MIN_CPUS),
+    cpuSeconds: (waiting + open / 2) * runS * Math.max(group.resources.cpus, MIN_CPUS_PER_TASK),
   });
 };
 
--- a/src/scheduling/demand.ts
+++ b/src/scheduling/demand.ts
@@ -23,12 +23,12 @@
 /** What the demand is computed from. */
 export interface DemandInput extends DemandSource {
   /** Slots that urgent groups get beyond what they need, as a part of it. */
-  readonly headroom: number;
+  readonly headroomFraction: number;
   /** Time constants of the smoothing, in seconds. */
-  readonly riseS: number;
-  readonly fallS: number;
+  readonly riseTimeConstantS: number;
+  readonly fallTimeConstantS: number;
   /** Factor on the demand bound, which takes work for perfectly divisible. */
-  readonly margin: number;
+  readonly capacityFactor: number;
   /** Seconds since the levels were computed. */
   readonly dtS: number;
   /** The levels of the last computation; a group that it didn't have starts unsmoothed. */
@@ -58,7 +58,7 @@
     spotAllowed,
     priority,
     urgent,
-    waiting: totals.waitingByShard,
+    waitingTasksByShard: totals.waitingTasksByShard,
     requiredSlots: beyondRunning(requiredLevel),
     desiredSlots: beyondRunning(
       urgent ? desiredLevel * (1 + headroom) : Math.max(desiredLevel, requiredLevel),
@@ -73,16 +73,22 @@
   const levels = new Map<string, number>();
   const smoothedLevel = (key: string, group: GroupTotals, tier: DemandTier): number => {
     const levelKey = `${key}|${tier}`;
-    const current = group.slots[tier] * sharedFraction(group.pool, tier, input.margin);
+    const current = group.slots[tier] * sharedFraction(group.pool, tier, input.capacityFactor);
     const last = input.levels.get(levelKey) ?? current;
-    const level = smoothToward(last, current, input.dtS, input.riseS, input.fallS);
+    const level = smoothToward(
+      last,
+      current,
+      input.dtS,
+      input.riseTimeConstantS,
+      input.fallTimeConstantS,
+    );
     levels.set(levelKey, level);
     return level;
   };
   const groups = [...totals.finish()].map(([key, group]) => {
     const requiredLevel = smoothedLevel(key, group, "required");
     const desiredLevel = smoothedLevel(key, group, "desired");
-    return demandGroup(group, requiredLevel, desiredLevel, input.headroom);
+    return demandGroup(group, requiredLevel, desiredLevel, input.headroomFraction);
   });
   return { groups: groups.sort((a, b) => a.priority - b.priority), levels };
 };
--- a/src/scheduling/fleet-model.ts
+++ b/src/scheduling/fleet-model.ts
@@ -19,7 +19,7 @@
   /** Those of the desired slots that are worth the more expensive offers too. */
   readonly requiredSlots: number;
   /** Number of tasks that wait now, by shard. */
-  readonly waiting: ReadonlyMap<ShardId, number>;
+  readonly waitingTasksByShard: ReadonlyMap<ShardId, number>;
   /** Lower numbers go first. */
   readonly priority: number;
   /** Its objectives leave no time to wait until a machine has booted. */
@@ -31,7 +31,7 @@
   readonly priority: number;
   readonly resources: Resources;
   /** Seconds of work that stopping it would throw away. */
-  readonly lossS: number;
+  readonly lostWorkS: number;
 }
 
 /** A rented machine as fleet planning sees it. */
@@ -43,7 +43,7 @@
   readonly zone: string;
   readonly spot: boolean;
   /** It sends heartbeats and takes tasks; otherwise it is still booting. */
-  readonly up: boolean;
+  readonly isUp: boolean;
   readonly use: Resources;
   readonly openAttempts: number;
   readonly tasks: readonly FleetTask[];
@@ -77,11 +77,11 @@
   /** Keys (`offerKey`) of offers that were refused recently and may not be tried again yet. */
   readonly refusedOffers: ReadonlySet<string>;
   /** Seconds for which an idle machine is kept: the minimum charge, and hysteresis. */
-  readonly idleReturnS: number;
+  readonly idleTimeoutS: number;
   /** The most machines that one plan rents. */
   readonly maxRentals: number;
   /** Mean seconds for which a rented machine is kept: its boot's cost is spread over them. */
-  readonly machineLifeS: number;
+  readonly meanMachineLifetimeS: number;
   readonly shardCount: number;
   /** Shards whose owners don't keep up with the machines they have: they are given no more. */
   readonly overloaded: ReadonlySet<ShardId>;
--- a/src/scheduling/fleet-plan.ts
+++ b/src/scheduling/fleet-plan.ts
@@ -24,7 +24,7 @@
 } from "./fleet-model.js";
 
 /** The demand, groups that fit the fewest machine types first: they have the least choice. */
-const leastChoiceFirst = (input: TransferInput): readonly DemandGroup[] => {
+const sortByFewestFittingTypes = (input: TransferInput): readonly DemandGroup[] => {
   const fittingTypes = (group: DemandGroup): number =>
     input.types.filter((type) => fits(group.resources, type.capacity)).length;
   return [...input.demand].sort((a, b) => fittingTypes(a) - fittingTypes(b));
@@ -42,20 +42,20 @@
       ({ machine, plannedTasks }) =>
         plannedTasks === 0 &&
         machine.openAttempts === 0 &&
-        machine.up &&
+        machine.isUp &&
         !transferred.has(machine.id) &&
-        machine.idleS >= input.idleReturnS,
+        machine.idleS >= input.idleTimeoutS,
     )
     .map(({ machine }) => machine.id);
 };
 
 /** Which machines go to shards that lack capacity; rents and returns nothing. */
 export const planIdleTransfers = (input: TransferInput): readonly MachineTransferRequest[] =>
-  planTransfers(leastChoiceFirst(input), freeCapacities(input), input.overloaded).transfers;
+  planTransfers(sortByFewestFittingTypes(input), freeCapacities(input), input.overloaded).transfers;
 
 /** What to rent, to transfer and to return. */
 export const planFleet = (input: FleetInput): FleetPlan => {
-  const demand = leastChoiceFirst(input);
+  const demand = sortByFewestFittingTypes(input);
   const { transfers, unmetTasks } = planTransfers(demand, freeCapacities(input), input.overloaded);
   const capacities = freeCapacities(input);
   const rentals = planRentals(input, demand, capacities, unmetTasks);
--- a/src/scheduling/fleet-rentals.ts
+++ b/src/scheduling/fleet-rentals.ts
@@ -10,7 +10,7 @@
 import { type DemandGroup, type FleetInput, offerKey, type PlannedRental } from "./fleet-model.js";
 import { type FreeCapacity, fillCapacities, permitsOffer } from "./free-capacity.js";
 import { taskSlots } from "./resources.js";
-import { shardAssigner } from "./shard-assigner.js";
+import { createShardAssigner } from "./shard-assigner.js";
 
 /** One kind of machine that the cloud offers, judged for the tasks of one group. */
 interface Offer {
@@ -29,7 +29,7 @@
  * prices, it only decides between zones of one price. Spread over zones, less is lost to one zone's
  * failure or to one wave of spot preemptions.
  */
-const ZONE_SPREAD_COST = 1e-6;
+const ZONE_SPREAD_COST_PER_MACHINE = 1e-6;
 
 /** The offers of one machine type that a group's tasks may run on; none that was refused recently. */
 const offersOfType = (
@@ -41,7 +41,8 @@
   const slots = taskSlots(group.resources, type.capacity);
   if (slots === 0) return [];
   return (spotOnly ? [true] : [true, false]).flatMap((spot) => {
-    const price = (spot ? type.spotPrice : type.price) * (1 + type.bootS / input.machineLifeS);
+    const price =
+      (spot ? type.spotPrice : type.price) * (1 + type.bootS / input.meanMachineLifetimeS);
     const costPerSlot = price / slots;
     return type.zones
       .filter((zone) => permitsOffer(group, { type: type.name, zone, spot }))
@@ -69,7 +70,8 @@
   let cheapest: Offer | undefined;
   let lowestCost = Number.POSITIVE_INFINITY;
   for (const offer of offers) {
-    const cost = offer.costPerSlot + (machineCount.get(offer.key) ?? 0) * ZONE_SPREAD_COST;
+    const cost =
+      offer.costPerSlot + (machineCount.get(offer.key) ?? 0) * ZONE_SPREAD_COST_PER_MACHINE;
     if (cost < lowestCost) {
       lowestCost = cost;
       cheapest = offer;
@@ -83,7 +85,7 @@
   readonly #rentals = new Map<string, PlannedRental>();
   /** Machines by offer, rented ones and planned ones. */
   readonly #machineCount = new Map<string, number>();
-  readonly #assignShard: ReturnType<typeof shardAssigner>;
+  readonly #assignShard: ReturnType<typeof createShardAssigner>;
   #rentedMachines = 0;
   /** Slots that may still be rented. */
   #slotsAllowed: number;
@@ -94,7 +96,7 @@
   ) {
     for (const { type, zone, spot } of input.machines)
       this.#countMachine(offerKey(type.name, zone, spot));
-    this.#assignShard = shardAssigner(input, unmetTasks);
+    this.#assignShard = createShardAssigner(input, unmetTasks);
     // Demand is forecast for all shards together. While one of them is overloaded, only what the
     // others lack now is rented, or they would be given the overloaded one's part.
     this.#slotsAllowed =
--- a/src/scheduling/free-capacity.ts
+++ b/src/scheduling/free-capacity.ts
@@ -21,7 +21,7 @@
   /** Tasks whose resources count as free already. */
   readonly preempted: Set<FleetTask>;
   /** Seconds of work that stopping all of the machine's tasks would throw away. */
-  readonly lossS: number;
+  readonly lostWorkS: number;
 }
 
 /** Whether the tasks of a group may run on a machine of this offer. */
@@ -54,7 +54,7 @@
     plannedTasks: 0,
     transferred: false,
     preempted: new Set<FleetTask>(),
-    lossS: machine.tasks.reduce((sum, task) => sum + task.lossS, 0),
+    lostWorkS: machine.tasks.reduce((sum, task) => sum + task.lostWorkS, 0),
   }));
   return capacities.sort(
     (a, b) =>
--- a/src/scheduling/machine-transfers.ts
+++ b/src/scheduling/machine-transfers.ts
@@ -28,7 +28,7 @@
  * Sorts machines that are as good as one another so that those of the shard with the most come
  * first: each shard that gives some away writes a record for it, however many it gives.
  */
-const sortByLargestGiver = (capacities: FreeCapacity[]): void => {
+const sortByLargestSourceShard = (capacities: FreeCapacity[]): void => {
   const kindOf = ({ machine }: FreeCapacity): string => `${machine.type.name}|${machine.spot}`;
   const giverOf = (capacity: FreeCapacity): string =>
     `${kindOf(capacity)}|${capacity.machine.shard}`;
@@ -50,14 +50,14 @@
 };
 
 /** Running machines of other shards that the plan has not used in any way yet. */
-const unusedElsewhere = (
+const unusedMachinesOfOtherShards = (
   demand: UnmetDemand,
   capacities: readonly FreeCapacity[],
 ): FreeCapacity[] =>
   capacities.filter(
     ({ machine, transferred, plannedTasks, preempted }) =>
       machine.shard !== demand.shard &&
-      machine.up &&
+      machine.isUp &&
       !transferred &&
       plannedTasks === 0 &&
       preempted.size === 0,
@@ -67,8 +67,10 @@
   demand: UnmetDemand,
   capacities: readonly FreeCapacity[],
 ): readonly FreeCapacity[] => {
-  const idle = unusedElsewhere(demand, capacities).filter((c) => c.machine.openAttempts === 0);
-  sortByLargestGiver(idle);
+  const idle = unusedMachinesOfOtherShards(demand, capacities).filter(
+    (c) => c.machine.openAttempts === 0,
+  );
+  sortByLargestSourceShard(idle);
   return idle;
 };
 
@@ -77,16 +79,16 @@
   demand: UnmetDemand,
   capacities: readonly FreeCapacity[],
 ): readonly FreeCapacity[] => {
-  const drainable = unusedElsewhere(demand, capacities).filter(
+  const drainable = unusedMachinesOfOtherShards(demand, capacities).filter(
     ({ machine }) =>
       machine.openAttempts > 0 &&
       machine.tasks.every((task) => task.priority > demand.group.priority),
   );
-  return drainable.sort((a, b) => a.lossS - b.lossS);
+  return drainable.sort((a, b) => a.lostWorkS - b.lostWorkS);
 };
 
 /** Transfers candidates, in their order, until the demand is met; `drain`: their tasks are stopped. */
-const transferTo = (
+const planTransfersFor = (
   demand: UnmetDemand,
   candidates: readonly FreeCapacity[],
   drain: boolean,
@@ -107,14 +109,14 @@
  * Plans the waiting tasks of each shard onto its own machines, preempting for the urgent ones, and
  * returns what is left over. An overloaded shard's rest is left out: it is given no machine.
  */
-const fillOwnMachines = (
+const fillMachinesOfSameShard = (
   demand: readonly DemandGroup[],
   capacities: readonly FreeCapacity[],
   overloaded: ReadonlySet<ShardId>,
 ): readonly UnmetDemand[] => {
   const unmet: UnmetDemand[] = [];
   for (const group of [...demand].sort((a, b) => a.priority - b.priority))
-    for (const [shard, waiting] of group.waiting) {
+    for (const [shard, waiting] of group.waitingTasksByShard) {
       const own = capacities.filter((c) => c.machine.shard === shard);
       let tasks = fillCapacities(group, waiting, own);
       if (tasks > 0 && group.urgent) {
@@ -136,11 +138,11 @@
   capacities: readonly FreeCapacity[],
   overloaded: ReadonlySet<ShardId>,
 ): TransferPlan => {
-  const unmet = fillOwnMachines(demand, capacities, overloaded);
-  const idle = unmet.flatMap((u) => transferTo(u, idleCandidates(u, capacities), false));
+  const unmet = fillMachinesOfSameShard(demand, capacities, overloaded);
+  const idle = unmet.flatMap((u) => planTransfersFor(u, idleCandidates(u, capacities), false));
   const drained = unmet
     .filter((u) => u.group.urgent)
-    .flatMap((u) => transferTo(u, drainCandidates(u, capacities), true));
+    .flatMap((u) => planTransfersFor(u, drainCandidates(u, capacities), true));
   const unmetTasks = new Map<ShardId, number>();
   for (const { shard, tasks } of unmet)
     if (tasks > 0) unmetTasks.set(shard, (unmetTasks.get(shard) ?? 0) + tasks);
--- a/src/scheduling/placement.ts
+++ b/src/scheduling/placement.ts
@@ -11,7 +11,7 @@
  */
 import type { MachineId } from "@umberfold/ids";
 import type { JobSpec, Resources } from "../protocol/jobs.js";
-import { add, fits, fitsBeside, minimumOf } from "./resources.js";
+import { add, fits, fitsRemainingCapacity, minimumOf } from "./resources.js";
 import { moveProbability } from "./swarm.js";
 
 /** A machine that may be given tasks in this round. */
@@ -111,7 +111,7 @@
 }
 
 /** Smaller differences of move probabilities are ties. */
-const PROBABILITY_TIE = 1e-9;
+const PROBABILITY_TOLERANCE = 1e-9;
 
 /**
  * The scores that don't depend on the machine's use: fewer competing shapes, then an image fetch
@@ -127,7 +127,7 @@
  * ones the machine that has the image, then the cheaper one.
  */
 const packsBetter = (a: Candidate, b: Candidate): boolean => {
-  if (Math.abs(a.moveProbability - b.moveProbability) > PROBABILITY_TIE)
+  if (Math.abs(a.moveProbability - b.moveProbability) > PROBABILITY_TOLERANCE)
     return a.moveProbability < b.moveProbability;
   return a.imageCached !== b.imageCached ? a.imageCached : a.machine.price < b.machine.price;
 };
@@ -220,7 +220,7 @@
     if (candidate.computedFor === machine.use) return candidate.hasCapacity;
     const { resources } = this.spec;
     candidate.computedFor = machine.use;
-    candidate.hasCapacity = fitsBeside(resources, machine.use, machine.capacity);
+    candidate.hasCapacity = fitsRemainingCapacity(resources, machine.use, machine.capacity);
     if (candidate.hasCapacity)
       candidate.moveProbability = moveProbability(
         add(machine.use, resources),
@@ -232,7 +232,7 @@
 }
 
 /** Counts one more task, or a reservation for one, as in use on a machine. */
-export const addUse = (machine: CandidateMachine, resources: Resources): void => {
+export const addUsedResources = (machine: CandidateMachine, resources: Resources): void => {
   machine.use = add(machine.use, resources);
   machine.smallestDemand = minimumOf(machine.smallestDemand, resources);
 };
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -14,7 +14,7 @@
   readonly task: TaskId;
   readonly resources: Resources;
   /** Seconds of work that stopping it would throw away, its checkpoint and restart included. */
-  readonly lossS: number;
+  readonly lostWorkS: number;
 }
 
 /** A machine on which tasks could be preempted. */
@@ -44,7 +44,7 @@
 interface PreemptionOption {
   readonly candidate: PreemptionCandidate;
   readonly victims: readonly Victim[];
-  readonly lossS: number;
+  readonly lostWorkS: number;
 }
 
 /** What was last computed of a source. */
@@ -72,18 +72,18 @@
     chosen.push(victim);
   }
   if (!fits(need, free)) return undefined;
-  for (const victim of [...chosen].sort((a, b) => b.lossS - a.lossS)) {
+  for (const victim of [...chosen].sort((a, b) => b.lostWorkS - a.lostWorkS)) {
     if (!fits(need, subtract(free, victim.resources))) continue;
     free = subtract(free, victim.resources);
     chosen = chosen.filter((other) => other !== victim);
   }
-  const lossS = chosen.reduce((sum, victim) => sum + victim.lossS, 0);
-  return { candidate, victims: chosen, lossS };
+  const lostWorkS = chosen.reduce((sum, victim) => sum + victim.lostWorkS, 0);
+  return { candidate, victims: chosen, lostWorkS };
 };
 
-const withVictimsByLoss = (candidate: PreemptionCandidate): PreemptionCandidate => ({
+const sortVictimsByLostWork = (candidate: PreemptionCandidate): PreemptionCandidate => ({
   ...candidate,
-  victims: [...candidate.victims].sort((a, b) => a.lossS - b.lossS),
+  victims: [...candidate.victims].sort((a, b) => a.lostWorkS - b.lostWorkS),
 });
 
 /**
@@ -96,11 +96,11 @@
 export class PreemptionSearch {
   readonly #evaluated: readonly EvaluatedSource[];
 
-  /** `needs`: what one task takes. `maxLossS`: no plan may lose more seconds of work. */
+  /** `needs`: what one task takes. `maxLostWorkS`: no plan may lose more seconds of work. */
   constructor(
     private readonly needs: Resources,
     sources: Iterable<PreemptionSource>,
-    private readonly maxLossS: number,
+    private readonly maxLostWorkS: number,
   ) {
     this.#evaluated = [...sources].map((source) => this.#evaluate(source));
   }
@@ -109,9 +109,9 @@
    * The plan for the next task, or null if there is none within the maximum loss. The capacity
    * counts as taken from here on.
    */
-  take(): PreemptionPlan | null {
+  nextPlan(): PreemptionPlan | null {
     for (;;) {
-      const best = this.#leastLoss();
+      const best = this.#leastLostWork();
       if (best?.option === undefined) return null;
       if (best.version !== best.source.version()) {
         Object.assign(best, this.#evaluate(best.source));
@@ -127,7 +127,7 @@
    * Must be called once the caller has recorded the plan taken last on its machine: the change of
    * version that this causes doesn't make the option out of date.
    */
-  noted(machine: MachineId): void {
+  markPlanRecorded(machine: MachineId): void {
     for (const evaluated of this.#evaluated)
       if (evaluated.option?.candidate.id === machine)
         evaluated.version = evaluated.source.version();
@@ -138,19 +138,19 @@
     const option =
       candidate === undefined
         ? undefined
-        : cheapestOption(this.needs, withVictimsByLoss(candidate));
+        : cheapestOption(this.needs, sortVictimsByLostWork(candidate));
     return { source, version: source.version(), option };
   }
 
-  #leastLoss(): EvaluatedSource | undefined {
+  #leastLostWork(): EvaluatedSource | undefined {
     let best: EvaluatedSource | undefined;
-    let leastLossS = Number.POSITIVE_INFINITY;
+    let leastLostWorkS = Number.POSITIVE_INFINITY;
     for (const evaluated of this.#evaluated) {
       const { option } = evaluated;
-      if (option === undefined || option.lossS > this.maxLossS) continue;
-      if (option.lossS >= leastLossS) continue;
+      if (option === undefined || option.lostWorkS > this.maxLostWorkS) continue;
+      if (option.lostWorkS >= leastLostWorkS) continue;
       best = evaluated;
-      leastLossS = option.lossS;
+      leastLostWorkS = option.lostWorkS;
     }
     return best;
   }
--- a/src/scheduling/resources.ts
+++ b/src/scheduling/resources.ts
@@ -54,7 +54,11 @@
  * Whether a demand fits into the capacity in addition to what is in use. The same as `fits` on the
  * difference, but without an intermediate object: placement asks it for every machine and task.
  */
-export const fitsBeside = (need: Resources, use: Resources, capacity: Resources): boolean =>
+export const fitsRemainingCapacity = (
+  need: Resources,
+  use: Resources,
+  capacity: Resources,
+): boolean =>
   need.cpus + use.cpus <= capacity.cpus + ROUNDING_TOLERANCE &&
   need.gpus + use.gpus <= capacity.gpus + ROUNDING_TOLERANCE &&
   need.ramGb + use.ramGb <= capacity.ramGb + ROUNDING_TOLERANCE;
--- a/src/scheduling/shard-assigner.ts
+++ b/src/scheduling/shard-assigner.ts
@@ -25,7 +25,7 @@
  * An assigner that gives new machines to the shard that lacks most slots, and once none lacks any,
  * to the one with the fewest processors. `unmetSlots`: slots that each shard lacks.
  */
-export const shardAssigner = (
+export const createShardAssigner = (
   input: AssignmentInput,
   unmetSlots: ReadonlyMap<ShardId, number>,
 ): ShardAssigner => {
--- a/src/scheduling/swarm.ts
+++ b/src/scheduling/swarm.ts
@@ -77,9 +77,9 @@
   readonly task: TaskId;
   readonly resources: Resources;
   /** Seconds of work that its restart on another machine would throw away. */
-  readonly lossS: number;
+  readonly lostWorkS: number;
   /** Whether it may run on this machine by its job's placement rules, capacity aside. */
-  readonly allowed: (machine: MachineId) => boolean;
+  readonly mayRunOn: (machine: MachineId) => boolean;
 }
 
 /** A machine that tasks could move from or to. */
@@ -102,9 +102,9 @@
 /** What bounds the moves of one period. */
 export interface SwarmLimits {
   /** The most moves in one period. */
-  readonly cap: number;
+  readonly maxMoves: number;
   /** A machine with a task that would lose more seconds of work is not emptied. */
-  readonly maxLossS: number;
+  readonly maxLostWorkS: number;
 }
 
 /** The smallest demand for each resource among these tasks (nmin); nothing if there are none. */
@@ -153,7 +153,7 @@
   for (const { id, capacity } of machines) {
     const load = loads.get(id);
     if (id === origin.machine.id || load === undefined || load.tasks.length === 0) continue;
-    if (!task.allowed(id) || !fits(task.resources, subtract(capacity, load.use))) continue;
+    if (!task.mayRunOn(id) || !fits(task.resources, subtract(capacity, load.use))) continue;
     const probability = moveProbability(
       add(load.use, task.resources),
       capacity,
@@ -207,7 +207,7 @@
  *
  * Ours: only machines that could be emptied are origins (all of their tasks are cheap to restart and
  * have a destination), because a half-emptied machine costs as much as a full one; those with the
- * fewest tasks first; and a period makes at most `limits.cap` moves.
+ * fewest tasks first; and a period makes at most `limits.maxMoves` moves.
  */
 export const planSwarmMoves = (
   machines: readonly SwarmMachine[],
@@ -217,14 +217,16 @@
   const moves: SwarmMove[] = [];
   const loads: MachineLoads = new Map(machines.map((machine) => [machine.id, machine]));
   const cheapToEmpty = machines
-    .filter(({ tasks }) => tasks.length > 0 && tasks.every((t) => t.lossS <= limits.maxLossS))
+    .filter(
+      ({ tasks }) => tasks.length > 0 && tasks.every((t) => t.lostWorkS <= limits.maxLostWorkS),
+    )
     .sort((a, b) => a.tasks.length - b.tasks.length);
   for (const machine of cheapToEmpty) {
-    if (moves.length >= limits.cap) break;
+    if (moves.length >= limits.maxMoves) break;
     const origin = originOf(machine, loads);
     if (origin === undefined || !canBeEmptied(origin, machines, loads)) continue;
     for (const task of machine.tasks) {
-      if (moves.length >= limits.cap || random() >= origin.probability) continue;
+      if (moves.length >= limits.maxMoves || random() >= origin.probability) continue;
       const to = findDestination(task, origin, machines, loads);
       if (to === undefined) continue;
       moveLoad(loads, task, machine.id, to);
--- a/test/scheduling/candidate-selector.test.ts
+++ b/test/scheduling/candidate-selector.test.ts
@@ -9,7 +9,7 @@
   isPermitted,
   placementGroupKey,
 } from "../../src/scheduling/placement.js";
-import { add, fitsBeside, minimumOf } from "../../src/scheduling/resources.js";
+import { add, fitsRemainingCapacity, minimumOf } from "../../src/scheduling/resources.js";
 import { moveProbability } from "../../src/scheduling/swarm.js";
 import {
   IMAGES,
@@ -44,7 +44,7 @@
     ];
   };
   const permitted = machines.filter(
-    (p) => fitsBeside(spec.resources, p.use, p.capacity) && isPermitted(spec, p, zones),
+    (p) => fitsRemainingCapacity(spec.resources, p.use, p.capacity) && isPermitted(spec, p, zones),
   );
   const ranked = permitted.map((p, at) => ({ p, key: [...rankOf(p), at] }));
   ranked.sort((a, b) => {
--- a/test/scheduling/demand-bound.test.ts
+++ b/test/scheduling/demand-bound.test.ts
@@ -6,7 +6,7 @@
 /** Work as window in seconds and processor seconds; the bound in processors. */
 const cases: readonly [
   name: string,
-  due: readonly (readonly [windowS: number, work: number])[],
+  due: readonly (readonly [windowS: number, cpuSeconds: number])[],
   expected: number,
 ][] = [
   ["no work needs none", [], 0],
@@ -39,5 +39,8 @@
 
 for (const [name, due, expected] of cases)
   test(`demand bound: ${name}`, () => {
-    assert.equal(demandBound(due.map(([windowS, work]) => ({ windowS, work }))), expected);
+    assert.equal(
+      demandBound(due.map(([windowS, cpuSeconds]) => ({ windowS, cpuSeconds }))),
+      expected,
+    );
   });
--- a/test/scheduling/fleet-plan.test.ts
+++ b/test/scheduling/fleet-plan.test.ts
@@ -17,7 +17,7 @@
   type: SMALL,
   zone: "a",
   spot: true,
-  up: true,
+  isUp: true,
   use: { cpus: 0, gpus: 0, ramGb: 0 },
   openAttempts: 0,
   tasks: [],
@@ -36,7 +36,7 @@
   urgent: false,
   desiredSlots: slots,
   requiredSlots: slots,
-  waiting: new Map([[shardId(shard), slots]]),
+  waitingTasksByShard: new Map([[shardId(shard), slots]]),
   ...change,
 });
 
@@ -49,10 +49,10 @@
   machine(id, shard, {
     openAttempts: tasks.length,
     use: { cpus: 4 * tasks.length, gpus: 0, ramGb: 14 * tasks.length },
-    tasks: tasks.map(([priority, lossS]) => ({
+    tasks: tasks.map(([priority, lostWorkS]) => ({
       priority,
       resources: { cpus: 4, gpus: 0, ramGb: 14 },
-      lossS,
+      lostWorkS,
     })),
   });
 
@@ -88,7 +88,7 @@
   {
     name: "takes no expensive offer, and keeps no expensive machine, for slots only desired",
     machines: [machine("m", 0, { spot: false })],
-    demand: [group(0, 2, { requiredSlots: 0, waiting: new Map() })],
+    demand: [group(0, 2, { requiredSlots: 0, waitingTasksByShard: new Map() })],
     refused: [
       offerKey("small", "a", true),
       offerKey("small", "b", true),
@@ -99,7 +99,7 @@
   },
   {
     name: "counts a booting machine as capacity",
-    machines: [machine("m", 0, { up: false })],
+    machines: [machine("m", 0, { isUp: false })],
     demand: [group(0, 2)],
     expected: {},
   },
@@ -121,7 +121,7 @@
   {
     name: "transfers an idle machine to waiting tasks although its own shard's forecast needs it",
     machines: [machine("m", 1)],
-    demand: [group(1, 2, { waiting: new Map() }), group(0, 2)],
+    demand: [group(1, 2, { waitingTasksByShard: new Map() }), group(0, 2)],
     expected: { rentals: ["small b spot 1 >0"], transfers: ["m>0"] },
   },
   // Machines whose heartbeats its owner had not read yet had it rented ever more.
@@ -175,7 +175,7 @@
   {
     name: "returns the more expensive one of two machines",
     machines: [machine("m", 0, { spot: false }), machine("n", 0)],
-    demand: [group(0, 2, { waiting: new Map() })],
+    demand: [group(0, 2, { waitingTasksByShard: new Map() })],
     expected: { returns: ["m"] },
   },
 ];
@@ -187,9 +187,9 @@
       machines: machines ?? [],
       demand: demand ?? [],
       refusedOffers: new Set(refused ?? []),
-      idleReturnS: 20,
+      idleTimeoutS: 20,
       maxRentals: 50,
-      machineLifeS: 300,
+      meanMachineLifetimeS: 300,
       shardCount: 2,
       overloaded: new Set(overloaded ?? []),
     });
--- a/test/scheduling/preemption-search.test.ts
+++ b/test/scheduling/preemption-search.test.ts
@@ -21,13 +21,13 @@
 ): PreemptionCandidate["victims"] | undefined => {
   let free = candidate.free;
   let chosen: PreemptionCandidate["victims"][number][] = [];
-  for (const victim of [...candidate.victims].sort((a, b) => a.lossS - b.lossS)) {
+  for (const victim of [...candidate.victims].sort((a, b) => a.lostWorkS - b.lostWorkS)) {
     if (fits(needs, free)) break;
     free = add(free, victim.resources);
     chosen.push(victim);
   }
   if (!fits(needs, free)) return undefined;
-  for (const victim of [...chosen].sort((a, b) => b.lossS - a.lossS)) {
+  for (const victim of [...chosen].sort((a, b) => b.lostWorkS - a.lostWorkS)) {
     if (!fits(needs, subtract(free, victim.resources))) continue;
     free = subtract(free, victim.resources);
     chosen = chosen.filter((other) => other !== victim);
@@ -36,14 +36,19 @@
 };
 
 /** Preemption by sorting all victims of all machines for each task. */
-const cheapestVictims = (needs: Resources, candidates: PreemptionCandidate[], maxLossS: number) => {
-  let best: { at: number; victims: PreemptionCandidate["victims"]; lossS: number } | null = null;
+const cheapestVictims = (
+  needs: Resources,
+  candidates: PreemptionCandidate[],
+  maxLostWorkS: number,
+) => {
+  let best: { at: number; victims: PreemptionCandidate["victims"]; lostWorkS: number } | null =
+    null;
   for (const [at, candidate] of candidates.entries()) {
     const victims = victimsOn(needs, candidate);
     if (victims === undefined) continue;
-    const lossS = victims.reduce((sum, victim) => sum + victim.lossS, 0);
-    if (lossS <= maxLossS && lossS < (best?.lossS ?? Number.POSITIVE_INFINITY))
-      best = { at, victims, lossS };
+    const lostWorkS = victims.reduce((sum, victim) => sum + victim.lostWorkS, 0);
+    if (lostWorkS <= maxLostWorkS && lostWorkS < (best?.lostWorkS ?? Number.POSITIVE_INFINITY))
+      best = { at, victims, lostWorkS };
   }
   return best;
 };
@@ -60,14 +65,14 @@
         victims: Array.from({ length: random.below(6) }, (_x, v) => ({
           task: `wk-${m}/${v}` as never,
           resources: resourcesOf(random.pick([1, 2, 4])),
-          lossS: random.unit() * 20,
+          lostWorkS: random.unit() * 20,
         })),
       }),
     );
     const search = new PreemptionSearch(needs, sources(candidates), 25);
     for (;;) {
       const expected = cheapestVictims(needs, candidates, 25);
-      const got = search.take();
+      const got = search.nextPlan();
       assert.equal(got?.machine, expected === null ? undefined : candidates[expected.at]?.id);
       if (expected === null) break;
       assert.deepEqual(
@@ -83,10 +88,10 @@
 });
 
 test("a preemption candidate whose version changed is computed again before it is chosen", () => {
-  const task = (id: string, lossS: number) => ({
+  const task = (id: string, lostWorkS: number) => ({
     task: id as never,
     resources: resourcesOf(2),
-    lossS,
+    lostWorkS,
   });
   const cheap = {
     id: machineId("m-1"),
@@ -107,7 +112,7 @@
   // What was stopped there for another job meanwhile can't be stopped again.
   taken = { ...cheap, victims: [task("b", 9)] };
   version++;
-  assert.equal(search.take()?.victims[0]?.task, "c");
-  assert.equal(search.take()?.victims[0]?.task, "b");
-  assert.equal(search.take(), null);
+  assert.equal(search.nextPlan()?.victims[0]?.task, "c");
+  assert.equal(search.nextPlan()?.victims[0]?.task, "b");
+  assert.equal(search.nextPlan(), null);
 });
--- a/test/scheduling/preemption.test.ts
+++ b/test/scheduling/preemption.test.ts
@@ -10,10 +10,10 @@
   type Victim,
 } from "../../src/scheduling/preemption.js";
 
-const victim = (id: string, cpus: number, lossS: number): Victim => ({
+const victim = (id: string, cpus: number, lostWorkS: number): Victim => ({
   task: id as never,
   resources: { cpus, gpus: 0, ramGb: 1 },
-  lossS,
+  lostWorkS,
 });
 
 const CANDIDATES: readonly PreemptionCandidate[] = [
@@ -33,21 +33,25 @@
   candidates.map((candidate) => ({ candidate: () => candidate, version: () => 0 }));
 
 /** Processors that the task needs, the maximum loss in seconds, and "machine victims..." or null. */
-const searches: readonly [name: string, cpus: number, maxLossS: number, expected: string | null][] =
-  [
-    ["takes the least total loss", 4, 15, "m-1 b"],
-    ["takes two victims where one is not enough", 8, 15, "m-1 a b"],
-    ["spares a victim that turns out not to be needed", 6, 15, "m-2 d"],
-    // Else a task of 8 that was stopped for one of 2 is followed by more stops, for the capacity it left.
-    ["stops nothing where stopping tasks leave enough already", 2, 15, "m-2"],
-    ["finds nothing within a maximum loss that all options exceed", 4, 1, null],
-    ["finds nothing for a task that fits nowhere", 32, 99, null],
-  ];
+const searches: readonly [
+  name: string,
+  cpus: number,
+  maxLostWorkS: number,
+  expected: string | null,
+][] = [
+  ["takes the least total loss", 4, 15, "m-1 b"],
+  ["takes two victims where one is not enough", 8, 15, "m-1 a b"],
+  ["spares a victim that turns out not to be needed", 6, 15, "m-2 d"],
+  // Else a task of 8 that was stopped for one of 2 is followed by more stops, for the capacity it left.
+  ["stops nothing where stopping tasks leave enough already", 2, 15, "m-2"],
+  ["finds nothing within a maximum loss that all options exceed", 4, 1, null],
+  ["finds nothing for a task that fits nowhere", 32, 99, null],
+];
 
-for (const [name, cpus, maxLossS, expected] of searches)
+for (const [name, cpus, maxLostWorkS, expected] of searches)
   test(`preemption search: ${name}`, () => {
     const need = { cpus, gpus: 0, ramGb: 1 };
-    const plan = new PreemptionSearch(need, sources(CANDIDATES), maxLossS).take();
+    const plan = new PreemptionSearch(need, sources(CANDIDATES), maxLostWorkS).nextPlan();
     const actual =
       plan === null ? null : [plan.machine, ...plan.victims.map((v) => v.task).sort()].join(" ");
     assert.equal(actual, expected);
--- a/test/scheduling/swarm.test.ts
+++ b/test/scheduling/swarm.test.ts
@@ -62,8 +62,8 @@
   });
 
 /** Tasks as id, processors and loss in seconds. */
-type TaskRow = readonly [id: string, cpus: number, lossS: number];
-const task = (id: string, cpus: number, lossS = 0): TaskRow => [id, cpus, lossS];
+type TaskRow = readonly [id: string, cpus: number, lostWorkS: number];
+const task = (id: string, cpus: number, lostWorkS = 0): TaskRow => [id, cpus, lostWorkS];
 
 /** A machine of 8 processors; its tasks may move to any but the forbidden ones. */
 const machine = (
@@ -75,11 +75,11 @@
   id: machineId(id),
   capacity: amount(8, 32),
   use: amount(usedCpus, usedCpus * 4),
-  tasks: tasks.map(([taskId, cpus, lossS]) => ({
+  tasks: tasks.map(([taskId, cpus, lostWorkS]) => ({
     task: taskId as TaskId,
     resources: amount(cpus, cpus * 4),
-    lossS,
-    allowed: (to) => !forbidden.includes(to),
+    lostWorkS,
+    mayRunOn: (to) => !forbidden.includes(to),
   })),
 });
 
@@ -88,14 +88,14 @@
   readonly name: string;
   readonly machines: readonly SwarmMachine[];
   readonly draw: number;
-  readonly cap: number;
+  readonly maxMoves: number;
   readonly expected: readonly string[];
 }[] = [
   {
     name: "a lone task joins a fuller machine with capacity",
     machines: [machine("a", 2, [task("t", 2)]), machine("b", 6, [task("u", 2), task("v", 4)])],
     draw: 0.5,
-    cap: 2,
+    maxMoves: 2,
     expected: ["t a>b"],
   },
   {
@@ -105,35 +105,35 @@
       machine("b", 4, [task("u", 2), task("v", 2)]),
     ],
     draw: 0.99,
-    cap: 2,
+    maxMoves: 2,
     expected: [],
   },
   {
     name: "no task moves past a destination's capacity (eq. 26)",
     machines: [machine("a", 4, [task("t", 4)]), machine("b", 6, [task("u", 6)])],
     draw: 0,
-    cap: 2,
+    maxMoves: 2,
     expected: [],
   },
   {
     name: "no task moves to an empty machine: it would have to be kept",
     machines: [machine("a", 2, [task("t", 2)]), machine("b", 0, [])],
     draw: 0,
-    cap: 2,
+    maxMoves: 2,
     expected: [],
   },
   {
     name: "a task that is expensive to restart stays",
     machines: [machine("a", 2, [task("t", 2, 60)]), machine("b", 6, [task("u", 6, 60)])],
     draw: 0,
-    cap: 2,
+    maxMoves: 2,
     expected: [],
   },
   {
     name: "no task moves to a forbidden destination",
     machines: [machine("a", 2, [task("t", 2)], ["b"]), machine("b", 6, [task("u", 6, 60)])],
     draw: 0,
-    cap: 2,
+    maxMoves: 2,
     expected: [],
   },
   {
@@ -144,14 +144,14 @@
       machine("c", 4, [task("u", 4, 60)]),
     ],
     draw: 0,
-    cap: 1,
+    maxMoves: 1,
     expected: ["t a>c"],
   },
 ];
 
-for (const { name, machines, draw, cap, expected } of periods)
+for (const { name, machines, draw, maxMoves, expected } of periods)
   test(`swarm period: ${name}`, () => {
-    const moves = planSwarmMoves(machines, () => draw, { cap, maxLossS: 4 });
+    const moves = planSwarmMoves(machines, () => draw, { maxMoves, maxLostWorkS: 4 });
     assert.deepEqual(
       moves.map((move) => `${move.task} ${move.from}>${move.to}`),
       expected,
