--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -165,7 +165,11 @@
     const typeEntry = typesByName.get(record.type);
     if (typeEntry === undefined || !isSchedulable(state, id, record)) continue;
     const { type, competingShapes } = typeEntry;
-    const { use, smallestDemand } = occupancyOf(shardJobs, id, terminatedByMachine.get(id));
+    const { use: usedResources, smallestDemand } = occupancyOf(
+      shardJobs,
+      id,
+      terminatedByMachine.get(id),
+    );
     const price = record.spot ? type.spotPrice : type.price;
     candidates.set(id, {
       id,
@@ -173,7 +177,7 @@
       zone: record.zone,
       spot: record.spot,
       capacity: type.capacity,
-      use,
+      usedResources,
       smallestDemand,
       price,
       isCostly: pricePerCpu(price, type.capacity.cpus) > COSTLY_PRICE_RATIO * lowestPricePerCpu,
--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -51,9 +51,9 @@
     this.#nextAttempt++;
     this.#namedMachines.add(machine.id);
     this.attempts.push({ index, attempt, machine: machine.id });
-    const { use, smallestDemand } = machine;
+    const { usedResources, smallestDemand } = machine;
     this.#restoreUse.push(() => {
-      machine.use = use;
+      machine.usedResources = usedResources;
       machine.smallestDemand = smallestDemand;
     });
     addUsedResources(machine, this.job.spec.resources);
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -184,9 +184,9 @@
       reservation === undefined ? undefined : this.candidates.get(reservation.machine);
     if (machine === undefined || !isPermitted(spec, machine, placement.zones)) return null;
     // The machine's use includes the reservation itself.
-    const useByOthers = subtract(machine.use, spec.resources);
+    const useByOthers = subtract(machine.usedResources, spec.resources);
     if (!fitsRemainingCapacity(spec.resources, useByOthers, machine.capacity)) return null;
-    machine.use = useByOthers;
+    machine.usedResources = useByOthers;
     this.state.reservations.delete(task);
     return machine;
   }
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -88,8 +88,8 @@
       if (!failedOn.has(machine.id) && isPermitted(spec, machine, zones))
         sources.push({
           candidate: () => this.#preemptionCandidate(preemptor, machine),
-          // Each start and each reservation on the machine replaces its `use` object.
-          version: () => machine.use,
+          // Each start and each reservation on the machine replaces its `usedResources` object.
+          version: () => machine.usedResources,
         });
     const { preemptMaxLossS } = this.state.ctx.operators;
     const search = new PreemptionSearch(spec.resources, sources, preemptMaxLossS);
@@ -141,7 +141,7 @@
     const shardJobs = state.ctx.replica.shardJobs(round.shard);
     const context = this.#preemptionContext(preemptor.id, preemptor.job.spec);
     const victims: Victim[] = [];
-    let free = subtract(machine.capacity, machine.use);
+    let free = subtract(machine.capacity, machine.usedResources);
     for (const [task, attempt] of shardJobs.openAttemptsOn(machine.id)) {
       const job = shardJobs.jobs.get(attempt.job);
       if (job === undefined) continue;
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -70,7 +70,7 @@
 ): SwarmMachine => {
   const shardJobs = state.ctx.replica.shardJobs(shard);
   const tasks: SwarmTask[] = [];
-  let { use } = machine;
+  let { usedResources } = machine;
   for (const [task, attempt] of shardJobs.openAttemptsOn(machine.id)) {
     const job = shardJobs.jobs.get(attempt.job);
     if (job === undefined) continue;
@@ -79,14 +79,14 @@
     // every machine would otherwise cause other tasks to be moved back and forth.
     const isFailing = (state.jobBackoffs.get(attempt.job)?.failureCount ?? 0) > 0;
     if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
-      use = subtract(use, job.spec.resources);
+      usedResources = subtract(usedResources, job.spec.resources);
       continue;
     }
     const mayRunOn = destinationFilter(state, job, machine, candidates);
     const lostWorkS = state.lossS(job, attemptState, now);
     tasks.push({ task, resources: job.spec.resources, lostWorkS, mayRunOn });
   }
-  return { id: machine.id, capacity: machine.capacity, use, tasks };
+  return { id: machine.id, capacity: machine.capacity, use: usedResources, tasks };
 };
 
 /** Requests stops for the tasks to move and reserves capacity at their destinations. */
--- a/src/scheduling/placement.ts
+++ b/src/scheduling/placement.ts
@@ -22,7 +22,7 @@
   readonly spot: boolean;
   readonly capacity: Resources;
   /** What its open attempts take, with reservations for pending moves and preemptions. */
-  use: Resources;
+  usedResources: Resources;
   /** The smallest demand for each resource among its tasks; infinite where it has none. */
   smallestDemand: Resources;
   readonly price: number;
@@ -217,13 +217,17 @@
   /** Whether one more task fits; computes its move probability too if the use has changed. */
   #hasCapacity(candidate: Candidate): boolean {
     const { machine } = candidate;
-    if (candidate.computedFor === machine.use) return candidate.hasCapacity;
+    if (candidate.computedFor === machine.usedResources) return candidate.hasCapacity;
     const { resources } = this.spec;
-    candidate.computedFor = machine.use;
-    candidate.hasCapacity = fitsRemainingCapacity(resources, machine.use, machine.capacity);
+    candidate.computedFor = machine.usedResources;
+    candidate.hasCapacity = fitsRemainingCapacity(
+      resources,
+      machine.usedResources,
+      machine.capacity,
+    );
     if (candidate.hasCapacity)
       candidate.moveProbability = moveProbability(
-        add(machine.use, resources),
+        add(machine.usedResources, resources),
         machine.capacity,
         minimumOf(machine.smallestDemand, resources),
       );
@@ -233,6 +237,6 @@
 
 /** Counts one more task, or a reservation for one, as in use on a machine. */
 export const addUsedResources = (machine: CandidateMachine, resources: Resources): void => {
-  machine.use = add(machine.use, resources);
+  machine.usedResources = add(machine.usedResources, resources);
   machine.smallestDemand = minimumOf(machine.smallestDemand, resources);
 };
--- a/test/coordination/rounds/job-starts.test.ts
+++ b/test/coordination/rounds/job-starts.test.ts
@@ -20,7 +20,7 @@
 const newCandidate = (): CandidateMachine =>
   ({
     id: machineId("m-1"),
-    use: USE_BEFORE,
+    usedResources: USE_BEFORE,
     smallestDemand: UNBOUNDED_RESOURCES,
   }) as unknown as CandidateMachine;
 
@@ -28,7 +28,7 @@
   const starts = newJobStarts();
   const candidate = newCandidate();
   assert.ok(starts.tryAdd(0, candidate) && starts.tryAdd(3, candidate));
-  assert.deepEqual(candidate.use, { cpus: 5, gpus: 0, ramGb: 9 });
+  assert.deepEqual(candidate.usedResources, { cpus: 5, gpus: 0, ramGb: 9 });
   assert.deepEqual(candidate.smallestDemand, TASK_RESOURCES);
   const { open, nextAttempt } = starts.draft();
   assert.deepEqual(open, [
--- a/test/scheduling/candidate-selector.test.ts
+++ b/test/scheduling/candidate-selector.test.ts
@@ -30,7 +30,7 @@
   const rankOf = (p: CandidateMachine): readonly number[] => {
     const late = !p.images.has(spec.image) && spec.imageGb > slackS * p.fetchGbPerS;
     const after = moveProbability(
-      add(p.use, spec.resources),
+      add(p.usedResources, spec.resources),
       p.capacity,
       minimumOf(p.smallestDemand, spec.resources),
     );
@@ -44,7 +44,9 @@
     ];
   };
   const permitted = machines.filter(
-    (p) => fitsRemainingCapacity(spec.resources, p.use, p.capacity) && isPermitted(spec, p, zones),
+    (p) =>
+      fitsRemainingCapacity(spec.resources, p.usedResources, p.capacity) &&
+      isPermitted(spec, p, zones),
   );
   const ranked = permitted.map((p, at) => ({ p, key: [...rankOf(p), at] }));
   ranked.sort((a, b) => {
@@ -63,7 +65,7 @@
       zone: random.pick(ZONES),
       spot: random.unit() < 0.5,
       capacity: resourcesOf(large ? 16 : 8),
-      use: resourcesOf(0),
+      usedResources: resourcesOf(0),
       smallestDemand: resourcesOf(Number.POSITIVE_INFINITY),
       price: random.pick([1, 2, 3]),
       isCostly: random.unit() < 0.3,
@@ -74,7 +76,7 @@
   });
 
 const startOn = (machine: CandidateMachine, spec: JobSpec, zones: Map<string, number>): void => {
-  machine.use = add(machine.use, spec.resources);
+  machine.usedResources = add(machine.usedResources, spec.resources);
   machine.smallestDemand = minimumOf(machine.smallestDemand, spec.resources);
   zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
 };
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -59,7 +59,7 @@
   zone: "a",
   spot: true,
   capacity: { cpus: 8, gpus: 0, ramGb: 32 },
-  use: { cpus: usedCpus, gpus: 0, ramGb: usedCpus },
+  usedResources: { cpus: usedCpus, gpus: 0, ramGb: usedCpus },
   smallestDemand: { cpus: 2, gpus: 0, ramGb: 2 },
   price: 1,
   isCostly: false,
