--- a/src/coordination/fleet/plan-log.ts
+++ b/src/coordination/fleet/plan-log.ts
@@ -26,7 +26,7 @@
       shard,
       upCpus: totalCpus(inShard.filter((machine) => machine.isUp)),
       bootingCpus: totalCpus(inShard.filter((machine) => !machine.isUp)),
-      usedCpus: inShard.reduce((sum, machine) => sum + machine.use.cpus, 0),
+      usedCpus: inShard.reduce((sum, machine) => sum + machine.usedResources.cpus, 0),
       emptyCpus: totalCpus(inShard.filter((machine) => machine.isUp && machine.openAttempts === 0)),
       waitingCpus: waiting.reduce(
         (sum, job) => sum + waitingTaskCount(job) * job.spec.resources.cpus,
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -86,7 +86,7 @@
     const lostWorkS = state.lossS(job, attemptState, now);
     tasks.push({ task, resources: job.spec.resources, lostWorkS, mayRunOn });
   }
-  return { id: machine.id, capacity: machine.capacity, use: usedResources, tasks };
+  return { id: machine.id, capacity: machine.capacity, usedResources, tasks };
 };
 
 /** Requests stops for the tasks to move and reserves capacity at their destinations. */
--- a/src/scheduling/fleet-model.ts
+++ b/src/scheduling/fleet-model.ts
@@ -44,7 +44,7 @@
   readonly spot: boolean;
   /** It sends heartbeats and takes tasks; otherwise it is still booting. */
   readonly isUp: boolean;
-  readonly use: Resources;
+  readonly usedResources: Resources;
   readonly openAttempts: number;
   readonly tasks: readonly FleetTask[];
   /** Seconds for which it has had no open attempt. */
--- a/src/scheduling/free-capacity.ts
+++ b/src/scheduling/free-capacity.ts
@@ -50,7 +50,7 @@
   );
   const capacities = input.machines.map((machine) => ({
     machine,
-    free: subtract(machine.type.capacity, machine.use),
+    free: subtract(machine.type.capacity, machine.usedResources),
     plannedTasks: 0,
     transferred: false,
     preempted: new Set<FleetTask>(),
--- a/src/scheduling/resources.ts
+++ b/src/scheduling/resources.ts
@@ -56,12 +56,12 @@
  */
 export const fitsRemainingCapacity = (
   need: Resources,
-  use: Resources,
+  usedResources: Resources,
   capacity: Resources,
 ): boolean =>
-  need.cpus + use.cpus <= capacity.cpus + ROUNDING_TOLERANCE &&
-  need.gpus + use.gpus <= capacity.gpus + ROUNDING_TOLERANCE &&
-  need.ramGb + use.ramGb <= capacity.ramGb + ROUNDING_TOLERANCE;
+  need.cpus + usedResources.cpus <= capacity.cpus + ROUNDING_TOLERANCE &&
+  need.gpus + usedResources.gpus <= capacity.gpus + ROUNDING_TOLERANCE &&
+  need.ramGb + usedResources.ramGb <= capacity.ramGb + ROUNDING_TOLERANCE;
 
 /** The smaller of two amounts, kind by kind. */
 export const minimumOf = (a: Resources, b: Resources): Resources => ({
--- a/src/scheduling/swarm.ts
+++ b/src/scheduling/swarm.ts
@@ -26,13 +26,13 @@
   readonly leastUsed: (typeof RESOURCE_KINDS)[number] | undefined;
 }
 
-const usedShares = (use: Resources, capacity: Resources): UsedShares => {
+const usedShares = (usedResources: Resources, capacity: Resources): UsedShares => {
   let leastUsed: UsedShares["leastUsed"];
   let leastShare = Number.POSITIVE_INFINITY;
   let dominant = 0;
   for (const kind of RESOURCE_KINDS) {
     if (capacity[kind] <= 0) continue;
-    const share = use[kind] / capacity[kind];
+    const share = usedResources[kind] / capacity[kind];
     if (share < leastShare) {
       leastShare = share;
       leastUsed = kind;
@@ -52,23 +52,23 @@
  * Ours: eq. 9 is clamped to 0..1, and 0 where n0 = nmin, that is where one smallest task already
  * fills the machine.
  *
- * `use` must already be n - Q + R (eq. 18): what the machine's tasks take, without those on their
+ * `usedResources` must already be n - Q + R (eq. 18): what the machine's tasks take, without those on their
  * way out, with those on their way in. `smallestDemand` is nmin for each resource. All amounts are
  * in the units of `Resources`.
  */
 export const moveProbability = (
-  use: Resources,
+  usedResources: Resources,
   capacity: Resources,
   smallestDemand: Resources,
 ): number => {
-  const { dominant, leastUsed } = usedShares(use, capacity);
+  const { dominant, leastUsed } = usedShares(usedResources, capacity);
   // (n - n0)/n, expressed by the share n/n0.
   if (dominant > 1 + SHARE_TOLERANCE) return 1 - 1 / dominant;
   if (leastUsed === undefined) return 0;
   const total = capacity[leastUsed];
   const beyondSmallest = total - smallestDemand[leastUsed];
   if (beyondSmallest <= SHARE_TOLERANCE) return 0;
-  const probability = ((total - use[leastUsed]) / beyondSmallest) ** 2;
+  const probability = ((total - usedResources[leastUsed]) / beyondSmallest) ** 2;
   return Math.min(1, Math.max(0, probability));
 };
 
@@ -87,7 +87,7 @@
   readonly id: MachineId;
   readonly capacity: Resources;
   /** n - Q + R (eq. 18), for each resource. */
-  readonly use: Resources;
+  readonly usedResources: Resources;
   /** Its tasks without those on their way out. */
   readonly tasks: readonly SwarmTask[];
 }
@@ -124,7 +124,7 @@
 
 /** Use and tasks of a machine after the moves decided so far. */
 interface MachineLoad {
-  readonly use: Resources;
+  readonly usedResources: Resources;
   readonly tasks: readonly SwarmTask[];
 }
 
@@ -153,9 +153,10 @@
   for (const { id, capacity } of machines) {
     const load = loads.get(id);
     if (id === origin.machine.id || load === undefined || load.tasks.length === 0) continue;
-    if (!task.mayRunOn(id) || !fits(task.resources, subtract(capacity, load.use))) continue;
+    if (!task.mayRunOn(id) || !fits(task.resources, subtract(capacity, load.usedResources)))
+      continue;
     const probability = moveProbability(
-      add(load.use, task.resources),
+      add(load.usedResources, task.resources),
       capacity,
       smallestDemandOf([...load.tasks, task]),
     );
@@ -172,10 +173,13 @@
   const target = loads.get(to);
   if (source === undefined || target === undefined) return;
   loads.set(from, {
-    use: subtract(source.use, task.resources),
+    usedResources: subtract(source.usedResources, task.resources),
     tasks: source.tasks.filter((other) => other.task !== task.task),
   });
-  loads.set(to, { use: add(target.use, task.resources), tasks: [...target.tasks, task] });
+  loads.set(to, {
+    usedResources: add(target.usedResources, task.resources),
+    tasks: [...target.tasks, task],
+  });
 };
 
 /** Whether each task of the origin would find a destination if they moved one after the other. */
@@ -197,7 +201,11 @@
   const load = loads.get(machine.id);
   // A machine that was given tasks in this period is no origin in the same one.
   if (load === undefined || load.tasks.length > machine.tasks.length) return undefined;
-  const probability = moveProbability(load.use, machine.capacity, smallestDemandOf(load.tasks));
+  const probability = moveProbability(
+    load.usedResources,
+    machine.capacity,
+    smallestDemandOf(load.tasks),
+  );
   return probability > 0 ? { machine, probability } : undefined;
 };
 
--- a/test/scheduling/fleet-plan.test.ts
+++ b/test/scheduling/fleet-plan.test.ts
@@ -18,7 +18,7 @@
   zone: "a",
   spot: true,
   isUp: true,
-  use: { cpus: 0, gpus: 0, ramGb: 0 },
+  usedResources: { cpus: 0, gpus: 0, ramGb: 0 },
   openAttempts: 0,
   tasks: [],
   idleS: 100,
@@ -48,7 +48,7 @@
 ): FleetMachine =>
   machine(id, shard, {
     openAttempts: tasks.length,
-    use: { cpus: 4 * tasks.length, gpus: 0, ramGb: 14 * tasks.length },
+    usedResources: { cpus: 4 * tasks.length, gpus: 0, ramGb: 14 * tasks.length },
     tasks: tasks.map(([priority, lostWorkS]) => ({
       priority,
       resources: { cpus: 4, gpus: 0, ramGb: 14 },
@@ -112,7 +112,7 @@
   {
     name: "transfers neither a busy machine nor one that its own shard's tasks wait for",
     machines: [
-      machine("m", 1, { openAttempts: 1, use: { cpus: 4, gpus: 0, ramGb: 14 } }),
+      machine("m", 1, { openAttempts: 1, usedResources: { cpus: 4, gpus: 0, ramGb: 14 } }),
       machine("n", 1),
     ],
     demand: [group(1, 3), group(0, 1)],
--- a/test/scheduling/swarm.test.ts
+++ b/test/scheduling/swarm.test.ts
@@ -10,7 +10,7 @@
 /** Worked out by hand from the paper's equations. */
 const probabilities: readonly [
   name: string,
-  use: Resources,
+  usedResources: Resources,
   capacity: Resources,
   smallestDemand: Resources,
   expected: number,
@@ -56,9 +56,11 @@
   ],
 ];
 
-for (const [name, use, capacity, smallestDemand, expected] of probabilities)
+for (const [name, usedResources, capacity, smallestDemand, expected] of probabilities)
   test(`move probability: ${name}`, () => {
-    assert.ok(Math.abs(moveProbability(use, capacity, smallestDemand) - expected) < 1e-12);
+    assert.ok(
+      Math.abs(moveProbability(usedResources, capacity, smallestDemand) - expected) < 1e-12,
+    );
   });
 
 /** Tasks as id, processors and loss in seconds. */
@@ -74,7 +76,7 @@
 ): SwarmMachine => ({
   id: machineId(id),
   capacity: amount(8, 32),
-  use: amount(usedCpus, usedCpus * 4),
+  usedResources: amount(usedCpus, usedCpus * 4),
   tasks: tasks.map(([taskId, cpus, lostWorkS]) => ({
     task: taskId as TaskId,
     resources: amount(cpus, cpus * 4),
