--- a/src/scheduling/demand.ts
+++ b/src/scheduling/demand.ts
@@ -30,7 +30,7 @@
   /** Factor on the demand bound, which takes work for perfectly divisible. */
   readonly capacityFactor: number;
   /** Seconds since the levels were computed. */
-  readonly dtS: number;
+  readonly elapsedS: number;
   /** The levels of the last computation; a group that it didn't have starts unsmoothed. */
   readonly levels: DemandLevels;
 }
@@ -78,7 +78,7 @@
     const level = smoothToward(
       last,
       current,
-      input.dtS,
+      input.elapsedS,
       input.riseTimeConstantS,
       input.fallTimeConstantS,
     );
--- a/test/scheduling/demand.test.ts
+++ b/test/scheduling/demand.test.ts
@@ -26,7 +26,7 @@
     riseTimeConstantS: 0,
     fallTimeConstantS: 0,
     capacityFactor: 1,
-    dtS: 1,
+    elapsedS: 1,
     now: wallClockMs(0),
     levels: new Map(),
   });
