--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -43,7 +43,7 @@
       teams,
       withinGuarantee: this.withinGuarantee(),
       objectives: settings.objectives,
-      runS: (job) => this.owner.state.expectedRunS(job.spec),
+      expectedRunS: (job) => this.owner.state.expectedRunS(job.spec),
       types,
       bootS: Math.min(...types.map((t) => t.bootS)),
       headroomFraction: operators.headroom,
--- a/src/scheduling/demand-totals.ts
+++ b/src/scheduling/demand-totals.ts
@@ -31,7 +31,7 @@
   readonly withinGuarantee: ReadonlySet<JobId>;
   readonly objectives: readonly Objective[];
   /** Expected run time of the job's tasks, in seconds. */
-  readonly runS: (job: LiveJob) => number;
+  readonly expectedRunS: (job: LiveJob) => number;
   readonly types: readonly MachineType[];
   /** Seconds of the fastest boot on offer: what must start sooner needs a machine that is up. */
   readonly bootS: number;
@@ -112,7 +112,7 @@
     if (shard === undefined) return;
     const group = this.#groupOf(spec);
     const waiting = this.#waitingWithinLimit(job);
-    const runS = source.runS(job);
+    const runS = source.expectedRunS(job);
     const targets = targetsOf(spec, source.objectives, source.withinGuarantee.has(id));
     group.openAttempts += open.length;
     group.waitingTasks += waiting;
--- a/test/scheduling/demand.test.ts
+++ b/test/scheduling/demand.test.ts
@@ -17,7 +17,7 @@
     ]),
     withinGuarantee: new Set(),
     objectives: OBJECTIVES,
-    runS: ({ spec }) => (spec.jobClass === "fast" ? 10 : 100),
+    expectedRunS: ({ spec }) => (spec.jobClass === "fast" ? 10 : 100),
     types: [SMALL, LARGE],
     bootS: 40,
     headroomFraction: 0,
