--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -45,7 +45,7 @@
       objectives: settings.objectives,
       expectedRunS: (job) => this.owner.state.expectedRunS(job.spec),
       types,
-      bootS: Math.min(...types.map((t) => t.bootS)),
+      fastestBootS: Math.min(...types.map((t) => t.bootS)),
       headroomFraction: operators.headroom,
       desiredSlackFraction: operators.patience,
       requiredSlackFraction: operators.lastPatience,
--- a/src/scheduling/demand-totals.ts
+++ b/src/scheduling/demand-totals.ts
@@ -34,7 +34,7 @@
   readonly expectedRunS: (job: LiveJob) => number;
   readonly types: readonly MachineType[];
   /** Seconds of the fastest boot on offer: what must start sooner needs a machine that is up. */
-  readonly bootS: number;
+  readonly fastestBootS: number;
   /** The part (0 to 1) of its spare time that a class should wait at most. */
   readonly desiredSlackFraction: number;
   /** The part of its spare time that it may wait if capacity is expensive; more than `patience`. */
@@ -119,7 +119,7 @@
     if (waiting > 0)
       group.waitingTasksByShard.set(shard, (group.waitingTasksByShard.get(shard) ?? 0) + waiting);
     // Counted by task, so that one long job doesn't make its whole class urgent.
-    if (maxTimeInSystemS(targets, runS, source.desiredSlackFraction) < source.bootS)
+    if (maxTimeInSystemS(targets, runS, source.desiredSlackFraction) < source.fastestBootS)
       group.tasksDueBeforeBoot += waiting + open.length;
     const ageS = Math.max(0, (source.now - job.acceptedAt) / 1000);
     const work = { waiting, open: open.length, runS };
--- a/test/scheduling/demand.test.ts
+++ b/test/scheduling/demand.test.ts
@@ -19,7 +19,7 @@
     objectives: OBJECTIVES,
     expectedRunS: ({ spec }) => (spec.jobClass === "fast" ? 10 : 100),
     types: [SMALL, LARGE],
-    bootS: 40,
+    fastestBootS: 40,
     headroomFraction: 0,
     desiredSlackFraction: 0.2,
     requiredSlackFraction: 0.35,
