--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -52,7 +52,7 @@
       riseTimeConstantS: operators.riseS,
       fallTimeConstantS: operators.fallS,
       capacityFactor: operators.margin,
-      elapsedS: elapsedS,
+      elapsedS,
       now: wallClockNow(),
       levels: this.#levels,
     });
--- a/src/scheduling/demand-bound.ts
+++ b/src/scheduling/demand-bound.ts
@@ -1,23 +1,23 @@
 /**
- * How many processors it takes to finish all work in time.
+ * Computes a lower bound of the processors that finish all work in time.
  *
- * Owns no state. The bound takes work for perfectly divisible; what real tasks need beyond it is the
- * operators' `margin`, which callers apply.
+ * Owns no state. The bound assumes that work is perfectly divisible. Real tasks need more: callers
+ * multiply the bound by the operators' setting `margin`.
  */
 
-/** Work that is to be done within a window that begins now. */
+/** Work that must be finished within a window of time that begins now. */
 export interface DueWork {
   readonly windowS: number;
-  /** Processor seconds. */
+  /** The work in processor seconds: processors times expected run time. */
   readonly cpuSeconds: number;
 }
 
 /**
- * The fewest processors that finish every piece of work within its window, if the most pressing is
- * served first: the maximum, over all windows, of the work due within the window divided by the
- * window's length (the processor demand criterion of earliest deadline first scheduling). This is
- * less than the sum of what each job would need alone, because the same processors serve one job
- * after the other.
+ * The minimum number of processors that finish every piece of work within its window if the work
+ * with the shortest window runs first. It is the maximum, over all windows, of the work due within
+ * the window divided by the window's length (the processor demand criterion of earliest deadline
+ * first scheduling). It is at most the sum of what each job would need alone, because the same
+ * processors run one job after the other.
  */
 export const demandBound = (due: readonly DueWork[]): number => {
   let work = 0;
--- a/src/scheduling/demand-totals.ts
+++ b/src/scheduling/demand-totals.ts
@@ -1,9 +1,10 @@
 /**
- * Adds up the demand of all jobs by group: jobs whose tasks are alike for renting machines.
+ * Adds up the demand of all jobs by group. A group consists of the jobs whose tasks have the same
+ * class and resource demand and may run on the same machines.
  *
- * State: `DemandTotals` lives for one computation. Jobs are added one by one, and a team's waiting
- * tasks count only as far as its limit allows: jobs added earlier use it up first. `finish` is called
- * once, after the last job.
+ * State: a `DemandTotals` exists for one computation. Jobs are added one by one. A team's waiting
+ * tasks are counted only up to the team's limit, which the jobs added earlier use up first.
+ * `finish` is called once, after the last job.
  */
 import type { JobId, ShardId, TeamName, WallClockMs } from "@umberfold/ids";
 import type { Objective, Team } from "../config/settings.js";
@@ -14,17 +15,23 @@
 import { maxTimeInSystemS, targetsOf, workWindowS } from "./objectives.js";
 import { fits } from "./resources.js";
 
-/** Tasks that take no processors count as taking this many: a demand of none has no bound. */
+/**
+ * Tasks that demand fewer processors are counted as demanding this many: the demand bound is
+ * computed in processors, and would be 0 for tasks that demand none.
+ */
 const MIN_CPUS_PER_TASK = 0.1;
-/** No window is shorter: work is divided by it. */
+/** The minimum window. Work is divided by the window, so a window of 0 is not possible. */
 const MIN_WINDOW_S = 1;
-/** In processors: a limit that is short of a whole task by less than this still allows the task. */
+/**
+ * A task is still within its team's limit if it exceeds the limit by less than this. It allows for
+ * rounding in sums of processors.
+ */
 const LIMIT_TOLERANCE_CPUS = 1e-9;
 
-/** What the demand is computed from, apart from the smoothing. */
+/** The inputs of the demand computation, without those of the smoothing. */
 export interface DemandSource {
   readonly jobs: Iterable<readonly [JobId, LiveJob]>;
-  /** Undefined for a job that belongs to no shard: it is left out. */
+  /** The shard of a job. Jobs for which it returns undefined are not counted. */
   readonly shardOf: (id: JobId) => ShardId | undefined;
   readonly teams: ReadonlyMap<TeamName, Team>;
   /** Jobs within their team's guarantee. */
@@ -33,23 +40,32 @@
   /** Expected run time of the job's tasks, in seconds. */
   readonly expectedRunS: (job: LiveJob) => number;
   readonly types: readonly MachineType[];
-  /** Seconds of the fastest boot on offer: what must start sooner needs a machine that is up. */
+  /**
+   * Boot time of the fastest machine type, in seconds. Tasks that must start sooner can only run on
+   * machines that are running already.
+   */
   readonly fastestBootS: number;
-  /** The part (0 to 1) of its spare time that a class should wait at most. */
+  /** The fraction (0 to 1) of a job's slack within which `desired` slots finish its work. */
   readonly desiredSlackFraction: number;
-  /** The part of its spare time that it may wait if capacity is expensive; more than `patience`. */
+  /**
+   * The same for `required` slots, which may be rented on expensive machines. It is larger, so that
+   * fewer slots are required than desired.
+   */
   readonly requiredSlackFraction: number;
   readonly now: WallClockMs;
 }
 
-/** `required`: slots that only just see the work through in time. `desired`: in good time. */
+/**
+ * `desired` slots finish the work well before its targets. `required` slots, usually fewer, finish
+ * it later, but still in time.
+ */
 export type DemandTier = "desired" | "required";
 const TIERS: readonly DemandTier[] = ["desired", "required"];
 
 /**
- * Groups whose tasks fit the same machine types, and so use the same processors one after the
- * other. They are kept apart by types, because work that only some types can take gains nothing
- * from processors that become free on the others.
+ * The groups whose tasks fit the same machine types, so that they can use the same processors one
+ * after the other. Groups that fit different types are in different pools, because a group can't
+ * use processors that become free on machines that its tasks don't fit.
  */
 interface MachineTypePool {
   readonly dueWork: Readonly<Record<DemandTier, DueWork[]>>;
@@ -68,23 +84,24 @@
   openAttempts: number;
   waitingTasks: number;
   readonly waitingTasksByShard: Map<ShardId, number>;
-  /** Slots that the group would need alone, running tasks included. */
+  /** Slots that the group would need if it shared none with others, including its running tasks. */
   readonly slots: Record<DemandTier, number>;
-  /** Tasks whose objectives leave less time than a machine takes to boot. */
+  /** Tasks whose objectives allow less time than the fastest boot takes. */
   tasksDueBeforeBoot: number;
+  /** Whether more than half of the tasks are due before a machine could boot. */
   urgent: boolean;
 }
 
-/** What one job adds to its group's work. */
+/** One job's tasks that are added to its group: counts of waiting and open ones, and run time. */
 interface JobWork {
   readonly waiting: number;
   readonly open: number;
-  readonly runS: number;
+  readonly expectedRunS: number;
 }
 
 const groupKeys = new WeakMap<JobSpec, string>();
 
-/** Tasks with the same key are alike for renting. The job class comes first: the log shows it. */
+/** The key of a job's group. It begins with the job class, which the log event shows. */
 const groupKey = (spec: JobSpec): string => {
   const cached = groupKeys.get(spec);
   if (cached !== undefined) return cached;
@@ -95,11 +112,11 @@
   return key;
 };
 
-/** Adds up what jobs demand, by group. */
+/** Adds up the demand of jobs by group. */
 export class DemandTotals {
   readonly #groups = new Map<string, GroupTotals>();
   readonly #pools = new Map<string, MachineTypePool>();
-  /** Processors that each team's limit leaves for jobs not added yet. */
+  /** Processors of each team's limit that the jobs added so far have not used up. */
   readonly #cpusLeft = new Map<TeamName, number>();
 
   constructor(private readonly source: DemandSource) {}
@@ -112,27 +129,35 @@
     if (shard === undefined) return;
     const group = this.#groupOf(spec);
     const waiting = this.#waitingWithinLimit(job);
-    const runS = source.expectedRunS(job);
+    const expectedRunS = source.expectedRunS(job);
     const targets = targetsOf(spec, source.objectives, source.withinGuarantee.has(id));
     group.openAttempts += open.length;
     group.waitingTasks += waiting;
     if (waiting > 0)
       group.waitingTasksByShard.set(shard, (group.waitingTasksByShard.get(shard) ?? 0) + waiting);
-    // Counted by task, so that one long job doesn't make its whole class urgent.
-    if (maxTimeInSystemS(targets, runS, source.desiredSlackFraction) < source.fastestBootS)
+    // Counted by task, so that a single job with a long run time doesn't make its group urgent.
+    if (maxTimeInSystemS(targets, expectedRunS, source.desiredSlackFraction) < source.fastestBootS)
       group.tasksDueBeforeBoot += waiting + open.length;
     const ageS = Math.max(0, (source.now - job.acceptedAt) / 1000);
-    const work = { waiting, open: open.length, runS };
-    addWork(group, work, "desired", workWindowS(targets, ageS, runS, source.desiredSlackFraction));
+    const work = { waiting, open: open.length, expectedRunS };
+    addWork(
+      group,
+      work,
+      "desired",
+      workWindowS(targets, ageS, expectedRunS, source.desiredSlackFraction),
+    );
     addWork(
       group,
       work,
       "required",
-      workWindowS(targets, ageS, runS, source.requiredSlackFraction),
+      workWindowS(targets, ageS, expectedRunS, source.requiredSlackFraction),
     );
   }
 
-  /** The groups by key, once all jobs are added: decides which are urgent, and fills the pools. */
+  /**
+   * Returns the groups by key after all jobs have been added. It decides which groups are urgent
+   * and adds up the processors of each pool.
+   */
   finish(): ReadonlyMap<string, GroupTotals> {
     for (const group of this.#groups.values()) {
       const tasks = group.openAttempts + group.waitingTasks;
@@ -184,7 +209,10 @@
     return pool;
   }
 
-  /** A job's waiting tasks that its team's limit still allows; they and the open ones use it up. */
+  /**
+   * The number of a job's waiting tasks that its team's limit still allows. Subtracts them and the
+   * job's open attempts from what is left of the limit.
+   */
   #waitingWithinLimit(job: LiveJob): number {
     const { team, resources, taskCount } = job.spec;
     const cpusLeft = this.#cpusLeft.get(team) ?? this.source.teams.get(team)?.cpusMax ?? 0;
@@ -198,28 +226,38 @@
   }
 }
 
-/** Adds the work left, over the time there is for it. Running tasks count as half done on average. */
+/**
+ * Adds a job's remaining work, and the slots that finish it within the window. Running tasks are
+ * counted as half done, which they are on average.
+ */
 const addWork = (
   group: GroupTotals,
-  { waiting, open, runS }: JobWork,
+  { waiting, open, expectedRunS }: JobWork,
   tier: DemandTier,
   windowS: number,
 ): void => {
   group.slots[tier] +=
-    waiting * Math.min(1, runS / windowS) + open * Math.min(1, runS / 2 / windowS);
+    waiting * Math.min(1, expectedRunS / windowS) + open * Math.min(1, expectedRunS / 2 / windowS);
   group.pool.dueWork[tier].push({
-    // No work is done in less time than a task runs.
-    windowS: Math.max(windowS, runS, MIN_WINDOW_S),
-    cpuSeconds: (waiting + open / 2) * runS * Math.max(group.resources.cpus, MIN_CPUS_PER_TASK),
+    // More processors can't finish a task in less than its run time.
+    windowS: Math.max(windowS, expectedRunS, MIN_WINDOW_S),
+    cpuSeconds:
+      (waiting + open / 2) * expectedRunS * Math.max(group.resources.cpus, MIN_CPUS_PER_TASK),
   });
 };
 
 /**
- * The part (0 to 1) of the slots that the groups of a pool would need separately which they need
- * together, by the demand bound. `margin`: what machines need beyond the bound, which takes work
- * for perfectly divisible.
+ * The slots that the groups of a pool need together, as a fraction (0 to 1) of the sum of what each
+ * would need separately. Computed from the demand bound, which assumes perfectly divisible work,
+ * times `capacityFactor`, which accounts for the difference to real tasks.
  */
-export const sharedFraction = (pool: MachineTypePool, tier: DemandTier, margin: number): number => {
+export const sharedFraction = (
+  pool: MachineTypePool,
+  tier: DemandTier,
+  capacityFactor: number,
+): number => {
   const separate = pool.separateCpus[tier];
-  return separate > 0 ? Math.min(1, (margin * demandBound(pool.dueWork[tier])) / separate) : 1;
+  return separate > 0
+    ? Math.min(1, (capacityFactor * demandBound(pool.dueWork[tier])) / separate)
+    : 1;
 };
--- a/src/scheduling/demand.ts
+++ b/src/scheduling/demand.ts
@@ -1,11 +1,11 @@
 /**
  * Computes how many task slots the jobs in the system need, by group, for fleet planning.
  *
- * Owns no state: the smoothed levels of the last computation come in, and the new ones go out. A
- * class whose objectives leave less time than a machine takes to boot needs slots for all tasks that
- * are in the system, and some more (`headroom`). One with time to spare needs as many as let its
- * backlog drain within a part of that time. Both are smoothed: a burst that is over before a machine
- * has booted is no reason to rent one.
+ * Owns no state: the smoothed levels of the last computation are an input, and the new ones a
+ * result. A group whose objectives allow less time than a machine takes to boot (an urgent group)
+ * needs slots for all of its tasks in the system, plus headroom for the next ones. Any other group
+ * needs as many slots as finish its backlog within a fraction of its slack. Both are smoothed, so
+ * that no machine is rented for a burst that is over before the machine has booted.
  */
 import {
   type DemandSource,
@@ -17,31 +17,31 @@
 import type { DemandGroup } from "./fleet-model.js";
 import { smoothToward } from "./smoothing.js";
 
-/** Smoothed slot counts; keys are a group's key and a tier. */
+/** Smoothed slot counts. The key consists of a group's key and a tier. */
 type DemandLevels = ReadonlyMap<string, number>;
 
-/** What the demand is computed from. */
+/** The inputs of the demand computation. */
 export interface DemandInput extends DemandSource {
-  /** Slots that urgent groups get beyond what they need, as a part of it. */
+  /** Additional slots for urgent groups, as a fraction of the desired ones. */
   readonly headroomFraction: number;
-  /** Time constants of the smoothing, in seconds. */
+  /** Time constants with which smoothed levels follow a rise and a fall. */
   readonly riseTimeConstantS: number;
   readonly fallTimeConstantS: number;
-  /** Factor on the demand bound, which takes work for perfectly divisible. */
+  /** Factor on the demand bound, which is too low because it assumes perfectly divisible work. */
   readonly capacityFactor: number;
-  /** Seconds since the levels were computed. */
+  /** Seconds since `levels` were computed. */
   readonly elapsedS: number;
-  /** The levels of the last computation; a group that it didn't have starts unsmoothed. */
+  /** The levels of the last computation. A group without a level starts with its current demand. */
   readonly levels: DemandLevels;
 }
 
-/** The demand by group, the highest priority first, and the levels for the next computation. */
+/** The demand of all groups, highest priority first, and the levels for the next computation. */
 export interface Demand {
   readonly groups: readonly DemandGroup[];
   readonly levels: DemandLevels;
 }
 
-/** What a group demands beyond its running tasks, at these smoothed levels of slots. */
+/** A group's demand in addition to its running tasks, given its smoothed slot levels. */
 const demandGroup = (
   totals: GroupTotals,
   requiredLevel: number,
@@ -66,7 +66,7 @@
   };
 };
 
-/** The slots that each group needs. */
+/** Computes the slots that each group needs, and the new smoothed levels. */
 export const computeDemand = (input: DemandInput): Demand => {
   const totals = new DemandTotals(input);
   for (const [id, job] of input.jobs) totals.add(id, job);
--- a/src/scheduling/fleet-model.ts
+++ b/src/scheduling/fleet-model.ts
@@ -8,91 +8,99 @@
 import type { Resources } from "../protocol/jobs.js";
 import type { MachineTransferRequest } from "../protocol/peer.js";
 
-/** Tasks that are alike for renting: the same resources and the same permitted machines. */
+/** Tasks with the same job class, resource demand and permitted machines. */
 export interface DemandGroup {
   readonly resources: Resources;
   readonly machineTypes: readonly string[] | null;
   readonly zone: string | null;
   readonly spotAllowed: boolean;
-  /** Slots that there should be in addition to the running tasks, as long as they are cheap. */
+  /** Slots wanted in addition to the running tasks, if spot machines can provide them. */
   readonly desiredSlots: number;
-  /** Those of the desired slots that are worth the more expensive offers too. */
+  /** Slots among the desired ones for which ordinary machines may be rented too. */
   readonly requiredSlots: number;
-  /** Number of tasks that wait now, by shard. */
+  /** Number of waiting tasks by shard. */
   readonly waitingTasksByShard: ReadonlyMap<ShardId, number>;
-  /** Lower numbers go first. */
+  /** A lower number is a higher priority. */
   readonly priority: number;
-  /** Its objectives leave no time to wait until a machine has booted. */
+  /** Whether its objectives allow less time than a machine takes to boot. */
   readonly urgent: boolean;
 }
 
-/** A task with an open attempt on a machine, as far as preempting it is concerned. */
+/** A task with an open attempt on a machine: the properties that preemption depends on. */
 export interface FleetTask {
+  /** A lower number is a higher priority. */
   readonly priority: number;
   readonly resources: Resources;
-  /** Seconds of work that stopping it would throw away. */
+  /** Seconds of work that would be lost if it were stopped. */
   readonly lostWorkS: number;
 }
 
-/** A rented machine as fleet planning sees it. */
+/** A rented machine: the properties that fleet planning depends on. */
 export interface FleetMachine {
   readonly id: MachineId;
-  /** The shard it belongs to, or the one to which a transfer under way takes it. */
+  /** Its shard, or the receiving shard while a transfer is in progress. */
   readonly shard: ShardId;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** It sends heartbeats and takes tasks; otherwise it is still booting. */
+  /** Whether it has booted: it sends heartbeats and can run tasks. */
   readonly isUp: boolean;
+  /** The resources that its open attempts use. */
   readonly usedResources: Resources;
+  /** Number of open attempts. */
   readonly openAttempts: number;
   readonly tasks: readonly FleetTask[];
-  /** Seconds for which it has had no open attempt. */
+  /** Seconds since it last had an open attempt. */
   readonly idleS: number;
-  /** Seconds since it was rented. */
+  /** Seconds since it was rented. Nothing reads it. */
   readonly heldS: number;
 }
 
-/** Machines of one offer to rent. */
+/** Machines to rent of one offer. */
 export interface PlannedRental {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** The shard of each of the machines: as many entries as machines. */
+  /** The shard of each machine to rent: one entry per machine. */
   readonly shards: readonly ShardId[];
 }
 
-/** What to rent, to transfer between shards and to return. */
+/** The machines to rent, to transfer between shards and to return. */
 export interface FleetPlan {
   readonly rentals: readonly PlannedRental[];
   readonly transfers: readonly MachineTransferRequest[];
   readonly returns: readonly MachineId[];
 }
 
-/** What a fleet plan is made from. */
+/** The inputs of a fleet plan. */
 export interface FleetInput {
   readonly types: readonly MachineType[];
   readonly machines: readonly FleetMachine[];
   readonly demand: readonly DemandGroup[];
-  /** Keys (`offerKey`) of offers that were refused recently and may not be tried again yet. */
+  /**
+   * Keys (`offerKey`) of offers that the cloud refused recently and that must not be requested yet.
+   */
   readonly refusedOffers: ReadonlySet<string>;
-  /** Seconds for which an idle machine is kept: the minimum charge, and hysteresis. */
+  /**
+   * Seconds after which an idle machine is returned. It covers the cloud's minimum charge, and
+   * keeps machines from being returned and rented again in quick succession.
+   */
   readonly idleTimeoutS: number;
-  /** The most machines that one plan rents. */
+  /** The maximum number of machines that one plan rents. */
   readonly maxRentals: number;
-  /** Mean seconds for which a rented machine is kept: its boot's cost is spread over them. */
+  /** Mean seconds between rental and return, over which the cost of the boot is spread. */
   readonly meanMachineLifetimeS: number;
   readonly shardCount: number;
-  /** Shards whose owners don't keep up with the machines they have: they are given no more. */
+  /** Shards whose owners can't keep up with the machines they have. They get no more machines. */
   readonly overloaded: ReadonlySet<ShardId>;
 }
 
-/** The part of the input that the transfer of idle machines needs. */
+/** The inputs of a plan that only transfers machines. */
 export type TransferInput = Pick<
   FleetInput,
   "types" | "machines" | "demand" | "shardCount" | "overloaded"
 >;
 
-/** Names one offer of the cloud: a machine type in a zone, as spot or ordinary machine. */
+/** The key of an offer of the cloud: a machine type in a zone, as spot or ordinary machine. */
 export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type}|${zone}|${spot ? "spot" : "ordinary"}`;
--- a/src/scheduling/fleet-plan.ts
+++ b/src/scheduling/fleet-plan.ts
@@ -1,10 +1,11 @@
 /**
  * Plans the fleet: which machines to rent, to transfer between shards and to return.
  *
- * Owns no state: the leader's fleet planner gives it all it needs to know, and carries the plan out.
- * Shards divide the machines, but not the forecast of demand: an idle machine goes wherever tasks
- * wait, so only what all shards together lack is rented, and only what none of them could use is
- * returned.
+ * Owns no state: the leader's fleet planner passes all inputs and carries out the plan. Each
+ * machine belongs to one shard, but demand is forecast for all shards together, because an idle
+ * machine can be transferred to any shard with waiting tasks. So machines are rented only for
+ * demand that exceeds the capacity of all shards together, and returned only if no shard's demand
+ * could use them.
  */
 import type { MachineId } from "@umberfold/ids";
 import type { MachineTransferRequest } from "../protocol/peer.js";
@@ -23,14 +24,14 @@
   type PlannedRental,
 } from "./fleet-model.js";
 
-/** The demand, groups that fit the fewest machine types first: they have the least choice. */
+/** The demand groups, those that fit the fewest machine types first: they have the least choice. */
 const sortByFewestFittingTypes = (input: TransferInput): readonly DemandGroup[] => {
   const fittingTypes = (group: DemandGroup): number =>
     input.types.filter((type) => fits(group.resources, type.capacity)).length;
   return [...input.demand].sort((a, b) => fittingTypes(a) - fittingTypes(b));
 };
 
-/** Machines that are idle for long enough, and that neither the demand nor a transfer uses. */
+/** Machines that have been idle for the timeout, and that neither demand nor a transfer needs. */
 const planReturns = (
   input: FleetInput,
   capacities: readonly FreeCapacity[],
@@ -49,11 +50,11 @@
     .map(({ machine }) => machine.id);
 };
 
-/** Which machines go to shards that lack capacity; rents and returns nothing. */
+/** Plans the transfers to shards that lack capacity, without rentals and returns. */
 export const planIdleTransfers = (input: TransferInput): readonly MachineTransferRequest[] =>
   planTransfers(sortByFewestFittingTypes(input), freeCapacities(input), input.overloaded).transfers;
 
-/** What to rent, to transfer and to return. */
+/** Plans the machines to rent, to transfer and to return. */
 export const planFleet = (input: FleetInput): FleetPlan => {
   const demand = sortByFewestFittingTypes(input);
   const { transfers, unmetTasks } = planTransfers(demand, freeCapacities(input), input.overloaded);
--- a/src/scheduling/fleet-rentals.ts
+++ b/src/scheduling/fleet-rentals.ts
@@ -1,9 +1,9 @@
 /**
- * Plans which machines to rent for tasks that found no free capacity.
+ * Plans which machines to rent for demand that exceeds the free capacity.
  *
- * State: a `RentalPlanner` counts, for the length of one plan, what it has rented. It never plans
- * more than the input's `maxRentals`, no offer refused recently, and no machine for an overloaded
- * shard.
+ * State: a `RentalPlanner` exists for one plan and counts the machines that it has planned to rent.
+ * It never plans more than the input's `maxRentals`, a recently refused offer, or a machine for an
+ * overloaded shard.
  */
 import type { ShardId } from "@umberfold/ids";
 import type { MachineType } from "../protocol/cloud.js";
@@ -12,26 +12,27 @@
 import { taskSlots } from "./resources.js";
 import { createShardAssigner } from "./shard-assigner.js";
 
-/** One kind of machine that the cloud offers, judged for the tasks of one group. */
+/** An offer of the cloud, with its slots and cost for the tasks of one group. */
 interface Offer {
   readonly key: string;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** How many of the group's tasks one such machine runs at a time. */
+  /** How many of the group's tasks fit on one such machine at the same time. */
   readonly slots: number;
-  /** Price per slot, with the time spent booting spread over the machine's life. */
+  /** Price per slot, with the cost of the boot spread over the machine's mean lifetime. */
   readonly costPerSlot: number;
 }
 
 /**
- * Added to an offer's cost for each machine of it that there is: far below any difference of
- * prices, it only decides between zones of one price. Spread over zones, less is lost to one zone's
- * failure or to one wave of spot preemptions.
+ * Added to an offer's cost for each machine of this offer that is rented or planned, so that
+ * machines are spread over zones and the failure of one zone, or a wave of spot preemptions in it,
+ * affects fewer of them. It is far below any price difference, so it only decides between offers of
+ * equal cost.
  */
 const ZONE_SPREAD_COST_PER_MACHINE = 1e-6;
 
-/** The offers of one machine type that a group's tasks may run on; none that was refused recently. */
+/** The offers of one machine type that a group's tasks may use, except recently refused ones. */
 const offersOfType = (
   type: MachineType,
   group: DemandGroup,
@@ -58,11 +59,11 @@
   });
 };
 
-/** The offers that a group's tasks may run on, in the order in which ties are decided. */
+/** The offers that a group's tasks may use. Of offers with equal cost the first one is chosen. */
 const offersFor = (group: DemandGroup, input: FleetInput, spotOnly: boolean): readonly Offer[] =>
   input.types.flatMap((type) => offersOfType(type, group, input, spotOnly));
 
-/** The offer with the lowest price per slot, and of several the one with the fewest machines. */
+/** The offer with the lowest cost per slot. Of equal ones, that with the fewest machines so far. */
 const cheapestOffer = (
   offers: readonly Offer[],
   machineCount: ReadonlyMap<string, number>,
@@ -80,14 +81,14 @@
   return cheapest;
 };
 
-/** Collects the rentals of one plan, and keeps them within its limits. */
+/** Collects the rentals of one plan within its limits. */
 class RentalPlanner {
   readonly #rentals = new Map<string, PlannedRental>();
-  /** Machines by offer, rented ones and planned ones. */
+  /** Number of machines by offer: those already rented, and those planned. */
   readonly #machineCount = new Map<string, number>();
   readonly #assignShard: ReturnType<typeof createShardAssigner>;
   #rentedMachines = 0;
-  /** Slots that may still be rented. */
+  /** Number of slots that may still be rented. */
   #slotsAllowed: number;
 
   constructor(
@@ -97,15 +98,16 @@
     for (const { type, zone, spot } of input.machines)
       this.#countMachine(offerKey(type.name, zone, spot));
     this.#assignShard = createShardAssigner(input, unmetTasks);
-    // Demand is forecast for all shards together. While one of them is overloaded, only what the
-    // others lack now is rented, or they would be given the overloaded one's part.
+    // Demand is forecast for all shards together. While a shard is overloaded, rentals are limited
+    // to the current unmet demand of the others: otherwise they would also get the machines that
+    // are forecast for the overloaded shard.
     this.#slotsAllowed =
       input.overloaded.size === 0
         ? Number.POSITIVE_INFINITY
         : [...unmetTasks.values()].reduce((sum, tasks) => sum + tasks, 0);
   }
 
-  /** Rents machines with slots for this many tasks, as far as there are offers and limits allow. */
+  /** Plans machines with slots for this many tasks, as far as offers and limits allow. */
   rentFor(group: DemandGroup, taskCount: number, spotOnly: boolean): void {
     if (taskCount <= 0) return;
     const offers = offersFor(group, this.input, spotOnly);
@@ -122,7 +124,7 @@
     }
   }
 
-  /** The machines to rent, those of one offer together. */
+  /** The planned rentals, one entry per offer. */
   rentals(): readonly PlannedRental[] {
     return [...this.#rentals.values()];
   }
@@ -142,10 +144,9 @@
 }
 
 /**
- * Plans rentals for demand that the free capacities don't hold, and fills the capacities with what
- * they do hold. Required slots may fill any capacity and take any offer. Slots that are merely
- * desired get spot machines only: otherwise ordinary machines that were rented for one burst would
- * be kept for the comfort of the next.
+ * Fills the free capacities with the demand, and plans rentals for the rest. Required slots may use
+ * any free capacity and any offer. The other desired slots use spot machines only: otherwise
+ * ordinary machines that were rented for one burst would be kept in case of another.
  */
 export const planRentals = (
   input: FleetInput,
--- a/src/scheduling/free-capacity.ts
+++ b/src/scheduling/free-capacity.ts
@@ -1,30 +1,31 @@
 /**
- * The free capacity of the fleet's machines, and filling it with the tasks of demand groups.
+ * Computes the free capacity of the fleet's machines and fills it with the tasks of demand groups.
  *
- * State: `FreeCapacity` is mutable and belongs to one step of one plan: each step starts from new
- * ones, so that what one step filled doesn't count in the next. Free amounts only fall as tasks
- * are planned, and only rise when lower-priority tasks are counted as preempted.
+ * State: `FreeCapacity` objects are mutable and belong to one step of one plan. Each step creates
+ * its own, so that one step's planned tasks don't reduce the capacity of the next step. The free
+ * amount falls only when tasks are planned, and rises only when lower-priority tasks are to be
+ * preempted.
  */
 import type { Resources } from "../protocol/jobs.js";
 import type { DemandGroup, FleetMachine, FleetTask, TransferInput } from "./fleet-model.js";
 import { countCompetingShapes, distinctShapes } from "./placement.js";
 import { add, fits, subtract } from "./resources.js";
 
-/** What one machine has free while a plan is made. */
+/** The free capacity of one machine during one step of a plan. */
 export interface FreeCapacity {
   readonly machine: FleetMachine;
   free: Resources;
-  /** Number of tasks that the plan has put there. */
+  /** Number of tasks that the plan has placed on the machine. */
   plannedTasks: number;
-  /** The plan gives the machine to another shard. */
+  /** Whether the plan transfers the machine to another shard. */
   transferred: boolean;
-  /** Tasks whose resources count as free already. */
+  /** Tasks to be preempted, whose resources are included in `free`. */
   readonly preempted: Set<FleetTask>;
-  /** Seconds of work that stopping all of the machine's tasks would throw away. */
+  /** Seconds of work that would be lost if all of the machine's tasks were stopped. */
   readonly lostWorkS: number;
 }
 
-/** Whether the tasks of a group may run on a machine of this offer. */
+/** Whether a group's rules on machine type, zone and spot permit this offer. */
 export const permitsOffer = (
   group: DemandGroup,
   offer: { readonly type: string; readonly zone: string; readonly spot: boolean },
@@ -33,15 +34,16 @@
   (group.zone === null || group.zone === offer.zone) &&
   (group.spotAllowed || !offer.spot);
 
-/** Price of a machine per processor, in the cloud's unit of price. */
+/** Price of a machine per processor, in the cloud's price unit. */
 const pricePerCpu = (machine: FleetMachine): number =>
   (machine.spot ? machine.type.spotPrice : machine.type.price) /
   Math.max(1, machine.type.capacity.cpus);
 
 /**
- * The free capacities of all machines, in the order in which they are filled: types that the fewest
- * resource shapes could use first; then the cheap and the full machines, so that the expensive and
- * the empty ones are left over to be returned.
+ * The free capacities of all machines, in the order in which they are filled. Types that fit the
+ * fewest resource shapes come first. Then come cheap machines before expensive ones and those with
+ * more open attempts before emptier ones, so that expensive and empty machines remain to be
+ * returned. Of equal ones, the machine that has been idle for the shortest time comes first.
  */
 export const freeCapacities = (input: TransferInput): FreeCapacity[] => {
   const shapes = distinctShapes(input.demand.map((group) => group.resources));
@@ -67,8 +69,8 @@
 };
 
 /**
- * Fills capacities, in their order, with up to `count` tasks of a group. Returns how many found no
- * capacity.
+ * Fills the capacities, in their order, with up to `count` tasks of a group. Returns the number of
+ * tasks for which there is no capacity.
  */
 export const fillCapacities = (
   group: DemandGroup,
@@ -89,7 +91,7 @@
   return unplaced;
 };
 
-/** Counts the tasks there of lower priority than the group's as free from here on. */
+/** Plans to preempt a machine's tasks of lower priority than the group's: counts them as free. */
 export const preemptLowerPriority = (group: DemandGroup, capacity: FreeCapacity): void => {
   for (const task of capacity.machine.tasks)
     if (task.priority > group.priority && !capacity.preempted.has(task)) {
--- a/src/scheduling/machine-transfers.ts
+++ b/src/scheduling/machine-transfers.ts
@@ -1,46 +1,47 @@
 /**
- * Plans which machines go from one shard to another, because tasks wait that their own shard's
- * machines have no capacity for.
+ * Plans which machines to transfer from one shard to another: a shard receives machines if its own
+ * have no capacity for its waiting tasks.
  *
- * Owns no state beyond one call. A machine is transferred whole and at most once in a plan, and
- * never to an overloaded shard. Only urgent work has another shard's machine drained for it; within
- * its own shard an owner preempts by itself.
+ * Owns no state beyond one call. A plan transfers a machine at most once, and never to an
+ * overloaded shard. A machine of another shard is drained only for urgent work. Preemption on a
+ * shard's own machines is not part of the plan: the shard's owner decides it.
  */
 import type { ShardId } from "@umberfold/ids";
 import type { MachineTransferRequest } from "../protocol/peer.js";
 import type { DemandGroup } from "./fleet-model.js";
 import { type FreeCapacity, fillCapacities, preemptLowerPriority } from "./free-capacity.js";
 
-/** Waiting tasks of one group in one shard that its own machines have no capacity for. */
+/** Waiting tasks of one group in one shard for which the shard's machines have no capacity. */
 interface UnmetDemand {
   readonly group: DemandGroup;
   readonly shard: ShardId;
   tasks: number;
 }
 
-/** The transfers, and how many waiting tasks of each shard have no capacity even after them. */
+/** The transfers, and the number of waiting tasks by shard that have no capacity even with them. */
 export interface TransferPlan {
   readonly transfers: readonly MachineTransferRequest[];
   readonly unmetTasks: ReadonlyMap<ShardId, number>;
 }
 
 /**
- * Sorts machines that are as good as one another so that those of the shard with the most come
- * first: each shard that gives some away writes a record for it, however many it gives.
+ * Sorts machines of the same type and price class so that those of the shard with the most such
+ * machines come first. Transfers then come from few shards, which matters because every source
+ * shard writes a record for its transfers, regardless of how many there are.
  */
 const sortByLargestSourceShard = (capacities: FreeCapacity[]): void => {
   const kindOf = ({ machine }: FreeCapacity): string => `${machine.type.name}|${machine.spot}`;
-  const giverOf = (capacity: FreeCapacity): string =>
+  const sourceOf = (capacity: FreeCapacity): string =>
     `${kindOf(capacity)}|${capacity.machine.shard}`;
   const kindOrder = new Map<string, number>();
-  const countByGiver = new Map<string, number>();
+  const countBySource = new Map<string, number>();
   for (const capacity of capacities) {
     const kind = kindOf(capacity);
     if (!kindOrder.has(kind)) kindOrder.set(kind, kindOrder.size);
-    const giver = giverOf(capacity);
-    countByGiver.set(giver, (countByGiver.get(giver) ?? 0) + 1);
+    const source = sourceOf(capacity);
+    countBySource.set(source, (countBySource.get(source) ?? 0) + 1);
   }
-  const countOf = (capacity: FreeCapacity): number => countByGiver.get(giverOf(capacity)) ?? 0;
+  const countOf = (capacity: FreeCapacity): number => countBySource.get(sourceOf(capacity)) ?? 0;
   capacities.sort(
     (a, b) =>
       (kindOrder.get(kindOf(a)) ?? 0) - (kindOrder.get(kindOf(b)) ?? 0) ||
@@ -49,7 +50,9 @@
   );
 };
 
-/** Running machines of other shards that the plan has not used in any way yet. */
+/**
+ * Booted machines of other shards that the plan has neither filled, transferred nor preempted on.
+ */
 const unusedMachinesOfOtherShards = (
   demand: UnmetDemand,
   capacities: readonly FreeCapacity[],
@@ -63,6 +66,7 @@
       preempted.size === 0,
   );
 
+/** Machines of other shards without open attempts. */
 const idleCandidates = (
   demand: UnmetDemand,
   capacities: readonly FreeCapacity[],
@@ -74,7 +78,7 @@
   return idle;
 };
 
-/** Machines that run only tasks of lower priority, those that lose the least work first. */
+/** Machines of other shards that run only lower-priority tasks, least lost work first. */
 const drainCandidates = (
   demand: UnmetDemand,
   capacities: readonly FreeCapacity[],
@@ -87,7 +91,10 @@
   return drainable.sort((a, b) => a.lostWorkS - b.lostWorkS);
 };
 
-/** Transfers candidates, in their order, until the demand is met; `drain`: their tasks are stopped. */
+/**
+ * Plans to transfer candidates, in their order, until the demand is met. `drain`: the tasks that
+ * run on them are stopped.
+ */
 const planTransfersFor = (
   demand: UnmetDemand,
   candidates: readonly FreeCapacity[],
@@ -106,8 +113,9 @@
 };
 
 /**
- * Plans the waiting tasks of each shard onto its own machines, preempting for the urgent ones, and
- * returns what is left over. An overloaded shard's rest is left out: it is given no machine.
+ * Places the waiting tasks of each shard on its own machines, urgent ones also by preemption, and
+ * returns the tasks that don't fit. Those of overloaded shards are left out of the result, because
+ * overloaded shards get no machines.
  */
 const fillMachinesOfSameShard = (
   demand: readonly DemandGroup[],
@@ -117,11 +125,11 @@
   const unmet: UnmetDemand[] = [];
   for (const group of [...demand].sort((a, b) => a.priority - b.priority))
     for (const [shard, waiting] of group.waitingTasksByShard) {
-      const own = capacities.filter((c) => c.machine.shard === shard);
-      let tasks = fillCapacities(group, waiting, own);
+      const machinesOfShard = capacities.filter((c) => c.machine.shard === shard);
+      let tasks = fillCapacities(group, waiting, machinesOfShard);
       if (tasks > 0 && group.urgent) {
-        for (const capacity of own) preemptLowerPriority(group, capacity);
-        tasks = fillCapacities(group, tasks, own);
+        for (const capacity of machinesOfShard) preemptLowerPriority(group, capacity);
+        tasks = fillCapacities(group, tasks, machinesOfShard);
       }
       if (tasks > 0 && !overloaded.has(shard)) unmet.push({ group, shard, tasks });
     }
@@ -129,9 +137,9 @@
 };
 
 /**
- * Plans the waiting tasks of each shard onto its own machines, then onto idle machines of other
- * shards, and urgent ones also onto machines of others that run only work of lower priority. Uses
- * up the capacities that it is given.
+ * Places the waiting tasks of each shard on its own machines, then on idle machines of other
+ * shards. Urgent tasks that remain are placed on machines of other shards that run only
+ * lower-priority work. Modifies `capacities`.
  */
 export const planTransfers = (
   demand: readonly DemandGroup[],
--- a/src/scheduling/objectives.ts
+++ b/src/scheduling/objectives.ts
@@ -1,16 +1,15 @@
 /**
- * What the service-level objectives ask of one job: the points in time at which they are decided,
- * and how much time they leave.
+ * Derives a job's targets from the service-level objectives, and its slack until the next target.
  *
- * State: a cache of the targets by objectives and job spec, both of which never change once they
- * are read; entries go with their keys. All times are in seconds.
+ * State: a cache of the targets by objectives and job spec. Both are immutable, and a cache entry
+ * is garbage collected with its keys. All times are in seconds.
  */
 import type { Objective } from "../config/settings.js";
 import type { JobSpec } from "../protocol/jobs.js";
 
-/** A point in a job's life at which an objective is decided. */
+/** A time by which a job's task must have started, or the job finished, to meet an objective. */
 export interface Target {
-  /** Whether a task must have started, or the job must have finished, by then. */
+  /** `start`: a task must have started by then. `finish`: the job must have finished by then. */
   readonly kind: "start" | "finish";
   /** Seconds after the job's submission. */
   readonly withinS: number;
@@ -18,13 +17,13 @@
 
 type TargetSpec = Pick<JobSpec, "jobClass" | "deadlineS">;
 
-/** The targets of one spec, depending on whether its job is within its team's guarantee. */
+/** The targets of one spec, for a job within or beyond its team's guarantee. */
 interface CachedTargets {
   beyondGuarantee?: readonly Target[];
   withinGuarantee?: readonly Target[];
 }
 
-/** Windows are no shorter: below this, all waiting work is needed at once anyway. */
+/** The minimum window. With a shorter one, slots for all waiting tasks would be needed anyway. */
 const MIN_WINDOW_S = 1;
 
 const cache = new WeakMap<readonly Objective[], WeakMap<TargetSpec, CachedTargets>>();
@@ -71,8 +70,9 @@
 };
 
 /**
- * What the settings (and a job's own deadline) ask of one job, the earliest target first. Computed
- * once for each pair of objectives and spec, because a job is looked at in many rounds.
+ * The targets that the objectives in the settings and the job's own deadline set for a job,
+ * earliest first. Cached for each pair of objectives and spec, because many rounds evaluate the
+ * same job.
  */
 export const targetsOf = (
   spec: TargetSpec,
@@ -87,20 +87,20 @@
 };
 
 /**
- * The slack: seconds until the job's next task must start for the next target that can still be met;
- * infinite if there is none. Missed targets don't count: the work is late whatever runs first.
- * `ageS`: seconds since submission. `runS`: expected run time.
+ * The slack: seconds within which the job's next task must start to meet the next target that can
+ * still be met; infinite if there is none. Targets that can't be met any more are ignored, because
+ * running the job earlier would not help. `ageS`: seconds since submission.
  */
-export const slackS = (targets: readonly Target[], ageS: number, runS: number): number => {
+export const slackS = (targets: readonly Target[], ageS: number, expectedRunS: number): number => {
   let slack = Number.POSITIVE_INFINITY;
   for (const target of targets) {
-    const timeLeftS = target.withinS - ageS - (target.kind === "finish" ? runS : 0);
+    const timeLeftS = target.withinS - ageS - (target.kind === "finish" ? expectedRunS : 0);
     if (timeLeftS >= 0 && timeLeftS < slack) slack = timeLeftS;
   }
   return slack;
 };
 
-/** Seconds until a task must run for the next start target that can still be met; else infinite. */
+/** Seconds until the next start target that can still be met; infinite if there is none. */
 export const startSlackS = (targets: readonly Target[], ageS: number): number => {
   let slack = Number.POSITIVE_INFINITY;
   for (const target of targets)
@@ -110,37 +110,38 @@
 };
 
 /**
- * How many seconds a class's tasks may be in the system on average for its targets to be met, if
- * they use up this part (`patience`, 0 to 1) of their spare time. A class without targets may take
- * as long as it runs.
+ * The mean time, in seconds, that a class's tasks may spend in the system before they use up the
+ * given fraction (`slackFraction`, 0 to 1) of the slack that a new job has. A class without targets
+ * gets its expected run time.
  */
 export const maxTimeInSystemS = (
   targets: readonly Target[],
-  runS: number,
-  patience: number,
+  expectedRunS: number,
+  slackFraction: number,
 ): number => {
   let shortestS = Number.POSITIVE_INFINITY;
   for (const target of targets) {
-    const spareS = target.kind === "finish" ? target.withinS - runS : target.withinS;
-    shortestS = Math.min(shortestS, Math.max(0, spareS) * patience);
+    const slackAtSubmissionS =
+      target.kind === "finish" ? target.withinS - expectedRunS : target.withinS;
+    shortestS = Math.min(shortestS, Math.max(0, slackAtSubmissionS) * slackFraction);
   }
-  return shortestS === Number.POSITIVE_INFINITY ? runS : shortestS;
+  return shortestS === Number.POSITIVE_INFINITY ? expectedRunS : shortestS;
 };
 
 /**
- * The window, in seconds, in which a job's remaining work should be done: this part (`patience`) of
- * the slack until its next target that can still be met. It shrinks as the job ages, so a backlog
- * that is getting late asks for more. A job without any such target is treated like a new one of
- * its class.
+ * The window, in seconds, within which a job's remaining work should be done: a fraction
+ * (`slackFraction`, 0 to 1) of the slack until its next target that can still be met. The window
+ * shrinks as the job ages, so that an aging backlog raises demand. A job without any such target
+ * gets the window of a new job of its class.
  */
 export const workWindowS = (
   targets: readonly Target[],
   ageS: number,
-  runS: number,
-  patience: number,
+  expectedRunS: number,
+  slackFraction: number,
 ): number => {
-  const slack = slackS(targets, ageS, runS);
+  const slack = slackS(targets, ageS, expectedRunS);
   if (slack === Number.POSITIVE_INFINITY)
-    return Math.max(MIN_WINDOW_S, maxTimeInSystemS(targets, runS, patience));
-  return Math.max(MIN_WINDOW_S, slack * patience);
+    return Math.max(MIN_WINDOW_S, maxTimeInSystemS(targets, expectedRunS, slackFraction));
+  return Math.max(MIN_WINDOW_S, slack * slackFraction);
 };
--- a/src/scheduling/placement.ts
+++ b/src/scheduling/placement.ts
@@ -1,65 +1,74 @@
 /**
- * Chooses machines for tasks: filter, score, choose.
+ * Chooses machines for tasks in three steps: filter, score, choose.
  *
- * Filter: the protocol's rules on machine type, spot, zone and the job's other tasks (`isPermitted`),
- * and free capacity. Score: how many other resource shapes compete for the machine, whether it
- * fetches the image in time, whether it is costly, and the paper's move probability. Choose:
- * `CandidateSelector` takes the best of the machines that pass the filter.
+ * Filter: the protocol's rules on machine type, spot, zone and the job's other tasks
+ * (`isPermitted`), and free capacity. Score: how many resource shapes compete for the machine,
+ * whether it fetches the image in time, whether it is costly, and the move probability (see
+ * `swarm.ts`). Choose: `CandidateSelector` returns the best of the machines that pass the filter.
  *
- * State: a selector caches what it computed of each machine until the machine's use changes. The
- * machines' use is changed by `addUse` alone while a round places tasks.
+ * State: a selector caches its results for each machine until the machine's `usedResources` object
+ * is replaced. A change must therefore always replace the object, as `addUsedResources` does.
  */
 import type { MachineId } from "@umberfold/ids";
 import type { JobSpec, Resources } from "../protocol/jobs.js";
 import { add, fits, fitsRemainingCapacity, minimumOf } from "./resources.js";
 import { moveProbability } from "./swarm.js";
 
-/** A machine that may be given tasks in this round. */
+/** A machine on which a round may start tasks. */
 export interface CandidateMachine {
   readonly id: MachineId;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly capacity: Resources;
-  /** What its open attempts take, with reservations for pending moves and preemptions. */
+  /**
+   * The resources of its open attempts, plus reservations for pending moves and preemptions. Each
+   * change replaces the object: caches compare it by identity.
+   */
   usedResources: Resources;
-  /** The smallest demand for each resource among its tasks; infinite where it has none. */
+  /** The smallest demand for each resource among its tasks; infinite if it has no tasks. */
   smallestDemand: Resources;
   readonly price: number;
-  /** Far more expensive per processor than the cheapest machines: left empty, to be returned. */
+  /**
+   * Whether it is far more expensive per processor than the cheapest machines. Such a machine is
+   * filled last, so that it becomes empty and can be returned.
+   */
   readonly isCostly: boolean;
   readonly fetchGbPerS: number;
-  /** Images in its cache. */
+  /** The images in its cache. */
   readonly images: { readonly has: (image: string) => boolean };
-  /** How many resource shapes could use its type (`countCompetingShapes`). */
+  /** Number of resource shapes that fit its type (`countCompetingShapes`). */
   readonly competingShapes: number;
 }
 
-/** Open attempts of one job by zone, as `zoneAffinity` and `spreadAcrossZones` judge them. */
+/** Number of one job's open attempts by zone, for `zoneAffinity` and `spreadAcrossZones`. */
 export type ZoneCounts = ReadonlyMap<string, number>;
 
-/** The part of a job spec that decides which machines may run its tasks. */
+/** The properties of a job spec that decide which machines may run its tasks. */
 type PlacementRules = Pick<
   JobSpec,
   "machineTypes" | "zone" | "spotAllowed" | "zoneAffinity" | "spreadAcrossZones" | "taskCount"
 >;
 
-/** The part of a machine that the placement rules look at. */
+/** The properties of a machine that the placement rules depend on. */
 type MachineKind = Pick<CandidateMachine, "type" | "zone" | "spot">;
 
 // Filter
 
-/** The most tasks of a job spread across zones that may run in one zone: half, rounded up. */
+/**
+ * The maximum number of tasks in one zone, for a job that is spread across zones: half of its
+ * tasks, rounded up.
+ */
 export const maxTasksPerZone = (taskCount: number): number => Math.ceil(taskCount / 2);
 
-/** The part of the protocol's `wrong_place` that does not depend on the job's other tasks. */
+/** The rules on machine type, spot and zone, which don't depend on the job's other tasks. */
 const permitsMachineKind = (rules: PlacementRules, machine: MachineKind): boolean => {
   if (machine.spot && !rules.spotAllowed) return false;
   if (rules.machineTypes !== null && !rules.machineTypes.includes(machine.type)) return false;
   return rules.zone === null || rules.zone === machine.zone;
 };
 
-/** The part that depends on the zones of the job's other tasks. */
+/** The rules that depend on the zones of the job's other tasks. */
 const permitsZone = (rules: PlacementRules, zone: string, zones: ZoneCounts): boolean => {
   if (rules.zoneAffinity)
     for (const [other, count] of zones) if (count > 0 && other !== zone) return false;
@@ -67,9 +76,9 @@
 };
 
 /**
- * Whether the protocol lets a task start on such a machine; otherwise it would be refused as
- * `wrong_place`. Judges machine type, spot, zone and the zones of the job's other tasks, but not
- * free capacity.
+ * Whether the protocol permits a task to start on a machine. A start on any other machine is a
+ * violation that the protocol calls `wrong_place`. Checks machine type, spot, zone and the zones of
+ * the job's other tasks, but not free capacity.
  */
 export const isPermitted = (
   rules: PlacementRules,
@@ -77,45 +86,46 @@
   zones: ZoneCounts,
 ): boolean => permitsMachineKind(rules, machine) && permitsZone(rules, machine.zone, zones);
 
-/** Whether it depends on the zones of a job's other tasks where the next one may run. */
+/** Whether the zones in which a job's next task may run depend on the zones of its other tasks. */
 export const hasZoneRules = (rules: PlacementRules): boolean =>
   rules.zoneAffinity || rules.spreadAcrossZones;
 
 // Score
 
 /**
- * How many of the resource shapes fit a machine of this capacity. Types that few shapes can use are
- * filled first: otherwise tasks that fit nowhere else find the large machines full of small tasks.
+ * The number of resource shapes that fit a machine of this capacity. Machines that few shapes fit
+ * are filled first: otherwise small tasks fill the large machines, and tasks that fit only large
+ * machines find no capacity.
  */
 export const countCompetingShapes = (capacity: Resources, shapes: readonly Resources[]): number =>
   shapes.filter((shape) => fits(shape, capacity)).length;
 
-/** The different resource shapes among these. */
+/** The distinct resource shapes among these. */
 export const distinctShapes = (all: Iterable<Resources>): readonly Resources[] => {
   const shapes = new Map<string, Resources>();
   for (const shape of all) shapes.set(`${shape.cpus}|${shape.gpus}|${shape.ramGb}`, shape);
   return [...shapes.values()];
 };
 
-/** What a selector computed of one machine, and the use that it computed it for. */
+/** Cached results for one machine, and the `usedResources` for which they were computed. */
 interface Candidate {
   readonly machine: CandidateMachine;
   readonly imageCached: boolean;
-  /** Seconds that the machine takes to fetch the image, at most. */
+  /** The maximum time that the machine takes to fetch the image, in seconds. */
   readonly fetchS: number;
-  /** The use for which `hasCapacity` and `moveProbability` hold. */
+  /** The machine's `usedResources` for which `hasCapacity` and `moveProbability` were computed. */
   computedFor: Resources | undefined;
   hasCapacity: boolean;
-  /** The move probability if the task were added. */
+  /** The machine's move probability with the task added. */
   moveProbability: number;
 }
 
-/** Smaller differences of move probabilities are ties. */
+/** Move probabilities that differ by at most this count as equal. */
 const PROBABILITY_TOLERANCE = 1e-9;
 
 /**
- * The scores that don't depend on the machine's use: fewer competing shapes, then an image fetch
- * within the slack, then not costly. Negative if `a` is better.
+ * Compares the scores that don't depend on the machines' tasks: fewer competing shapes, then an
+ * image fetch within the slack, then not costly. Negative if `a` is better.
  */
 const compareFixedScores = (a: Candidate, b: Candidate, slackS: number): number =>
   a.machine.competingShapes - b.machine.competingShapes ||
@@ -123,8 +133,8 @@
   Number(a.machine.isCostly) - Number(b.machine.isCostly);
 
 /**
- * Bin packing, between machines with the same fixed scores: the lower move probability; of equal
- * ones the machine that has the image, then the cheaper one.
+ * Whether `a` is better than `b` for bin packing, if their fixed scores are equal: the lower move
+ * probability wins, then the machine that has the image in its cache, then the cheaper one.
  */
 const packsBetter = (a: Candidate, b: Candidate): boolean => {
   if (Math.abs(a.moveProbability - b.moveProbability) > PROBABILITY_TOLERANCE)
@@ -137,15 +147,16 @@
 const groupKeys = new WeakMap<JobSpec, string>();
 
 /**
- * Jobs with the same key may share a selector: they differ at most in the zones of their other tasks
- * and in their slack. The key holds the zone rules too. (A selector shared by jobs of which only one
- * was bound to a zone broke the rule.)
+ * Jobs with the same key may share a selector: they differ at most in their slack and in the zones
+ * of their other tasks, which are passed to each choice. The key includes the zone rules. (Without
+ * them, a job with a zone rule shared the selector of a job without one, and the rule was
+ * violated.)
  */
 export const placementGroupKey = (spec: JobSpec): string => {
   const cached = groupKeys.get(spec);
   if (cached !== undefined) return cached;
   const { resources, machineTypes, zone, spotAllowed, image, imageGb, zoneAffinity } = spec;
-  // How far a job is spread across zones depends on its number of tasks.
+  // The maximum number of tasks per zone of a spread job depends on its number of tasks.
   const spread = spec.spreadAcrossZones ? spec.taskCount : 0;
   const key = JSON.stringify([
     resources,
@@ -164,9 +175,9 @@
 /**
  * Chooses machines for the tasks of jobs with the same `placementGroupKey`.
  *
- * What it computes of a machine holds until the machine's use changes. So placing a large job array
- * costs one comparison for each task and machine, and the paper's formula only for machines that
- * were just given a task.
+ * The results for a machine are cached until its `usedResources` change. Placing a large job array
+ * therefore costs one comparison for each task and machine, while the move probability is computed
+ * only for machines that have received a task since.
  */
 export class CandidateSelector {
   readonly #candidates: readonly Candidate[];
@@ -192,8 +203,9 @@
   }
 
   /**
-   * The machine for one more task, or null if none has capacity. `zones`: where the job's other
-   * tasks are. `slackS`: seconds until the task must run. `excluded` machines are not considered.
+   * Returns the best machine for one more task, or null if no permitted machine has capacity.
+   * `zones`: the zones of the job's other tasks. `slackS`: seconds until the task must run.
+   * Machines for which `excluded` returns true are not considered.
    */
   choose(
     zones: ZoneCounts,
@@ -204,7 +216,7 @@
     const checkZones = hasZoneRules(spec);
     let best: Candidate | null = null;
     for (const candidate of this.#candidates) {
-      // The cheapest test goes first: most machines can't be better than the best so far.
+      // The cheapest check is first: it rules out most machines, which score below the best so far.
       const order = best === null ? 0 : compareFixedScores(candidate, best, slackS);
       if (order > 0 || !this.#hasCapacity(candidate)) continue;
       if (checkZones && !permitsZone(spec, candidate.machine.zone, zones)) continue;
@@ -214,7 +226,10 @@
     return best?.machine ?? null;
   }
 
-  /** Whether one more task fits; computes its move probability too if the use has changed. */
+  /**
+   * Whether one more task fits on the machine. If the machine's `usedResources` have changed,
+   * computes this and the move probability anew.
+   */
   #hasCapacity(candidate: Candidate): boolean {
     const { machine } = candidate;
     if (candidate.computedFor === machine.usedResources) return candidate.hasCapacity;
@@ -235,7 +250,7 @@
   }
 }
 
-/** Counts one more task, or a reservation for one, as in use on a machine. */
+/** Adds the resources of one more task, or of a reservation for one, to a machine. */
 export const addUsedResources = (machine: CandidateMachine, resources: Resources): void => {
   machine.usedResources = add(machine.usedResources, resources);
   machine.smallestDemand = minimumOf(machine.smallestDemand, resources);
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -1,9 +1,9 @@
 /**
- * Decides which running tasks to stop so that a task of a job with higher standing fits.
+ * Decides which running tasks to stop so that a task of a job that may preempt them fits.
  *
- * State: a `PreemptionSearch` keeps the cheapest option of each machine for tasks of one resource
- * shape. An option is computed again once its source's version differs, so one that is out of date
- * is never returned. All losses are in seconds of work.
+ * State: a `PreemptionSearch` caches, for each machine, the option that loses the least work, for
+ * tasks of one resource shape. An option is recomputed if its source's version has changed, so a
+ * stale option is never returned. Lost work is in seconds.
  */
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { Resources } from "../protocol/jobs.js";
@@ -13,16 +13,21 @@
 export interface Victim {
   readonly task: TaskId;
   readonly resources: Resources;
-  /** Seconds of work that stopping it would throw away, its checkpoint and restart included. */
+  /**
+   * Seconds of work that would be lost if it were stopped, including its checkpoint and restart.
+   */
   readonly lostWorkS: number;
 }
 
 /** A machine on which tasks could be preempted. */
 export interface PreemptionCandidate {
   readonly id: MachineId;
-  /** What is free, and what tasks that are stopping already leave beyond all reservations. */
+  /**
+   * The free capacity, plus the capacity of tasks that are already being stopped, less all
+   * reservations.
+   */
   readonly free: Resources;
-  /** Tasks there that the protocol lets the job preempt. */
+  /** The tasks on it that the job may preempt (`mayPreempt`). */
   readonly victims: readonly Victim[];
 }
 
@@ -32,22 +37,22 @@
   readonly victims: readonly Victim[];
 }
 
-/** Gives a machine's candidate, and tells whether the one given last still holds. */
+/** Provides the preemption candidate of one machine, and a version that shows when it is stale. */
 export interface PreemptionSource {
-  /** What could be preempted there now; undefined if preemption there would not help. */
+  /** The current candidate; undefined if preemption on the machine would not help. */
   readonly candidate: () => PreemptionCandidate | undefined;
-  /** Any value that differs once the candidate given last is out of date. */
+  /** A value that changes when the candidate returned last becomes stale. */
   readonly version: () => unknown;
 }
 
-/** The cheapest way to make one task fit on one machine. */
+/** The victims on one machine that make one task fit with the least lost work. */
 interface PreemptionOption {
   readonly candidate: PreemptionCandidate;
   readonly victims: readonly Victim[];
   readonly lostWorkS: number;
 }
 
-/** What was last computed of a source. */
+/** The cached result for a source. */
 interface EvaluatedSource {
   readonly source: PreemptionSource;
   version: unknown;
@@ -56,9 +61,9 @@
 }
 
 /**
- * The cheapest option on one machine: victims are taken in their order, the smallest loss first,
- * until the task fits; then any that turn out not to be needed are spared, the largest loss first.
- * Undefined if the task doesn't fit even with all of them stopped.
+ * The cheapest option on one machine. Victims are added in their order, least lost work first,
+ * until the task fits. Then those without which the task still fits are removed, most lost work
+ * first. Undefined if the task doesn't fit even if all victims are stopped.
  */
 const cheapestOption = (
   need: Resources,
@@ -87,16 +92,18 @@
 });
 
 /**
- * Finds machines for tasks of one resource shape, one after the other, each time where preemption
- * loses the least work. Each machine is computed once, and again only after something has changed on
- * it; otherwise many small tasks on many machines would be sorted anew for every waiting task. (A
- * round of a shard with 800 machines took over a second, and its tasks waited for minutes although
- * there was capacity.)
+ * Finds machines for tasks of one resource shape, one task at a time, each time the machine on
+ * which preemption loses the least work. The option of a machine is recomputed only after the
+ * machine has changed. Sorting all victims again for every waiting task is too slow: a round of a
+ * shard with 800 machines took over a second, and its tasks waited for minutes although there was
+ * capacity.
  */
 export class PreemptionSearch {
   readonly #evaluated: readonly EvaluatedSource[];
 
-  /** `needs`: what one task takes. `maxLostWorkS`: no plan may lose more seconds of work. */
+  /**
+   * `needs`: the resources of one task. `maxLostWorkS`: the most seconds of work a plan may lose.
+   */
   constructor(
     private readonly needs: Resources,
     sources: Iterable<PreemptionSource>,
@@ -106,8 +113,8 @@
   }
 
   /**
-   * The plan for the next task, or null if there is none within the maximum loss. The capacity
-   * counts as taken from here on.
+   * Returns the plan for the next task, or null if no machine has an option within the maximum.
+   * The planned capacity is no longer available to later plans.
    */
   nextPlan(): PreemptionPlan | null {
     for (;;) {
@@ -124,8 +131,9 @@
   }
 
   /**
-   * Must be called once the caller has recorded the plan taken last on its machine: the change of
-   * version that this causes doesn't make the option out of date.
+   * Must be called after the caller has added the last plan's reservation to the machine. The
+   * search has accounted for the plan already, so the version change that the reservation causes
+   * must not make the option stale.
    */
   markPlanRecorded(machine: MachineId): void {
     for (const evaluated of this.#evaluated)
@@ -155,7 +163,7 @@
     return best;
   }
 
-  /** The candidate once the option's victims are stopped and the task has taken their capacity. */
+  /** The candidate after the option's victims are stopped and the task uses their capacity. */
   #afterPreemption({ candidate, victims }: PreemptionOption): PreemptionCandidate {
     const freed = victims.reduce((sum, victim) => add(sum, victim.resources), candidate.free);
     return {
@@ -166,19 +174,19 @@
   }
 }
 
-/** A job's standing when it preempts or is preempted. */
+/** The properties of a job that decide which jobs it may preempt or be preempted by. */
 export interface PreemptionContext {
-  /** Lower numbers go first. */
+  /** A lower number is a higher priority. */
   readonly priority: number;
   readonly withinGuarantee: boolean;
   readonly team: string;
 }
 
-/** Whether a job's tasks may be preempted by another's. */
+/** Whether the tasks of the job `victim` may be preempted for a task of the job `by`. */
 export const mayPreempt = (by: PreemptionContext, victim: PreemptionContext): boolean => {
-  // The protocol lets priority alone decide. Work within a guarantee is spared all the same, except
-  // from other work within one.
+  // The protocol permits any preemption of a lower priority. Work within a team's guarantee is
+  // nevertheless preempted only for other work within a guarantee.
   if (victim.priority > by.priority) return by.withinGuarantee || !victim.withinGuarantee;
-  // A team gets its guarantee out of what other teams run beyond theirs, whatever the priorities.
+  // Work within a guarantee preempts work of other teams beyond theirs, whatever the priorities.
   return by.withinGuarantee && !victim.withinGuarantee && victim.team !== by.team;
 };
--- a/src/scheduling/queue-order.ts
+++ b/src/scheduling/queue-order.ts
@@ -1,8 +1,8 @@
 /**
  * The order in which waiting jobs are served in a round.
  *
- * Owns no state. Priority decides among jobs of equal standing towards their team's guarantee, and
- * slack among jobs of equal priority; the overdue go before all.
+ * Owns no state. Overdue jobs come first, then jobs within their team's guarantee. Among jobs that
+ * are equal in both respects, priority decides, then slack.
  */
 import type { JobId } from "@umberfold/ids";
 import type { Objective } from "../config/settings.js";
@@ -10,38 +10,41 @@
 import { type LiveJob, waitingTaskCount } from "../storage/records.js";
 import { slackS, targetsOf } from "./objectives.js";
 
-/** A job with waiting tasks, and what its place in the queue depends on. */
+/** A job with waiting tasks, and the properties that decide its position in the queue. */
 export interface WaitingJob {
   readonly id: JobId;
   readonly job: LiveJob;
   /** Seconds since its submission. */
   readonly ageS: number;
-  /** Seconds from a start command to the task's start: the image is fetched first. */
+  /** Seconds from a start command to the task's start, in which the image is fetched. */
   readonly imageFetchS: number;
   readonly expectedRunS: number;
-  /** It fits into its team's guarantee together with the team's earlier unfinished jobs. */
+  /**
+   * Whether the job and its team's earlier unfinished jobs fit into the team's guarantee together.
+   */
   readonly withinGuarantee: boolean;
 }
 
-/** A waiting job in its place in the queue. */
+/** A waiting job in the sorted queue. */
 export interface QueuedJob extends WaitingJob {
   /** Seconds until its next task must start for the next target that can still be met. */
   readonly slackS: number;
-  /** It has waited so long without a start that it goes before all others. */
+  /** Whether it has waited too long without a start, and so comes before all other jobs. */
   readonly overdue: boolean;
 }
 
 /**
- * Whether a job has waited for so long without one start that it goes before all others. Without
- * this a stream of small urgent jobs would starve the largest job arrays.
+ * Whether a job has waited for more than `overdueS` seconds without starting any task. Such jobs
+ * come before all others: otherwise a stream of small urgent jobs would starve the largest job
+ * arrays.
  */
 const isOverdue = (waiting: WaitingJob, overdueS: number): boolean =>
   waiting.ageS > overdueS && waiting.job.nextAttempt === 1;
 
 /**
- * Sorts jobs: the overdue first, then those within a guarantee, then by priority, then the least
- * slack, then the fewest waiting tasks, then the oldest. `overdueS`: seconds without a start after
- * which a job is overdue.
+ * Sorts jobs: overdue ones first, then those within a guarantee, then by priority, least slack,
+ * fewest waiting tasks and earliest acceptance. `overdueS`: seconds without a start after which a
+ * job is overdue.
  */
 export const orderQueue = (
   waiting: readonly WaitingJob[],
--- a/src/scheduling/shard-assigner.ts
+++ b/src/scheduling/shard-assigner.ts
@@ -1,29 +1,30 @@
 /**
  * Chooses the shard of each newly rented machine.
  *
- * State: the processors that each shard has and the task slots that it lacks, kept up to date for
- * the length of one fleet plan. Overloaded shards are given no machine.
+ * State: the number of processors of each shard and of the task slots that it lacks, updated with
+ * each assignment during one fleet plan. Overloaded shards get no machines.
  */
 import { type ShardId, shardId } from "@umberfold/ids";
 import type { MachineType } from "../protocol/cloud.js";
 
-/** The part of the fleet's state that decides which shard a new machine goes to. */
+/** The properties of the fleet that decide which shard gets a new machine. */
 interface AssignmentInput {
   readonly shardCount: number;
-  /** Shards that are given no more machines. */
+  /** Shards that get no more machines. */
   readonly overloaded: ReadonlySet<ShardId>;
   readonly machines: Iterable<{ readonly shard: ShardId; readonly type: MachineType }>;
 }
 
 /**
- * Returns the shard for one more machine with this many processors, which has slots for this many
- * of the tasks it is rented for. Each answer counts as given in the answers after it.
+ * Returns the shard for one more machine with this many processors and slots. Slots are the number
+ * of tasks that fit on it, of the group for which it is rented. Later calls take the assignment
+ * into account.
  */
 type ShardAssigner = (cpus: number, slots: number) => ShardId;
 
 /**
- * An assigner that gives new machines to the shard that lacks most slots, and once none lacks any,
- * to the one with the fewest processors. `unmetSlots`: slots that each shard lacks.
+ * Creates an assigner that chooses the shard that lacks the most slots, or, if none lacks any, the
+ * one with the fewest processors. `unmetSlots`: the number of slots that each shard lacks.
  */
 export const createShardAssigner = (
   input: AssignmentInput,
--- a/src/scheduling/smoothing.ts
+++ b/src/scheduling/smoothing.ts
@@ -1,19 +1,20 @@
 /** Exponential smoothing with separate time constants for rise and fall. Owns no state. */
 
 /**
- * Moves a smoothed value towards what was measured now.
+ * Moves a smoothed value towards the current measurement.
  *
- * `elapsedS`: seconds since the last measurement. `riseS`, `fallS`: time constants, in seconds,
- * after which a rise or fall is followed by 1 - 1/e; 0 or less follows at once.
+ * `elapsedS`: seconds since the last measurement. `riseTimeConstantS`, `fallTimeConstantS`: seconds
+ * after which the smoothed value has covered the fraction 1 - 1/e of a rise or fall. With 0 or less
+ * the result is the measurement.
  */
 export const smoothToward = (
   smoothed: number,
   measured: number,
   elapsedS: number,
-  riseS: number,
-  fallS: number,
+  riseTimeConstantS: number,
+  fallTimeConstantS: number,
 ): number => {
-  const timeConstantS = measured > smoothed ? riseS : fallS;
+  const timeConstantS = measured > smoothed ? riseTimeConstantS : fallTimeConstantS;
   if (timeConstantS <= 0) return measured;
   return measured + (smoothed - measured) * Math.exp(-elapsedS / timeConstantS);
 };
--- a/src/scheduling/swarm.ts
+++ b/src/scheduling/swarm.ts
@@ -1,24 +1,25 @@
 /**
- * The swarm: periodic moves of running tasks that empty underfilled machines, and the move
- * probability that bin packing uses too.
+ * The swarm: periodic moves of running tasks that empty underfilled machines. Also computes the
+ * move probability, which placement uses as a bin packing score.
  *
  * From M. Rusek and G. Dwornicki, "Swarm-Like Distributed Algorithm for Scheduling a
- * Microservice-Based Application to the Cloud Servers" (2021); equation numbers are the paper's. Its
- * symbols: n is the use of one resource on a machine, n0 the machine's capacity, nmin the smallest
- * use by one of its tasks, Q and R the use of tasks on their way out and in, p the move probability
- * (the paper's repulsive "pheromone", 0 to 1).
+ * Microservice-Based Application to the Cloud Servers" (2021); equation numbers are the paper's.
+ * Its symbols: n is the amount of one resource in use on a machine, n0 the machine's capacity, nmin
+ * the smallest amount that one of its tasks uses, Q and R the amounts of tasks that are moving out
+ * and in, p the move probability (the paper's repulsive "pheromone", 0 to 1).
  *
- * Owns no state. A period works on a copy of the machines' loads, and draws one random number for
- * each task of each machine that could be emptied, until its moves are used up.
+ * Owns no state. A period works on a copy of the machines' loads. It draws one random number for
+ * each task of each machine that could be emptied, until it has reached the maximum number of
+ * moves.
  */
 import type { MachineId, TaskId } from "@umberfold/ids";
 import type { Resources } from "../protocol/jobs.js";
 import { add, fits, NO_RESOURCES, RESOURCE_KINDS, subtract } from "./resources.js";
 
-/** Shares above 1 by no more than this are full, not overloaded. */
+/** A share that exceeds 1 by at most this counts as full, not as overloaded. */
 const SHARE_TOLERANCE = 1e-9;
 
-/** The shares of capacity in use that the paper's formulas start from. */
+/** The used shares of capacity that the paper's formulas are based on. */
 interface UsedShares {
   /** max over k of n(k)/n0(k): the dominant share, eq. 1. */
   readonly dominant: number;
@@ -45,16 +46,16 @@
 /**
  * The probability, 0 to 1, with which each task of a machine moves off it in one period.
  *
- * By eq. 23, the overload form wherever it is positive, and the bin packing form otherwise:
+ * By eq. 23, the overload form applies if it is positive, and the bin packing form otherwise:
  * - overloaded, eq. 3: p = (n - n0)/n, for the resource with the dominant share (eq. 1);
  * - otherwise, eq. 9: p = ((n0 - n)/(n0 - nmin))^2, for the least used resource (eq. 2).
  *
- * Ours: eq. 9 is clamped to 0..1, and 0 where n0 = nmin, that is where one smallest task already
- * fills the machine.
+ * Differences from the paper: eq. 9 is clamped to 0..1, and is 0 if n0 = nmin, that is if the
+ * smallest task fills the machine.
  *
- * `usedResources` must already be n - Q + R (eq. 18): what the machine's tasks take, without those on their
- * way out, with those on their way in. `smallestDemand` is nmin for each resource. All amounts are
- * in the units of `Resources`.
+ * `usedResources` must be n - Q + R (eq. 18): the resources of the machine's tasks, without those
+ * that are moving out and with those that are moving in. `smallestDemand` is nmin for each
+ * resource. All amounts are in the units of `Resources`.
  */
 export const moveProbability = (
   usedResources: Resources,
@@ -62,7 +63,7 @@
   smallestDemand: Resources,
 ): number => {
   const { dominant, leastUsed } = usedShares(usedResources, capacity);
-  // (n - n0)/n, expressed by the share n/n0.
+  // (n - n0)/n, rewritten with the share n/n0.
   if (dominant > 1 + SHARE_TOLERANCE) return 1 - 1 / dominant;
   if (leastUsed === undefined) return 0;
   const total = capacity[leastUsed];
@@ -76,9 +77,9 @@
 export interface SwarmTask {
   readonly task: TaskId;
   readonly resources: Resources;
-  /** Seconds of work that its restart on another machine would throw away. */
+  /** Seconds of work that would be lost by restarting it on another machine. */
   readonly lostWorkS: number;
-  /** Whether it may run on this machine by its job's placement rules, capacity aside. */
+  /** Whether its job's placement rules permit this machine. Free capacity is not checked. */
   readonly mayRunOn: (machine: MachineId) => boolean;
 }
 
@@ -88,7 +89,7 @@
   readonly capacity: Resources;
   /** n - Q + R (eq. 18), for each resource. */
   readonly usedResources: Resources;
-  /** Its tasks without those on their way out. */
+  /** Its tasks, without those that are moving out. */
   readonly tasks: readonly SwarmTask[];
 }
 
@@ -99,15 +100,15 @@
   readonly to: MachineId;
 }
 
-/** What bounds the moves of one period. */
+/** The limits of one period. */
 export interface SwarmLimits {
-  /** The most moves in one period. */
+  /** The maximum number of moves. */
   readonly maxMoves: number;
-  /** A machine with a task that would lose more seconds of work is not emptied. */
+  /** A machine is not emptied if the restart of any of its tasks loses more work than this. */
   readonly maxLostWorkS: number;
 }
 
-/** The smallest demand for each resource among these tasks (nmin); nothing if there are none. */
+/** The smallest demand for each resource among these tasks (nmin); 0 if there are no tasks. */
 export const smallestDemandOf = (
   tasks: readonly { readonly resources: Resources }[],
 ): Resources => {
@@ -122,13 +123,13 @@
   return smallest;
 };
 
-/** Use and tasks of a machine after the moves decided so far. */
+/** The used resources and the tasks of a machine after the moves planned so far. */
 interface MachineLoad {
   readonly usedResources: Resources;
   readonly tasks: readonly SwarmTask[];
 }
 
-/** The load of each machine by id; a period changes it move by move. */
+/** The load of each machine by id, updated with each planned move. */
 type MachineLoads = Map<MachineId, MachineLoad>;
 
 /** A machine that the period tries to empty, and its move probability p. */
@@ -138,9 +139,10 @@
 }
 
 /**
- * Where a task moves to: a machine that stays within capacity (eq. 26) and whose p after the move
- * is below the origin's before it (eq. 27); of several the one with the lowest. Undefined if there
- * is none. An empty machine is no destination: it would have to be kept.
+ * The destination for a task: a machine that stays within its capacity (eq. 26) and whose p after
+ * the move is below the origin's p before it (eq. 27). Of several, the one with the lowest p.
+ * Undefined if there is none. An empty machine is never a destination, because it could then not be
+ * returned.
  */
 const findDestination = (
   task: SwarmTask,
@@ -182,7 +184,7 @@
   });
 };
 
-/** Whether each task of the origin would find a destination if they moved one after the other. */
+/** Whether every task of the origin finds a destination if they move one after the other. */
 const canBeEmptied = (
   origin: Origin,
   machines: readonly SwarmMachine[],
@@ -196,10 +198,10 @@
   });
 };
 
-/** The origin if its tasks should move in this period; undefined if not. */
+/** The machine as an origin of moves; undefined if its tasks should not move in this period. */
 const originOf = (machine: SwarmMachine, loads: MachineLoads): Origin | undefined => {
   const load = loads.get(machine.id);
-  // A machine that was given tasks in this period is no origin in the same one.
+  // A machine that has been a destination in this period is not an origin in it.
   if (load === undefined || load.tasks.length > machine.tasks.length) return undefined;
   const probability = moveProbability(
     load.usedResources,
@@ -210,12 +212,13 @@
 };
 
 /**
- * One period of the swarm (Algorithm A1): each task draws a random number r (0 to 1), and if r < p
- * looks for a destination (eqs. 26 and 27).
+ * Plans the moves of one period of the swarm (Algorithm A1): a random number r (0 to 1) is drawn
+ * for each task, and if r < p, the task moves to a destination, if there is one (eqs. 26 and 27).
  *
- * Ours: only machines that could be emptied are origins (all of their tasks are cheap to restart and
- * have a destination), because a half-emptied machine costs as much as a full one; those with the
- * fewest tasks first; and a period makes at most `limits.maxMoves` moves.
+ * Differences from the paper: only machines that could be emptied are origins (all of their tasks
+ * are cheap to restart and have a destination), because a partly emptied machine costs as much as a
+ * full one. Machines with the fewest tasks come first. A period plans at most `limits.maxMoves`
+ * moves.
  */
 export const planSwarmMoves = (
   machines: readonly SwarmMachine[],
