--- a/test/scheduling/candidate-selector.test.ts
+++ b/test/scheduling/candidate-selector.test.ts
@@ -1,4 +1,6 @@
-/** A selector that is shared by like jobs must choose what a search over all machines would. */
+/**
+ * A selector shared by jobs with the same key must choose what a search over all machines finds.
+ */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId } from "@umberfold/ids";
@@ -20,7 +22,7 @@
   ZONES,
 } from "../support/random-jobs.js";
 
-/** The same search over all machines, computed for each task. */
+/** The expected choice: filters and sorts all machines anew for each task. */
 const bestCandidate = (
   spec: JobSpec,
   machines: readonly CandidateMachine[],
@@ -81,7 +83,10 @@
   zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
 };
 
-/** Places the tasks of one job with both, until none fits; returns how many were placed. */
+/**
+ * Places the tasks of one job until none fits, and compares each choice of the selector with that
+ * of `bestCandidate`. Returns the number of placed tasks.
+ */
 const placeWithBoth = (
   spec: JobSpec,
   selector: CandidateSelector,
@@ -102,7 +107,7 @@
   return spec.taskCount;
 };
 
-test("a selector shared by a placement group chooses as a search over all machines does", () => {
+test("a selector shared by a placement group chooses the machine that a full search finds", () => {
   let placed = 0;
   let placedByZone = 0;
   for (let seed = 1; seed <= 30; seed++) {
--- a/test/scheduling/demand-bound.test.ts
+++ b/test/scheduling/demand-bound.test.ts
@@ -1,18 +1,18 @@
-/** `demandBound`: the processors that finish all work within its windows. */
+/** `demandBound`: the minimum number of processors that finish all work within its windows. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { demandBound } from "../../src/scheduling/demand-bound.js";
 
-/** Work as window in seconds and processor seconds; the bound in processors. */
+/** Due work as pairs of window and processor seconds, and the expected bound in processors. */
 const cases: readonly [
   name: string,
   due: readonly (readonly [windowS: number, cpuSeconds: number])[],
   expected: number,
 ][] = [
-  ["no work needs none", [], 0],
-  ["one job needs its work over its window", [[10, 100]], 10],
+  ["no work needs no processors", [], 0],
+  ["one job needs its work divided by its window", [[10, 100]], 10],
   [
-    "a patient job follows a pressing one on the same processors",
+    "a job with a long window runs after one with a short window on the same processors",
     [
       [10, 100],
       [100, 900],
@@ -20,7 +20,7 @@
     10,
   ],
   [
-    "two pressing jobs add up",
+    "two jobs with the same short window add up",
     [
       [10, 100],
       [10, 50],
@@ -28,7 +28,7 @@
     15,
   ],
   [
-    "much patient work decides the bound",
+    "much work with a long window determines the bound",
     [
       [10, 100],
       [100, 1900],
--- a/test/scheduling/demand.test.ts
+++ b/test/scheduling/demand.test.ts
@@ -1,11 +1,14 @@
-/** `computeDemand`: the slots that jobs need, by group. */
+/** `computeDemand`: the task slots that jobs need, by group. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { shardId, teamName, wallClockMs } from "@umberfold/ids";
 import { computeDemand } from "../../src/scheduling/demand.js";
 import { job, LARGE, OBJECTIVES, SMALL } from "./fixtures.js";
 
-/** 40 fast tasks that fit small machines too, and 40 slow ones of this many processors. */
+/**
+ * The required slots of 40 slow tasks that demand this many processors each, beside 40 fast tasks
+ * that fit on machines of either type.
+ */
 const requiredForSlow = (slowCpus: number): number => {
   const fast = job("wk-1", 0, { jobClass: "fast", priority: "high", tasks: 40, cpus: 2 });
   const slow = job("wk-2", 0, { tasks: 40, cpus: slowCpus });
@@ -33,11 +36,12 @@
   return demand.groups.find((g) => g.resources.cpus === slowCpus)?.requiredSlots ?? 0;
 };
 
-test("work that only some types can take doesn't count on processors that others leave", () => {
-  // On the same types the slow tasks follow the fast ones on their processors; those of 16 fit
-  // large machines only and can't.
+test("tasks that fit fewer types don't share the processors of tasks that fit more", () => {
+  // Slow tasks of 8 processors fit the same types as the fast ones, so they can run after them on
+  // the same processors. Slow tasks of 16 processors fit large machines only, so they need their
+  // own.
   const onLargeOnly = requiredForSlow(16);
-  const onBoth = requiredForSlow(8);
+  const onBothTypes = requiredForSlow(8);
   assert.ok(onLargeOnly >= 40, `${onLargeOnly}`);
-  assert.ok(onBoth < 40, `${onBoth}`);
+  assert.ok(onBothTypes < 40, `${onBothTypes}`);
 });
--- a/test/scheduling/fixtures.ts
+++ b/test/scheduling/fixtures.ts
@@ -1,4 +1,4 @@
-/** Machine types, objectives and jobs that the tests of this folder share. */
+/** Machine types, objectives and jobs for the tests of this folder. */
 import { type JobId, jobId, teamName, wallClockMs } from "@umberfold/ids";
 import type { Objective } from "../../src/config/settings.js";
 import type { MachineType } from "../../src/protocol/cloud.js";
@@ -21,7 +21,7 @@
   zones: ["a", "b"],
 });
 
-/** The type with the cheaper slots. */
+/** The machine type with the lower price per processor. */
 export const SMALL = machineType("small", 8, 0.36, 0.15);
 export const LARGE = machineType("large", 16, 0.8, 0.32);
 
@@ -39,7 +39,7 @@
   readonly cpus?: number;
 }
 
-/** A job of team `t`, accepted at this wall-clock time in ms, without any attempt yet. */
+/** A job of team `t`, accepted at this wall-clock time in ms, without any attempts. */
 export const job = (
   id: string,
   acceptedAt: number,
--- a/test/scheduling/fleet-plan.test.ts
+++ b/test/scheduling/fleet-plan.test.ts
@@ -1,4 +1,4 @@
-/** `planFleet`: what is rented, transferred and returned. */
+/** `planFleet`: the machines that are rented, transferred and returned. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, type ShardId, shardId } from "@umberfold/ids";
@@ -40,7 +40,7 @@
   ...change,
 });
 
-/** A machine with tasks of 4 processors, each given as priority and loss in seconds. */
+/** A machine with tasks of 4 processors, each given as priority and lost work in seconds. */
 const busy = (
   id: string,
   shard: number,
@@ -56,7 +56,7 @@
     })),
   });
 
-/** `expected`: rentals as "type zone kind count >shards", transfers as "machine>shard". */
+/** `expected`: rentals as "type zone kind count >shards", transfers as "machine>shard drain". */
 const cases: readonly {
   readonly name: string;
   readonly machines?: readonly FleetMachine[];
@@ -70,7 +70,7 @@
   };
 }[] = [
   {
-    name: "rents the cheapest slots, spread over zones",
+    name: "rents the offers with the lowest cost per slot, spread over zones",
     demand: [group(0, 4)],
     expected: { rentals: ["small a spot 1 >0", "small b spot 1 >0"] },
   },
@@ -80,13 +80,13 @@
     expected: { rentals: ["small a ordinary 1 >0"] },
   },
   {
-    name: "rents no offer that was refused",
+    name: "rents no offer that was refused recently",
     demand: [group(0, 2)],
     refused: [offerKey("small", "a", true), offerKey("small", "b", true)],
     expected: { rentals: ["large a spot 1 >0"] },
   },
   {
-    name: "takes no expensive offer, and keeps no expensive machine, for slots only desired",
+    name: "rents and keeps no ordinary machine for slots that are desired but not required",
     machines: [machine("m", 0, { spot: false })],
     demand: [group(0, 2, { requiredSlots: 0, waitingTasksByShard: new Map() })],
     refused: [
@@ -110,7 +110,7 @@
     expected: { transfers: ["m>0"] },
   },
   {
-    name: "transfers neither a busy machine nor one that its own shard's tasks wait for",
+    name: "transfers neither a busy machine nor one that its own shard's waiting tasks need",
     machines: [
       machine("m", 1, { openAttempts: 1, usedResources: { cpus: 4, gpus: 0, ramGb: 14 } }),
       machine("n", 1),
@@ -124,15 +124,16 @@
     demand: [group(1, 2, { waitingTasksByShard: new Map() }), group(0, 2)],
     expected: { rentals: ["small b spot 1 >0"], transfers: ["m>0"] },
   },
-  // Machines whose heartbeats its owner had not read yet had it rented ever more.
+  // Rentals for an overloaded shard made it worse: its owner had not yet read the heartbeats of the
+  // new machines, so ever more machines were rented.
   {
-    name: "rents nothing for an overloaded shard, neither there nor in another shard",
+    name: "rents nothing for an overloaded shard's demand, also not in another shard",
     demand: [group(0, 4)],
     overloaded: [shardId(0)],
     expected: {},
   },
   {
-    name: "rents for another shard what it lacks itself while one is overloaded",
+    name: "while one shard is overloaded, rents the unmet demand of another shard",
     demand: [group(0, 4), group(1, 2)],
     overloaded: [shardId(0)],
     expected: { rentals: ["small a spot 1 >1"] },
@@ -145,7 +146,7 @@
     expected: {},
   },
   {
-    name: "drains for urgent work the machine of others that runs only lower priority, least loss",
+    name: "drains for urgent work the lower-priority machine of another shard with least lost work",
     machines: [
       busy("m", 1, [2, 30]),
       busy("n", 1, [2, 5]),
@@ -156,7 +157,7 @@
     expected: { transfers: ["n>0 drain"] },
   },
   {
-    name: "drains nothing while the shard itself has lower priority to preempt",
+    name: "drains nothing if preemption on the shard's own machines suffices",
     machines: [busy("m", 1, [2, 5]), busy("n", 0, [2, 30], [2, 30])],
     demand: [group(0, 2, { desiredSlots: 0, requiredSlots: 0, urgent: true })],
     expected: {},
@@ -168,7 +169,7 @@
     expected: {},
   },
   {
-    name: "returns a machine that nobody needs only after it has been idle for a while",
+    name: "returns an unneeded machine only after it has been idle for the idle timeout",
     machines: [machine("m", 0), machine("n", 0, { idleS: 3 })],
     expected: { returns: ["m"] },
   },
--- a/test/scheduling/objectives.test.ts
+++ b/test/scheduling/objectives.test.ts
@@ -1,10 +1,10 @@
-/** Slack and windows that objectives leave a job. */
+/** The slack and the work windows that follow from objectives. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { slackS, startSlackS, targetsOf, workWindowS } from "../../src/scheduling/objectives.js";
 import { OBJECTIVES } from "./fixtures.js";
 
-test("slack runs to the next target that can still be met", () => {
+test("slack is the time until the next target that can still be met", () => {
   const fast = targetsOf({ jobClass: "fast", deadlineS: 60 }, OBJECTIVES, false);
   assert.equal(slackS(fast, 2, 20), 6);
   assert.equal(slackS(fast, 9, 20), 31);
@@ -12,7 +12,7 @@
   assert.equal(slackS(targetsOf({ jobClass: "x", deadlineS: null }, OBJECTIVES, true), 1, 5), 9);
 });
 
-test("start slack runs to the next start target and leaves out the deadline", () => {
+test("start slack is the time until the next start target and ignores the deadline", () => {
   const fast = targetsOf({ jobClass: "fast", deadlineS: 20 }, OBJECTIVES, false);
   assert.equal(startSlackS(fast, 5), 3);
 });
@@ -22,6 +22,6 @@
   assert.equal(workWindowS(slow, 0, 50, 0.5), 100);
   assert.equal(workWindowS(slow, 100, 50, 0.5), 50);
   assert.equal(workWindowS(slow, 200, 50, 0.5), 1);
-  // Late already: it is treated like a new one of its class.
+  // All targets are missed, so the window is that of a new job of the class.
   assert.equal(workWindowS(slow, 240, 50, 0.5), 100);
 });
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -1,4 +1,6 @@
-/** Where a task may start (`isPermitted`), and which machine is chosen (`CandidateSelector`). */
+/**
+ * Machines on which a task may start (`isPermitted`), and the choice of one (`CandidateSelector`).
+ */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId } from "@umberfold/ids";
@@ -20,7 +22,7 @@
 };
 const MACHINE = { type: "g8", zone: "a", spot: true };
 
-/** Changes of the rules, and the job's other tasks by zone. */
+/** Changes to the rules, and the number of the job's other tasks by zone. */
 const permissions: readonly [
   name: string,
   change: Partial<typeof RULES>,
@@ -32,10 +34,10 @@
   ["another type", { machineTypes: ["x"] }, [], false],
   ["its type", { machineTypes: ["x", "g8"] }, [], true],
   ["another zone", { zone: "b" }, [], false],
-  ["zone affinity, others elsewhere", { zoneAffinity: true }, [["b", 1]], false],
-  ["zone affinity, none left elsewhere", { zoneAffinity: true }, [["b", 0]], true],
-  ["spread, 4 of 9 there already", { spreadAcrossZones: true }, [["a", 4]], true],
-  ["spread, 5 of 9 there already", { spreadAcrossZones: true }, [["a", 5]], false],
+  ["zone affinity, other tasks in another zone", { zoneAffinity: true }, [["b", 1]], false],
+  ["zone affinity, no tasks left in another zone", { zoneAffinity: true }, [["b", 0]], true],
+  ["spread, 4 of 9 tasks in the zone already", { spreadAcrossZones: true }, [["a", 4]], true],
+  ["spread, 5 of 9 tasks in the zone already", { spreadAcrossZones: true }, [["a", 5]], false],
 ];
 
 for (const [name, change, zones, permitted] of permissions)
@@ -75,7 +77,8 @@
     imageGb: 2,
     spotAllowed: true,
   };
-  // The fullest first, as the paper has it, unless the task would be late there.
+  // The fullest machine has the lowest move probability, but the task would be late there if the
+  // image fetch takes longer than the slack.
   const machines = [
     machine("full", 0.2, 6, []),
     machine("quick", 1, 4, []),
--- a/test/scheduling/preemption-search.test.ts
+++ b/test/scheduling/preemption-search.test.ts
@@ -1,4 +1,4 @@
-/** A preemption search must find the victims that sorting all of them for each task would. */
+/** A preemption search must find the victims that sorting all victims anew for each task finds. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId } from "@umberfold/ids";
@@ -14,7 +14,10 @@
 const sources = (all: readonly PreemptionCandidate[]): readonly PreemptionSource[] =>
   all.map((c) => ({ candidate: () => c, version: () => 0 }));
 
-/** The least loss on one machine: the cheapest victims, less those that turn out not to be needed. */
+/**
+ * The victims on one machine with the least lost work: the cheapest ones until the task fits,
+ * without those that turn out not to be needed.
+ */
 const victimsOn = (
   needs: Resources,
   candidate: PreemptionCandidate,
@@ -35,7 +38,7 @@
   return chosen;
 };
 
-/** Preemption by sorting all victims of all machines for each task. */
+/** The expected preemption: sorts all victims of all machines anew for each task. */
 const cheapestVictims = (
   needs: Resources,
   candidates: PreemptionCandidate[],
@@ -53,7 +56,7 @@
   return best;
 };
 
-test("preemption chooses the victims that sorting all victims for each task chooses", () => {
+test("preemption chooses the same victims as sorting all victims anew for each task", () => {
   for (let seed = 1; seed <= 40; seed++) {
     const random = randomSource(seed);
     const needs = resourcesOf(random.pick([1, 2, 4]));
@@ -87,7 +90,7 @@
   }
 });
 
-test("a preemption candidate whose version changed is computed again before it is chosen", () => {
+test("a preemption candidate whose version changed is recomputed before it is chosen", () => {
   const task = (id: string, lostWorkS: number) => ({
     task: id as never,
     resources: resourcesOf(2),
@@ -109,7 +112,7 @@
     ],
     25,
   );
-  // What was stopped there for another job meanwhile can't be stopped again.
+  // Task `a` has been stopped for another job, so the search must not choose it any more.
   taken = { ...cheap, victims: [task("b", 9)] };
   version++;
   assert.equal(search.nextPlan()?.victims[0]?.task, "c");
--- a/test/scheduling/preemption.test.ts
+++ b/test/scheduling/preemption.test.ts
@@ -1,4 +1,4 @@
-/** `PreemptionSearch`: what is stopped to make a task fit. `mayPreempt`: who may preempt whom. */
+/** The tasks that `PreemptionSearch` stops to make one fit, and the rules of `mayPreempt`. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId } from "@umberfold/ids";
@@ -32,20 +32,21 @@
 const sources = (candidates: readonly PreemptionCandidate[]): readonly PreemptionSource[] =>
   candidates.map((candidate) => ({ candidate: () => candidate, version: () => 0 }));
 
-/** Processors that the task needs, the maximum loss in seconds, and "machine victims..." or null. */
+/** The task's processors, the maximum lost work in seconds, and "machine victims..." or null. */
 const searches: readonly [
   name: string,
   cpus: number,
   maxLostWorkS: number,
   expected: string | null,
 ][] = [
-  ["takes the least total loss", 4, 15, "m-1 b"],
-  ["takes two victims where one is not enough", 8, 15, "m-1 a b"],
-  ["spares a victim that turns out not to be needed", 6, 15, "m-2 d"],
-  // Else a task of 8 that was stopped for one of 2 is followed by more stops, for the capacity it left.
-  ["stops nothing where stopping tasks leave enough already", 2, 15, "m-2"],
-  ["finds nothing within a maximum loss that all options exceed", 4, 1, null],
-  ["finds nothing for a task that fits nowhere", 32, 99, null],
+  ["chooses the victims with the least lost work in total", 4, 15, "m-1 b"],
+  ["chooses two victims if one is not enough", 8, 15, "m-1 a b"],
+  ["leaves out a victim that turns out not to be needed", 6, 15, "m-2 d"],
+  // Otherwise, after a task of 8 processors has been stopped for one of 2, more tasks would be
+  // stopped although the remaining capacity of the first one is enough.
+  ["stops nothing if tasks that are already being stopped leave enough capacity", 2, 15, "m-2"],
+  ["finds nothing if all options exceed the maximum lost work", 4, 1, null],
+  ["finds nothing for a task that fits on no machine", 32, 99, null],
 ];
 
 for (const [name, cpus, maxLostWorkS, expected] of searches)
@@ -57,22 +58,42 @@
     assert.equal(actual, expected);
   });
 
-/** Priority (lower goes first), whether within a guarantee, and team. */
+/** The priority (a lower number is higher), whether within a guarantee, and the team. */
 type Side = readonly [priority: number, withinGuarantee: boolean, team: string];
 
 const rules: readonly [name: string, by: Side, victim: Side, allowed: boolean][] = [
   ["higher priority preempts lower", [1, false, "t"], [2, false, "u"], true],
-  ["higher priority spares work within a guarantee", [1, false, "t"], [2, true, "u"], false],
-  ["both within one, higher priority preempts lower", [1, true, "t"], [2, true, "u"], true],
-  ["equal priority spares", [1, false, "t"], [1, false, "u"], false],
-  ["a guarantee preempts another team's excess", [2, true, "t"], [1, false, "u"], true],
-  ["a guarantee spares another team's guarantee", [2, true, "t"], [1, true, "u"], false],
-  ["a guarantee spares its own team's excess", [2, true, "t"], [1, false, "t"], false],
+  [
+    "higher priority doesn't preempt work within a guarantee",
+    [1, false, "t"],
+    [2, true, "u"],
+    false,
+  ],
+  ["both within a guarantee, higher priority preempts lower", [1, true, "t"], [2, true, "u"], true],
+  ["equal priority doesn't preempt", [1, false, "t"], [1, false, "u"], false],
+  [
+    "work within a guarantee preempts another team's work beyond its guarantee",
+    [2, true, "t"],
+    [1, false, "u"],
+    true,
+  ],
+  [
+    "work within a guarantee doesn't preempt another team's work within one",
+    [2, true, "t"],
+    [1, true, "u"],
+    false,
+  ],
+  [
+    "work within a guarantee doesn't preempt its own team's work beyond it",
+    [2, true, "t"],
+    [1, false, "t"],
+    false,
+  ],
 ];
 
 const context = ([priority, withinGuarantee, team]: Side) => ({ priority, withinGuarantee, team });
 
 for (const [name, by, victim, allowed] of rules)
-  test(`who may preempt whom: ${name}`, () => {
+  test(`preemption rules: ${name}`, () => {
     assert.equal(mayPreempt(context(by), context(victim)), allowed);
   });
--- a/test/scheduling/queue-order.test.ts
+++ b/test/scheduling/queue-order.test.ts
@@ -10,7 +10,7 @@
   withinGuarantee = false,
 ): WaitingJob => ({ id, job: live, ageS, imageFetchS: 0, expectedRunS: 30, withinGuarantee });
 
-test("waiting jobs go by overdue, guarantee, priority, slack, fewest waiting tasks, age", () => {
+test("jobs are sorted by overdue, guarantee, priority, slack, fewest waiting tasks, age", () => {
   const order = orderQueue(
     [
       waiting(job("wk-1", 1, { tasks: 5 }), 0),
@@ -19,7 +19,8 @@
       waiting(job("wk-4", 4, { priority: "high", jobClass: "fast" }), 5),
       waiting(job("wk-5", 5, { priority: "high", jobClass: "fast" }), 7),
       waiting(job("wk-6", 6, { priority: "best_effort" }), 0, true),
-      // Passed over for two minutes without one start: before all others, lest it never begins.
+      // Has waited for more than 120 s without a start: before all others, so that it does not
+      // starve.
       waiting(job("wk-7", 7, { tasks: 500 }), 121),
     ],
     OBJECTIVES,
--- a/test/scheduling/swarm.test.ts
+++ b/test/scheduling/swarm.test.ts
@@ -1,4 +1,4 @@
-/** The move probability against the paper's equations, and one period of the swarm. */
+/** Checks the move probability against the paper's equations, and the moves of one swarm period. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId, type TaskId } from "@umberfold/ids";
@@ -7,7 +7,7 @@
 
 const amount = (cpus: number, ramGb: number, gpus = 0): Resources => ({ cpus, gpus, ramGb });
 
-/** Worked out by hand from the paper's equations. */
+/** Expected values, calculated by hand from the paper's equations. */
 const probabilities: readonly [
   name: string,
   usedResources: Resources,
@@ -15,7 +15,7 @@
   smallestDemand: Resources,
   expected: number,
 ][] = [
-  ["one smallest task: p = 1 (eq. 9)", amount(1, 4), amount(8, 32), amount(1, 4), 1],
+  ["only the smallest task: p = 1 (eq. 9)", amount(1, 4), amount(8, 32), amount(1, 4), 1],
   ["full in the least used share: p = 0", amount(8, 32), amount(8, 32), amount(1, 4), 0],
   ["half: ((8-4)/(8-1))^2 = 16/49", amount(4, 16), amount(8, 32), amount(1, 4), 16 / 49],
   [
@@ -26,7 +26,7 @@
     (24 / 28) ** 2,
   ],
   [
-    "kinds that the machine lacks don't count",
+    "resources that the machine lacks are ignored",
     amount(4, 16, 0),
     amount(8, 32, 0),
     amount(1, 4, 0),
@@ -48,7 +48,7 @@
     1 / 3,
   ],
   [
-    "pending moves out may leave less than one task: clamped to 1",
+    "less in use than the smallest task, because of pending moves out: clamped to 1",
     amount(0, 0),
     amount(8, 32),
     amount(1, 4),
@@ -63,11 +63,11 @@
     );
   });
 
-/** Tasks as id, processors and loss in seconds. */
+/** A task as id, processors and lost work in seconds. */
 type TaskRow = readonly [id: string, cpus: number, lostWorkS: number];
 const task = (id: string, cpus: number, lostWorkS = 0): TaskRow => [id, cpus, lostWorkS];
 
-/** A machine of 8 processors; its tasks may move to any but the forbidden ones. */
+/** A machine of 8 processors. Its tasks may move to any machine except the forbidden ones. */
 const machine = (
   id: string,
   usedCpus: number,
@@ -85,7 +85,7 @@
   })),
 });
 
-/** `draw`: every random number of the period. */
+/** `draw`: the value of every random number in the period. */
 const periods: readonly {
   readonly name: string;
   readonly machines: readonly SwarmMachine[];
@@ -94,14 +94,14 @@
   readonly expected: readonly string[];
 }[] = [
   {
-    name: "a lone task joins a fuller machine with capacity",
+    name: "a single task moves to a fuller machine with free capacity",
     machines: [machine("a", 2, [task("t", 2)]), machine("b", 6, [task("u", 2), task("v", 4)])],
     draw: 0.5,
     maxMoves: 2,
     expected: ["t a>b"],
   },
   {
-    name: "a draw at or above p moves nothing",
+    name: "a random number at or above p moves nothing",
     machines: [
       machine("a", 4, [task("t", 2), task("w", 2)]),
       machine("b", 4, [task("u", 2), task("v", 2)]),
@@ -111,21 +111,21 @@
     expected: [],
   },
   {
-    name: "no task moves past a destination's capacity (eq. 26)",
+    name: "no task moves to a machine without enough free capacity (eq. 26)",
     machines: [machine("a", 4, [task("t", 4)]), machine("b", 6, [task("u", 6)])],
     draw: 0,
     maxMoves: 2,
     expected: [],
   },
   {
-    name: "no task moves to an empty machine: it would have to be kept",
+    name: "no task moves to an empty machine, because it could then not be returned",
     machines: [machine("a", 2, [task("t", 2)]), machine("b", 0, [])],
     draw: 0,
     maxMoves: 2,
     expected: [],
   },
   {
-    name: "a task that is expensive to restart stays",
+    name: "a task that is expensive to restart does not move",
     machines: [machine("a", 2, [task("t", 2, 60)]), machine("b", 6, [task("u", 6, 60)])],
     draw: 0,
     maxMoves: 2,
@@ -139,7 +139,7 @@
     expected: [],
   },
   {
-    name: "the period makes no more moves than its cap",
+    name: "a period plans at most the maximum number of moves",
     machines: [
       machine("a", 2, [task("t", 2)]),
       machine("b", 2, [task("s", 2)]),
