--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -7,7 +7,7 @@
  */
 import { attemptNumber, type MachineId } from "@umberfold/ids";
 import type { Settings } from "../../config/settings.js";
-import { addUse, type CandidateMachine } from "../../scheduling/placement.js";
+import { addUsedResources, type CandidateMachine } from "../../scheduling/placement.js";
 import { machineIdBytes, openAttemptBytes, progressBytes } from "../../storage/pages.js";
 import type { LiveJob, OpenAttempt } from "../../storage/records.js";
 import { maxPageBytes } from "../../storage/transaction-batch.js";
@@ -51,12 +51,12 @@
     this.#nextAttempt++;
     this.#namedMachines.add(machine.id);
     this.attempts.push({ index, attempt, machine: machine.id });
-    const { use, smallestDemand } = machine;
+    const { usedResources, smallestDemand } = machine;
     this.#restoreUse.push(() => {
-      machine.use = use;
+      machine.usedResources = usedResources;
       machine.smallestDemand = smallestDemand;
     });
-    addUse(machine, this.job.spec.resources);
+    addUsedResources(machine, this.job.spec.resources);
     return true;
   }
 
