--- a/src/coordination/cancellation/cancellations.ts
+++ b/src/coordination/cancellation/cancellations.ts
@@ -90,7 +90,7 @@
     const cancelMs = ctx.settings.workers.cancelS * 1000;
     const machinesToReturn = new Set<MachineId>();
     const foreign: ForeignCancellation[] = [];
-    for (const [job, { value: accepted, rev }] of ctx.replica.accepted) {
+    for (const [job, { value: accepted, rev }] of ctx.replica.acceptedJobs) {
       if (accepted.cancelledAt === null) continue;
       const ageMs = wallClockNow() - accepted.cancelledAt;
       const shard = ctx.replica.shardOf(job);
--- a/src/coordination/cancellation/notice-receiver.ts
+++ b/src/coordination/cancellation/notice-receiver.ts
@@ -28,7 +28,7 @@
   receive(notices: readonly CancellationNotice[]): void {
     const { replica } = this.ctx;
     for (const notice of notices) {
-      const accepted = replica.accepted.get(notice.job);
+      const accepted = replica.acceptedJobs.get(notice.job);
       if (accepted === undefined) continue;
       if (accepted.rev < notice.rev && accepted.value.cancelledAt === null) {
         const value = encodeAcceptedJob({ ...accepted.value, cancelledAt: notice.at });
--- a/src/coordination/cancellation/unreachable-owner-enforcement.ts
+++ b/src/coordination/cancellation/unreachable-owner-enforcement.ts
@@ -109,7 +109,7 @@
 
   #forgetFinishedJobs(): void {
     for (const job of this.#acknowledgedAt.keys())
-      if (!this.ctx.replica.accepted.has(job)) this.#acknowledgedAt.delete(job);
+      if (!this.ctx.replica.acceptedJobs.has(job)) this.#acknowledgedAt.delete(job);
   }
 
   #isAcknowledgmentStale(job: JobId, now: MonotonicMs): boolean {
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -57,7 +57,7 @@
   /** Writes the intents to rent, unless older ones are open; any later leader carries them out. */
   async intend(rentals: readonly PlannedRental[]): Promise<void> {
     const { replica, settings, log } = this.ctx;
-    if (rentals.length === 0 || replica.rentals.size > 0) return;
+    if (rentals.length === 0 || replica.rentalIntents.size > 0) return;
     const maxIntents = Math.min(settings.state.txnOps, MAX_INTENTS_PER_WRITE);
     const intents = rentals
       .flatMap(splitIntoCalls)
@@ -76,7 +76,7 @@
 
   /** Carries out written intents that are not in flight already. */
   async carryOut(): Promise<void> {
-    const open = [...this.ctx.replica.rentals].filter(([name]) => !this.#calling.has(name));
+    const open = [...this.ctx.replica.rentalIntents].filter(([name]) => !this.#calling.has(name));
     await Promise.all(open.map(([name, intent]) => this.#carryOutOne(name, intent)));
   }
 
--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -128,7 +128,7 @@
     for (const id of this.#machineStates.keys())
       if (!replica.machines.has(id)) this.#machineStates.delete(id);
     for (const id of this.#jobBackoffs.keys())
-      if (!replica.accepted.has(id)) this.#jobBackoffs.delete(id);
+      if (!replica.acceptedJobs.has(id)) this.#jobBackoffs.delete(id);
     // Another owner terminated these after a handover, so `forgetAttempt` wasn't called here.
     for (const [key, attempt] of this.#attemptStates)
       if (!replica.machines.has(attempt.machine)) this.#attemptStates.delete(key);
@@ -170,7 +170,7 @@
   /** Jobs that are at fault themselves and have failed since a task of theirs last completed. */
   *failingJobs(): Iterable<JobId> {
     for (const [id, backoff] of this.jobBackoffs)
-      if (backoff.failureCount > 0 && backoff.isJobAtFault && this.ctx.replica.accepted.has(id))
+      if (backoff.failureCount > 0 && backoff.isJobAtFault && this.ctx.replica.acceptedJobs.has(id))
         yield id;
   }
 
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -118,7 +118,7 @@
   const shardJobs = state.ctx.replica.shardJobs(round.shard);
   const job = shardJobs.jobs.get(id);
   const before: JobProgress =
-    job ?? shardJobs.pages.get(shardJobs.pageOf(id) ?? "")?.entries.get(id) ?? NO_PROGRESS;
+    job ?? shardJobs.pages.get(shardJobs.pageKeyOf(id) ?? "")?.entries.get(id) ?? NO_PROGRESS;
   const after = progressAfter(before, attempts);
   const terminated: TerminatedJob = { id, job, attempts };
   if (!writeProgress(state, round, terminated, after)) {
@@ -156,7 +156,7 @@
   const isCancelled = job.cancelledAt !== null;
   const doneTasks = rangesCount(progress.done);
   const isOver = isCancelled ? progress.open.length === 0 : doneTasks === job.spec.taskCount;
-  const revision = state.ctx.replica.accepted.get(id)?.rev;
+  const revision = state.ctx.replica.acceptedJobs.get(id)?.rev;
   const hasTerminations = attempts.length > 0;
   // Without terminations, the job comes from `finishCompletedJobs`, which applies its own limit.
   const mayFinish = !hasTerminations || batch.ops < batch.maxOps * MAX_FINISHED_JOBS_BATCH_FRACTION;
--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -93,7 +93,7 @@
     return sumOccupancy(shardJobs, id, terminated);
   const cache = occupancyCaches.get(shardJobs) ?? new Map<MachineId, CachedOccupancy>();
   occupancyCaches.set(shardJobs, cache);
-  const openAttemptsVersion = shardJobs.openVersionOn(id);
+  const openAttemptsVersion = shardJobs.openAttemptsVersionOn(id);
   const cached = cache.get(id);
   if (cached?.openAttemptsVersion === openAttemptsVersion) return cached;
   const occupancy = { ...sumOccupancy(shardJobs, id, NO_TASKS), openAttemptsVersion };
--- a/src/coordination/rounds/dirty-machines.ts
+++ b/src/coordination/rounds/dirty-machines.ts
@@ -43,7 +43,7 @@
     for (const { machine } of replica.job(id)?.open ?? [])
       if (sessions.has(machine)) dirtyMachines.add(machine);
   }
-  for (const id of replica.recentlyGone) if (sessions.has(id)) dirtyMachines.add(id);
+  for (const id of replica.recentlyGoneMachines) if (sessions.has(id)) dirtyMachines.add(id);
   replica.rewrittenJobs.clear();
-  replica.recentlyGone.clear();
+  replica.recentlyGoneMachines.clear();
 };
--- a/src/coordination/rounds/evictions.ts
+++ b/src/coordination/rounds/evictions.ts
@@ -11,7 +11,7 @@
 import type { ShardState } from "../ownership/shard-state.js";
 
 const specOf = (state: ShardState, id: JobId): JobSpec | undefined =>
-  state.ctx.replica.accepted.get(id)?.value.spec;
+  state.ctx.replica.acceptedJobs.get(id)?.value.spec;
 
 /**
  * An attempt is left to complete only if its expected remaining run time, multiplied by this
--- a/src/coordination/rounds/machine-record-phase.ts
+++ b/src/coordination/rounds/machine-record-phase.ts
@@ -75,7 +75,7 @@
       const record = replica.machines.get(id);
       // Unwritten machines of another shard are handled when the round reaches that shard.
       if (record !== undefined && record.shard !== round.shard) continue;
-      const key = replica.machinePageOf(id);
+      const key = replica.machinePageKeyOf(id);
       const change =
         record === undefined ? undefined : machineRecordChange(this.state, round, id, record);
       if (change === undefined || key === undefined) {
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -93,7 +93,7 @@
     if (waitingTaskCount(job) === 0) return true;
     const queued: QueuedJob = { ...step, job };
     const team = this.#teams.get(job.spec.team);
-    const accepted = this.state.ctx.replica.accepted.get(step.id);
+    const accepted = this.state.ctx.replica.acceptedJobs.get(step.id);
     if (team === undefined || accepted === undefined) return true;
     const placement = this.#machineChooser.beginJob(queued);
     const { starts } = placement;
--- a/src/coordination/workers/status-recorder.ts
+++ b/src/coordination/workers/status-recorder.ts
@@ -52,7 +52,7 @@
    */
   rereadOwnership(id: MachineId, { shard }: MachineRecord): void {
     const { ctx } = this.state;
-    void rereadKeys(ctx, [keys.shard(shard), ctx.replica.machinePageOf(id) ?? ""]);
+    void rereadKeys(ctx, [keys.shard(shard), ctx.replica.machinePageKeyOf(id) ?? ""]);
   }
 
   /** An attempt that is seen running for the first time: when it began, and which image it uses. */
@@ -64,7 +64,7 @@
     if (state.attemptStates.get(key)?.runningSince != null) return;
     const attempt = replica.openAttemptsOn(machine).get(status.task);
     if (attempt === undefined || attempt.attempt !== status.attempt) return;
-    const job = replica.accepted.get(attempt.job)?.value;
+    const job = replica.acceptedJobs.get(attempt.job)?.value;
     if (job === undefined) return;
     state.attemptState(key, machine).markRunning(now);
     metrics.record(`begin ${job.spec.jobClass}`, wallClockNow() - job.acceptedAt);
--- a/src/service/job-cancellation.ts
+++ b/src/service/job-cancellation.ts
@@ -57,7 +57,7 @@
 
   /** A live job as the replica has it, which another controller may have changed since. */
   #fromReplica(id: JobId): JobLookup | undefined {
-    const accepted = this.parts.ctx.replica.accepted.get(id);
+    const accepted = this.parts.ctx.replica.acceptedJobs.get(id);
     if (accepted === undefined) return undefined;
     const { value: job, rev } = accepted;
     return { kind: "live", job, rev, askedAt: monotonicNow() };
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -38,13 +38,13 @@
       // A change that is not known yet is foreign: own ones were applied when they were answered.
       // (While own deletes counted as foreign writes, an owner throttled itself when many jobs
       // finished at once.)
-      if (replica.isKnown(change)) continue;
+      if (replica.isApplied(change)) continue;
       // Finishing a job also writes its final record, which no watch shows.
       foreignWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
       replica.apply(change);
     }
     this.membership.recordPeerWrites(foreignWrites);
-    replica.advance(watched.rev);
+    replica.advanceTo(watched.rev);
     if (watched.changes.length > 0) this.#reconcileSoon();
   }
 
@@ -54,7 +54,7 @@
     ctx.isReplicaSynced = true;
     ctx.log.info("replica synced", {
       rev: ctx.replica.syncedRevision,
-      jobs: ctx.replica.accepted.size,
+      jobs: ctx.replica.acceptedJobs.size,
     });
     this.#reconcileSoon();
     return true;
@@ -63,7 +63,7 @@
   async #scan(): Promise<boolean> {
     const scan = await this.ctx.store.scan(CURRENT_PREFIX);
     if (scan === undefined) return false;
-    this.ctx.replica.reset(scan.items, scan.rev);
+    this.ctx.replica.applyScan(scan.items, scan.rev);
     return true;
   }
 
--- a/src/service/stats-report.ts
+++ b/src/service/stats-report.ts
@@ -23,7 +23,7 @@
   const cpu = process.cpuUsage();
   const loadSpreadStats = loadSpread.stats();
   ctx.log.info("stats", {
-    jobs: ctx.replica.accepted.size,
+    jobs: ctx.replica.acceptedJobs.size,
     machines: ctx.replica.machines.size,
     owner: owner.stats(),
     cancellations: cancels.stats(),
--- a/src/storage/job-page-drafts.ts
+++ b/src/storage/job-page-drafts.ts
@@ -77,7 +77,7 @@
 
   /** The key of the page that a job's progress is in, or is to be in; undefined for none. */
   pageOf(shard: ShardId, id: JobId): string | undefined {
-    return this.#movedTo.get(id) ?? this.replica.shardJobs(shard).pageOf(id);
+    return this.#movedTo.get(id) ?? this.replica.shardJobs(shard).pageKeyOf(id);
   }
 
   /** The draft of a page. A new one is no part of the transaction until it is added. */
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -98,7 +98,7 @@
   async read(id: JobId): Promise<JobLookup> {
     const known = this.#finals.get(id);
     if (known !== undefined) return { kind: "final", job: known };
-    if (!this.replica.accepted.has(id)) {
+    if (!this.replica.acceptedJobs.has(id)) {
       const final = await this.#sharedReadFinal(id);
       if (final.kind !== "none") return final;
     }
@@ -202,7 +202,7 @@
 
   #claimOf(question: Question): Claim {
     const { id } = question;
-    const accepted = this.replica.accepted.get(id);
+    const accepted = this.replica.acceptedJobs.get(id);
     if (accepted === undefined) {
       const absent = [keys.live(id), keys.final(id)].map((key) => ({ key, rev: KEY_ABSENT }));
       return { question, conditions: absent, known: undefined };
--- a/src/storage/replica.ts
+++ b/src/storage/replica.ts
@@ -38,13 +38,13 @@
 /** The copy of the watched keys, by kind of record. */
 export class Replica {
   /** Accepted jobs that are not over. */
-  readonly accepted = new Map<JobId, Versioned<AcceptedJob>>();
+  readonly acceptedJobs = new Map<JobId, Versioned<AcceptedJob>>();
   /** The owner of each shard; none for a shard that nobody has claimed. */
   readonly shardOwners = new Map<ShardId, Versioned<ControllerId>>();
   /** The controllers whose leases are alive. */
   readonly members = new Map<ControllerLabel, Versioned<ControllerId>>();
   /** Rental intents, by name. */
-  readonly rentals = new Map<string, Versioned<RentalIntent>>();
+  readonly rentalIntents = new Map<string, Versioned<RentalIntent>>();
   /** Records of gone machines, by name. */
   readonly goneRecords = new Map<string, Versioned<GoneRecord>>();
   /** The controller that leads; undefined while none does. */
@@ -62,7 +62,7 @@
   /** Jobs whose records were rewritten since a reader last emptied this set. */
   readonly rewrittenJobs = new Set<JobId>();
   /** Machines proved gone since a reader last emptied this set. */
-  readonly recentlyGone = new Set<MachineId>();
+  readonly recentlyGoneMachines = new Set<MachineId>();
   readonly #fleet = new FleetIndex((key) => this.revisionOf(key));
   readonly #jobsByShard = new Map<ShardId, ShardJobs>();
   readonly #revisions = new Map<string, Revision>();
@@ -101,7 +101,7 @@
       },
     },
     member: mapHandler(this.members, controllerLabel, parseControllerId),
-    rental: mapHandler(this.rentals, (name) => name, parseRentalIntent),
+    rental: mapHandler(this.rentalIntents, (name) => name, parseRentalIntent),
     leader: {
       put: (_name, value, rev) => {
         const leader = parseControllerId(value);
@@ -158,7 +158,7 @@
   shardJobs(shard: ShardId): ShardJobs {
     let jobs = this.#jobsByShard.get(shard);
     if (jobs === undefined) {
-      jobs = new ShardJobs((id) => this.accepted.get(id)?.value);
+      jobs = new ShardJobs((id) => this.acceptedJobs.get(id)?.value);
       this.#jobsByShard.set(shard, jobs);
     }
     return jobs;
@@ -166,7 +166,7 @@
 
   /** The shard that a job was placed in, else its team's home shard; undefined if unknown. */
   shardOf(id: JobId): ShardId | undefined {
-    const accepted = this.accepted.get(id);
+    const accepted = this.acceptedJobs.get(id);
     if (accepted === undefined) return undefined;
     return accepted.value.shard ?? this.teams?.value.get(accepted.value.spec.team);
   }
@@ -193,7 +193,7 @@
   }
 
   /** The key of the page that a machine's row is in. */
-  machinePageOf(id: MachineId): string | undefined {
+  machinePageKeyOf(id: MachineId): string | undefined {
     return this.#fleet.pageOf(id);
   }
 
@@ -208,7 +208,7 @@
   }
 
   /** Whether a change, or a newer one of its key, is in already: by an own commit, watch or read. */
-  isKnown(change: StoreChange): boolean {
+  isApplied(change: StoreChange): boolean {
     const known = this.#revisions.get(change.key) ?? this.#deletedAhead.get(change.key);
     return change.rev <= (known ?? KEY_ABSENT);
   }
@@ -217,7 +217,7 @@
   apply(change: StoreChange): void {
     const { key, rev } = change;
     if (rev > this.latestSeenRevision) this.latestSeenRevision = rev;
-    if (this.isKnown(change)) return;
+    if (this.isApplied(change)) return;
     const { kind, name } = classifyKey(key);
     if (change.kind === "put") {
       this.#revisions.set(key, rev);
@@ -231,7 +231,7 @@
   }
 
   /** The watch has brought everything up to `rev`. */
-  advance(rev: Revision): void {
+  advanceTo(rev: Revision): void {
     if (rev <= this.syncedRevision) return;
     this.syncedRevision = rev;
     if (rev > this.latestSeenRevision) this.latestSeenRevision = rev;
@@ -240,28 +240,28 @@
   }
 
   /** Takes a full scan in: keys that it lacks are gone, unless they are younger than the scan. */
-  reset(items: readonly KeyValue[], rev: Revision): void {
+  applyScan(items: readonly KeyValue[], rev: Revision): void {
     const present = new Set(items.map((item) => item.key));
     for (const [key, knownRev] of [...this.#revisions])
       if (!present.has(key) && knownRev <= rev) this.apply({ kind: "delete", key, rev });
     for (const item of items) this.apply({ kind: "put", ...item });
-    this.advance(rev);
+    this.advanceTo(rev);
   }
 
   #putAcceptedJob(id: JobId, value: unknown, rev: Revision): void {
     // Both the shard that it leaves and the one that it enters, if its record names another.
     this.#jobChanged(id);
-    const before = this.accepted.get(id);
-    putParsed(this.accepted, id, parseAcceptedJob(id, value), rev);
-    this.spans.jobChanged(before?.value, this.accepted.get(id)?.value);
+    const before = this.acceptedJobs.get(id);
+    putParsed(this.acceptedJobs, id, parseAcceptedJob(id, value), rev);
+    this.spans.jobChanged(before?.value, this.acceptedJobs.get(id)?.value);
     if (before !== undefined) this.rewrittenJobs.add(id);
     this.#jobChanged(id);
   }
 
   #dropAcceptedJob(id: JobId): void {
     this.#jobChanged(id);
-    this.spans.jobChanged(this.accepted.get(id)?.value, undefined);
-    this.accepted.delete(id);
+    this.spans.jobChanged(this.acceptedJobs.get(id)?.value, undefined);
+    this.acceptedJobs.delete(id);
   }
 
   #putMachinePage(shard: ShardId, key: string, value: unknown, rev: Revision): void {
@@ -272,7 +272,7 @@
 
   #putGoneRecord(name: string, value: unknown, rev: Revision): void {
     putParsed(this.goneRecords, name, parseGoneRecord(value), rev);
-    for (const id of this.goneRecords.get(name)?.value.ids ?? []) this.recentlyGone.add(id);
+    for (const id of this.goneRecords.get(name)?.value.ids ?? []) this.recentlyGoneMachines.add(id);
     this.#refreshGone();
   }
 
@@ -283,7 +283,7 @@
   #putTeams(value: unknown, rev: Revision): void {
     this.teams = { value: parseTeams(value), rev };
     this.spans.homesChanged();
-    for (const id of this.accepted.keys()) this.#jobChanged(id);
+    for (const id of this.acceptedJobs.keys()) this.#jobChanged(id);
   }
 
   #jobChanged(id: JobId): void {
--- a/src/storage/shard-jobs.ts
+++ b/src/storage/shard-jobs.ts
@@ -90,7 +90,7 @@
   }
 
   /** The key of the page that a job's progress is in; undefined for a job without progress. */
-  pageOf(id: JobId): string | undefined {
+  pageKeyOf(id: JobId): string | undefined {
     this.#refresh();
     return this.#pageKeyOf.get(id);
   }
@@ -102,7 +102,7 @@
   }
 
   /** The same number as before means: the same is open on the machine, with the same resources. */
-  openVersionOn(id: MachineId): number {
+  openAttemptsVersionOn(id: MachineId): number {
     this.#refresh();
     return this.#openVersions.get(id) ?? 0;
   }
--- a/test/coordination/ownership/shard-state.test.ts
+++ b/test/coordination/ownership/shard-state.test.ts
@@ -39,7 +39,7 @@
   } as unknown as ControllerContext;
   const state = new ShardState(ctx, membership, () => undefined);
   replica.apply({ kind: "put", key: page("x"), value: machines, rev: revision(10) });
-  replica.advance(revision(10));
+  replica.advanceTo(revision(10));
   state.syncSessions(monotonicMs(0));
   return { replica, state, ownedShards };
 };
@@ -57,7 +57,7 @@
   state.syncSessions(monotonicMs(1));
   assert.equal(state.sessions.get(ID), before);
   replica.apply({ kind: "put", key: page("y"), value: machines, rev: revision(12) });
-  replica.advance(revision(12));
+  replica.advanceTo(revision(12));
   state.syncSessions(monotonicMs(2));
   assert.equal(state.sessions.get(ID), before);
 });
@@ -66,7 +66,7 @@
   const { replica, state } = setUp();
   replica.apply({ kind: "delete", key: page("x"), rev: revision(12) });
   state.syncSessions(monotonicMs(1));
-  replica.advance(revision(12));
+  replica.advanceTo(revision(12));
   state.syncSessions(monotonicMs(2));
   assert.equal(state.sessions.size, 0);
 });
@@ -141,10 +141,10 @@
   const key = "now/live/wk-1";
   const put = { kind: "put", key, value: {}, rev: revision(11) } as const;
   const drop = { kind: "delete", key, rev: revision(12) } as const;
-  assert.equal(replica.isKnown(put), false);
+  assert.equal(replica.isApplied(put), false);
   replica.apply(put);
-  assert.equal(replica.isKnown(put), true);
-  assert.equal(replica.isKnown(drop), false);
+  assert.equal(replica.isApplied(put), true);
+  assert.equal(replica.isApplied(drop), false);
   replica.apply(drop);
-  assert.equal(replica.isKnown(drop), true);
+  assert.equal(replica.isApplied(drop), true);
 });
--- a/test/coordination/rounds/machine-record-changes.test.ts
+++ b/test/coordination/rounds/machine-record-changes.test.ts
@@ -38,7 +38,7 @@
   const state = new ShardState(ctx, membership, () => undefined);
   const value = encodeMachinePage([[MACHINE, record]]);
   replica.apply({ kind: "put", key: keys.fleet(SHARD, "1"), value, rev: LATEST });
-  replica.advance(LATEST);
+  replica.advanceTo(LATEST);
   state.syncSessions(monotonicMs(0));
   const worker = { machine: MACHINE, endpoint, type: "small", zone: "a", spot: false };
   const order = { epoch: 1, sequence: 1, token: LATEST as never, preemptionNoticeS: null };
--- a/test/coordination/rounds/termination-evidence.test.ts
+++ b/test/coordination/rounds/termination-evidence.test.ts
@@ -64,7 +64,7 @@
   const record = { ...row, rentedAt: wallClockMs(0), tokenFloor: TOKEN_FLOOR };
   const value = encodeMachinePage([[MACHINE, record]]);
   replica.apply({ kind: "put", key: keys.fleet(SHARD, "1"), value, rev: TOKEN_FLOOR });
-  replica.advance(TOKEN_FLOOR);
+  replica.advanceTo(TOKEN_FLOOR);
   state.syncSessions(monotonicMs(0));
   if (situation.startInFlight) state.stepSession(MACHINE, { kind: "command_sent", starts: [KEY] });
   if (tasks !== undefined) {
--- a/test/coordination/workers/channel-setup.ts
+++ b/test/coordination/workers/channel-setup.ts
@@ -124,7 +124,7 @@
     value: encodeMachinePage(ids.map((id) => [id, RECORD])),
     rev,
   });
-  replica.advance(rev);
+  replica.advanceTo(rev);
   state.syncSessions(monotonicMs(0));
   return { state, replica, client, calls, events, roundsAsked: () => rounds };
 };
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -105,7 +105,7 @@
   #put(key: string, value: unknown): Revision {
     const rev = revision(++this.#rev);
     this.replica.apply({ kind: "put", key, value, rev });
-    this.replica.advance(rev);
+    this.replica.advanceTo(rev);
     return rev;
   }
 
@@ -157,7 +157,7 @@
       const id = jobId(`wk-${i}`);
       const spec = this.#counted(specOf(id));
       const job = { spec, acceptedAt: wallClockMs(i), cancelledAt: null, shard: null };
-      this.replica.accepted.set(id, { value: job, rev: revision(1) });
+      this.replica.acceptedJobs.set(id, { value: job, rev: revision(1) });
       // Running tasks are on a machine without a session.
       const open = [{ index: 0, attempt: attemptNumber(1), machine: machineId("m-99") }];
       if (i < running) page.set(id, { done: [], open, nextAttempt: 2 });
--- a/test/storage/page-limits.test.ts
+++ b/test/storage/page-limits.test.ts
@@ -52,11 +52,11 @@
     replica.shardJobs(SHARD).openAttemptsOn(machineId(machine)).size;
   assert.equal(openOn("m-000003"), written);
   const first = jobId("wk-0");
-  const pageBefore = replica.shardJobs(SHARD).pageOf(first);
+  const pageBefore = replica.shardJobs(SHARD).pageKeyOf(first);
   const grown = new TransactionBatch(replica, LIMITS);
   assert.ok(grown.putJob(SHARD, first, openAttempts(270)));
   applyPuts(replica, grown.transaction().ops, 3);
-  assert.notEqual(replica.shardJobs(SHARD).pageOf(first), pageBefore);
+  assert.notEqual(replica.shardJobs(SHARD).pageKeyOf(first), pageBefore);
   assert.equal(openOn("m-000003"), written);
   assert.equal(openOn("m-000269"), 1);
 });
--- a/test/storage/replica.test.ts
+++ b/test/storage/replica.test.ts
@@ -21,7 +21,7 @@
     });
     for (const change of order) replica.apply(change);
     assert.equal(replica.machines.get(machineId("m-1"))?.shard, 1);
-    assert.equal(replica.machinePageOf(machineId("m-1")), "now/fleet/1/y");
+    assert.equal(replica.machinePageKeyOf(machineId("m-1")), "now/fleet/1/y");
   }
 });
 
@@ -39,12 +39,12 @@
   replica.apply({ kind: "delete", key, rev: revision(9) });
   put(7, "late");
   assert.equal(replica.members.size, 0);
-  replica.advance(revision(9));
+  replica.advanceTo(revision(9));
   put(11, "again");
   assert.equal(knownStart(), "again");
   // A scan from before the last change doesn't revert it; one from after does.
-  replica.reset([], revision(10));
+  replica.applyScan([], revision(10));
   assert.equal(replica.members.size, 1);
-  replica.reset([], revision(12));
+  replica.applyScan([], revision(12));
   assert.equal(replica.members.size, 0);
 });
