--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -65,8 +65,9 @@
     const { replica, quotas } = this.ctx;
     const jobs = new Set<JobId>();
     for (const [shard, { index }] of replica.allShardJobs())
-      for (const id of index.withinGuarantee(quotas.teamsForShard(shard).values(), (job, spec) =>
-        this.failing.desiredTaskCount(job, spec),
+      for (const id of index.jobsWithinGuarantee(
+        quotas.teamsForShard(shard).values(),
+        (job, spec) => this.failing.desiredTaskCount(job, spec),
       ))
         jobs.add(id);
     return jobs;
@@ -76,7 +77,7 @@
   hasUnplacedTasks(): boolean {
     const now = wallClockNow();
     for (const [, { index }] of this.ctx.replica.allShardJobs())
-      for (const job of index.waiting.values())
+      for (const job of index.waitingJobs.values())
         if (now - job.acceptedAt > PLACED_BY_OWNER_MS) return true;
     return false;
   }
--- a/src/coordination/fleet/plan-log.ts
+++ b/src/coordination/fleet/plan-log.ts
@@ -21,7 +21,7 @@
 ): void => {
   for (const shard of replica.shardOwners.keys()) {
     const inShard = machines.filter((machine) => machine.shard === shard);
-    const waiting = [...replica.shardJobs(shard).index.waiting.values()];
+    const waiting = [...replica.shardJobs(shard).index.waitingJobs.values()];
     log.debug("fleet planned", {
       shard,
       upCpus: totalCpus(inShard.filter((machine) => machine.up)),
--- a/src/coordination/load-spread/owner-loads.ts
+++ b/src/coordination/load-spread/owner-loads.ts
@@ -19,10 +19,10 @@
 const taskUnits = (replica: Replica, shard: ShardId): number => {
   const { index } = replica.shardJobs(shard);
   let open = 0;
-  for (const counts of index.openByTeam().values())
+  for (const counts of index.openAttemptCountsByTeam().values())
     for (const { count } of counts.values()) open += count;
   let waiting = 0;
-  for (const job of index.waiting.values()) waiting += waitingTaskCount(job);
+  for (const job of index.waitingJobs.values()) waiting += waitingTaskCount(job);
   return open + Math.min(waiting, MAX_WAITING_UNITS);
 };
 
--- a/src/coordination/load-spread/quota-transfers.ts
+++ b/src/coordination/load-spread/quota-transfers.ts
@@ -67,7 +67,7 @@
   /** What the team's open attempts in a shard take of its quota. */
   #usedShare(team: TeamName, shard: ShardId): Share {
     const settings = this.ctx.teams.get(team);
-    const used = this.ctx.replica.shardJobs(shard).index.teamUse().get(team);
+    const used = this.ctx.replica.shardJobs(shard).index.usedResourcesByTeam().get(team);
     return quotaShare(
       settings === undefined || used === undefined ? 0 : quotaFraction(settings, used),
     );
--- a/src/coordination/load-spread/team-loads.ts
+++ b/src/coordination/load-spread/team-loads.ts
@@ -41,8 +41,8 @@
     sumsByTeam.set(team, sums);
     return sums;
   };
-  for (const [team, jobs] of index.liveJobs()) sumsFor(team).jobs = jobs;
-  for (const [name, counts] of index.openByTeam()) {
+  for (const [team, jobs] of index.uncancelledJobCounts()) sumsFor(team).jobs = jobs;
+  for (const [name, counts] of index.openAttemptCountsByTeam()) {
     const team = teams.get(name);
     const sums = sumsFor(name);
     for (const { resources, count } of counts.values()) {
@@ -51,7 +51,7 @@
       if (team !== undefined) sums.openFraction += count * quotaFraction(team, resources);
     }
   }
-  for (const job of index.waiting.values()) {
+  for (const job of index.waitingJobs.values()) {
     const team = teams.get(job.spec.team);
     if (team === undefined) continue;
     const sums = sumsFor(job.spec.team);
--- a/src/coordination/rounds/attempt-termination.ts
+++ b/src/coordination/rounds/attempt-termination.ts
@@ -72,7 +72,7 @@
   maxBatchFraction = 1,
 ): void => {
   const { index } = state.ctx.replica.shardJobs(round.shard);
-  for (const finishable of [index.cancelled, index.complete])
+  for (const finishable of [index.cancelledJobs, index.completedJobs])
     for (const [id, job] of finishable) {
       if (round.batch.ops >= round.batch.maxOps * maxBatchFraction) return;
       if (job.open.length === 0 && !round.drafts.has(id)) terminateInJob(state, round, id, []);
--- a/src/coordination/rounds/machine-page-compaction.ts
+++ b/src/coordination/rounds/machine-page-compaction.ts
@@ -74,7 +74,7 @@
   writtenKeys: ReadonlySet<string>,
 ): void => {
   if (pages.length < MIN_PAGES_TO_COMPACT) return;
-  if (writtenKeys.size === 0 && store.writeLevel() < MIN_WRITE_BUDGET_FRACTION) return;
+  if (writtenKeys.size === 0 && store.writeBudgetFraction() < MIN_WRITE_BUDGET_FRACTION) return;
   const pageBytes = maxPageBytes({ ...settings.state, shardCount: settings.shardCount });
   const maxMachinesPerPage = (pageBytes * MAX_MERGED_PAGE_FRACTION) / MACHINE_BYTES;
   const pagesBySize = [...pages].sort((a, b) => a[1].machines.size - b[1].machines.size);
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -41,7 +41,7 @@
     const { index } = state.ctx.replica.shardJobs(shard);
     this.#teams = state.ctx.quotas.teamsForShard(shard);
     this.#candidates = candidateMachines(state, shard, terminatedByMachine, changedMachines);
-    this.#withinGuarantee = new Set(index.withinGuarantee(this.#teams.values()));
+    this.#withinGuarantee = new Set(index.jobsWithinGuarantee(this.#teams.values()));
     const preemption = new PreemptionPhase(state, round, this.#withinGuarantee, this.#candidates);
     this.#machineChooser = new MachineChooser(state, this.#candidates, preemption);
   }
@@ -73,7 +73,7 @@
   /** The resources used by each team's open attempts without those that this round terminates. */
   #teamUse(): Map<TeamName, Resources> {
     const shardJobs = this.state.ctx.replica.shardJobs(this.round.shard);
-    const teamUse = shardJobs.index.teamUse();
+    const teamUse = shardJobs.index.usedResourcesByTeam();
     for (const [id, draft] of this.round.drafts) {
       const terminated = (shardJobs.jobs.get(id)?.open.length ?? 0) - draft.open.length;
       const { team, resources } = draft.spec;
--- a/src/coordination/rounds/placement-queue.ts
+++ b/src/coordination/rounds/placement-queue.ts
@@ -15,8 +15,8 @@
   state: ShardState,
   round: ShardRound,
 ): Generator<readonly [JobId, LiveJob], void> {
-  const { waiting } = state.ctx.replica.shardJobs(round.shard).index;
-  for (const [id, job] of waiting) if (!round.drafts.has(id)) yield [id, job];
+  const { index } = state.ctx.replica.shardJobs(round.shard);
+  for (const [id, job] of index.waitingJobs) if (!round.drafts.has(id)) yield [id, job];
   for (const [id, job] of round.drafts) if (waitingTaskCount(job) > 0) yield [id, job];
 }
 
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -108,7 +108,7 @@
   const { replica, operators, random } = state.ctx;
   const shardJobs = replica.shardJobs(shard);
   const candidates = candidateMachines(state, shard, new Map(), new Set());
-  const waiting = representativeJobs(shardJobs.index.waiting.values());
+  const waiting = representativeJobs(shardJobs.index.waitingJobs.values());
   const machines: SwarmMachine[] = [];
   for (const candidate of candidates.values()) {
     // A machine that suits a waiting job is skipped: placement fills it, and would also fill the
--- a/src/service/job-cancellation.ts
+++ b/src/service/job-cancellation.ts
@@ -41,12 +41,12 @@
       if (result.kind === "applied") {
         applyCommitted(ctx.replica, operations, result.rev);
         wake();
-        const askedAt = monotonicNow();
+        const asOf = monotonicNow();
         return answers.aboutCancelled(id, {
           kind: "live",
           job: cancelled,
           rev: result.rev,
-          askedAt,
+          asOf,
         });
       }
       // The owner wrote between our read and our write: read again.
@@ -60,6 +60,6 @@
     const accepted = this.parts.ctx.replica.acceptedJobs.get(id);
     if (accepted === undefined) return undefined;
     const { value: job, rev } = accepted;
-    return { kind: "live", job, rev, askedAt: monotonicNow() };
+    return { kind: "live", job, rev, asOf: monotonicNow() };
   }
 }
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -55,7 +55,7 @@
   async #submitParsed(spec: JobSpec): Promise<HttpResponse> {
     const { ctx, jobs, answers } = this.parts;
     // Known jobs come first: settings or types may have changed since they were accepted.
-    if (jobs.finalOf(spec.id) !== undefined || ctx.replica.acceptedJobs.has(spec.id)) {
+    if (jobs.cachedFinalJob(spec.id) !== undefined || ctx.replica.acceptedJobs.has(spec.id)) {
       const found = await jobs.read(spec.id);
       if (found.kind !== "none") return answers.about(spec.id, found);
     }
--- a/src/service/user-api.ts
+++ b/src/service/user-api.ts
@@ -64,8 +64,7 @@
     if (!isJobId(id)) return UNKNOWN_JOB;
     const found = await this.#jobs.read(jobId(id));
     // Read before a process pause, perhaps: another controller may have answered with more since.
-    if (found.kind === "live" && monotonicNow() - found.askedAt > STALE_READ_MS)
-      return tryAgain(503);
+    if (found.kind === "live" && monotonicNow() - found.asOf > STALE_READ_MS) return tryAgain(503);
     return this.#answers.about(jobId(id), found);
   }
 
--- a/src/storage/job-index.ts
+++ b/src/storage/job-index.ts
@@ -9,7 +9,7 @@
 import { completedTaskCount, type LiveJob, waitingTaskCount } from "./job-records.js";
 
 /** A team's guarantee; of cpus and gpus alone, for memory is not guaranteed. */
-export interface Guarantee {
+export interface TeamGuarantee {
   readonly name: TeamName;
   readonly cpus: number;
   readonly gpus: number;
@@ -48,11 +48,11 @@
 /** The views; see the module's head for what holds of them. */
 export class JobIndex {
   /** Jobs with tasks that wait. */
-  readonly waiting = new Map<JobId, LiveJob>();
+  readonly waitingJobs = new Map<JobId, LiveJob>();
   /** Jobs that were cancelled and have no final record yet. */
-  readonly cancelled = new Map<JobId, LiveJob>();
+  readonly cancelledJobs = new Map<JobId, LiveJob>();
   /** Jobs whose tasks have all completed and that have no final record yet. */
-  readonly complete = new Map<JobId, LiveJob>();
+  readonly completedJobs = new Map<JobId, LiveJob>();
   readonly #jobsByResources = new Map<string, ResourceCount>();
   readonly #openByTeam = new Map<TeamName, Map<string, ResourceCount>>();
   /** Jobs that were not cancelled, in the order in which they were accepted. */
@@ -70,7 +70,7 @@
   }
 
   /** What the open attempts of each team use: every one counts until it is terminated. */
-  teamUse(): Map<TeamName, Resources> {
+  usedResourcesByTeam(): Map<TeamName, Resources> {
     const useByTeam = new Map<TeamName, Resources>();
     for (const [team, counts] of this.#openByTeam) {
       let use = { cpus: 0, gpus: 0, ramGb: 0 };
@@ -86,12 +86,12 @@
   }
 
   /** The open attempts of each team, as counts of attempts with the same resources. */
-  openByTeam(): ReadonlyMap<TeamName, ReadonlyMap<string, Readonly<ResourceCount>>> {
+  openAttemptCountsByTeam(): ReadonlyMap<TeamName, ReadonlyMap<string, Readonly<ResourceCount>>> {
     return this.#openByTeam;
   }
 
   /** How many jobs of each team are live and not cancelled. */
-  *liveJobs(): Iterable<readonly [TeamName, number]> {
+  *uncancelledJobCounts(): Iterable<readonly [TeamName, number]> {
     for (const [team, ordered] of this.#orderByTeam) yield [team, ordered.length];
   }
 
@@ -100,8 +100,8 @@
    * unfinished jobs. Looks no further than the first job beyond it, for sums only grow. `tasksOf`
    * says how many of a job's tasks count.
    */
-  *withinGuarantee(
-    teams: Iterable<Guarantee>,
+  *jobsWithinGuarantee(
+    teams: Iterable<TeamGuarantee>,
     tasksOf: (id: JobId, spec: JobSpec) => number = (_id, spec) => spec.taskCount,
   ): Iterable<JobId> {
     for (const team of teams) {
@@ -121,9 +121,9 @@
   #remove(id: JobId, before: LiveJob, after: LiveJob | undefined): void {
     const { spec } = before;
     if (after === undefined) {
-      this.waiting.delete(id);
-      this.cancelled.delete(id);
-      this.complete.delete(id);
+      this.waitingJobs.delete(id);
+      this.cancelledJobs.delete(id);
+      this.completedJobs.delete(id);
     }
     if (after?.spec !== spec) addCount(this.#jobsByResources, spec.resources, -1);
     if (before.open.length > 0) {
@@ -138,13 +138,13 @@
 
   #add(id: JobId, before: LiveJob | undefined, after: LiveJob): void {
     const { spec } = after;
-    if (waitingTaskCount(after) > 0) this.waiting.set(id, after);
-    else this.waiting.delete(id);
-    if (after.cancelledAt !== null) this.cancelled.set(id, after);
-    else this.cancelled.delete(id);
+    if (waitingTaskCount(after) > 0) this.waitingJobs.set(id, after);
+    else this.waitingJobs.delete(id);
+    if (after.cancelledAt !== null) this.cancelledJobs.set(id, after);
+    else this.cancelledJobs.delete(id);
     if (after.cancelledAt === null && completedTaskCount(after) === spec.taskCount)
-      this.complete.set(id, after);
-    else this.complete.delete(id);
+      this.completedJobs.set(id, after);
+    else this.completedJobs.delete(id);
     if (before?.spec !== spec) addCount(this.#jobsByResources, spec.resources, 1);
     if (after.open.length > 0) {
       const counts = this.#openByTeam.get(spec.team) ?? new Map<string, ResourceCount>();
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -27,7 +27,7 @@
       readonly job: AcceptedJob;
       readonly rev: Revision;
       /** When the request was sent that proved it: the state is no older than that. */
-      readonly askedAt: MonotonicMs;
+      readonly asOf: MonotonicMs;
     }
   /** Over. */
   | { readonly kind: "final"; readonly job: FinalJob }
@@ -90,7 +90,7 @@
   ) {}
 
   /** A final record that is known here, which needs no request. */
-  finalOf(id: JobId): FinalJob | undefined {
+  cachedFinalJob(id: JobId): FinalJob | undefined {
     return this.#finals.get(id);
   }
 
@@ -128,14 +128,14 @@
   /** Live first, then final: jobs move only that way, so only both absent means unknown. */
   async #readLiveThenFinal(id: JobId): Promise<JobLookup> {
     if (!(await this.#waitForBudget())) return UNAVAILABLE;
-    const askedAt = monotonicNow();
+    const asOf = monotonicNow();
     const read = await this.store.get(keys.live(id));
     if (read.kind === "unavailable") return UNAVAILABLE;
     if (read.kind === "absent") return this.#readFinal(id);
     this.replica.apply({ kind: "put", ...read.item });
     const job = parseAcceptedJob(id, read.item.value);
     if (job === undefined) return UNAVAILABLE;
-    return { kind: "live", job, rev: read.item.rev, askedAt };
+    return { kind: "live", job, rev: read.item.rev, asOf };
   }
 
   /** Waits a little for a part of the state store's requests; false if there is none. */
@@ -212,7 +212,7 @@
   }
 
   async #compare(claims: readonly Claim[]): Promise<void> {
-    const askedAt = monotonicNow();
+    const asOf = monotonicNow();
     this.counters.comparisons++;
     this.counters.compared += claims.length;
     const conditionByKey = new Map(
@@ -222,7 +222,7 @@
     const failedKeys = new Set(result.kind === "conflict" ? result.failed : []);
     for (const { question, known, conditions } of claims) {
       if (result.kind === "current")
-        answerAll(question, known === undefined ? NONE : { kind: "live", ...known, askedAt });
+        answerAll(question, known === undefined ? NONE : { kind: "live", ...known, asOf });
       else if (result.kind === "unavailable") answerAll(question, UNAVAILABLE);
       else if (conditions.some((each) => failedKeys.has(each.key))) this.#readAlone(question);
       else this.#compareAgain(question);
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -99,7 +99,7 @@
   }
 
   /** How full the budget of changes is, from 0 to 1. */
-  writeLevel(): number {
+  writeBudgetFraction(): number {
     return this.#budget.writeLevel();
   }
 
--- a/test/coordination/rounds/machine-page-compaction.test.ts
+++ b/test/coordination/rounds/machine-page-compaction.test.ts
@@ -31,7 +31,7 @@
 const changedPageSizes = (
   sizes: Readonly<Record<string, number>>,
   written: readonly string[],
-  writeLevel: number,
+  writeBudgetFraction: number,
 ): Readonly<Record<string, number>> => {
   const replica = new Replica();
   let rev = 0;
@@ -41,7 +41,7 @@
     replica.apply({ kind: "put", key: pageKey(name), value, rev: revision(++rev) });
   }
   const batch = new TransactionBatch(replica, { ...LIMITS, shardCount: 1 });
-  const store = { writeLevel: () => writeLevel };
+  const store = { writeBudgetFraction: () => writeBudgetFraction };
   const ctx = { settings: { state: LIMITS, shardCount: 1 }, store } as unknown as ControllerContext;
   const round = newShardRound(SHARD, batch, monotonicMs(0));
   const pages = [...replica.machinePages];
@@ -61,7 +61,7 @@
   name: string,
   sizes: Readonly<Record<string, number>>,
   written: readonly string[],
-  writeLevel: number,
+  writeBudgetFraction: number,
   edited: Readonly<Record<string, number>>,
 ])[] = [
   ["a shard with two pages is not compacted", { a: 1, b: 2 }, ["a"], 1, {}],
@@ -102,7 +102,7 @@
   ],
   ["the smallest page is never the target of a merge", { a: 1, b: 2, c: 3 }, ["a"], 1, {}],
 ];
-for (const [name, sizes, written, writeLevel, edited] of cases)
+for (const [name, sizes, written, writeBudgetFraction, edited] of cases)
   test(`machine page compaction: ${name}`, () => {
-    assert.deepEqual(changedPageSizes(sizes, written, writeLevel), edited);
+    assert.deepEqual(changedPageSizes(sizes, written, writeBudgetFraction), edited);
   });
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -89,7 +89,7 @@
       teams: new Map([[TEAM, team]]),
       quotas: new ShardQuotas(this.replica, new Map([[TEAM, team]])),
       operators: defaultOperators(),
-      store: { isFailing: () => false, writeLevel: () => 0 },
+      store: { isFailing: () => false, writeBudgetFraction: () => 0 },
       eventLoopLag: new EventLoopLag(),
       log: { enabled: () => false, info: () => undefined, debug: () => undefined },
       metrics: { record: () => undefined },
--- a/test/storage/job-index-guarantee.test.ts
+++ b/test/storage/job-index-guarantee.test.ts
@@ -11,5 +11,5 @@
   const jobs = [job("wk-3", 3), job("wk-1", 1, { tasks: 2 }), job("wk-2", 2, { tasks: 2 })];
   const index = new JobIndex();
   for (const [id, live] of jobs) index.replace(id, undefined, live);
-  assert.deepEqual([...index.withinGuarantee(teams.values())].sort(), ["wk-1", "wk-2"]);
+  assert.deepEqual([...index.jobsWithinGuarantee(teams.values())].sort(), ["wk-1", "wk-2"]);
 });
--- a/test/storage/job-index.test.ts
+++ b/test/storage/job-index.test.ts
@@ -94,16 +94,18 @@
 const assertEqualToFullPass = ({ index, jobs }: ShardJobs, moment: string): void => {
   const expected = fullPass(jobs);
   const got = {
-    waiting: [...index.waiting.keys()],
-    cancelled: [...index.cancelled.keys()],
-    complete: [...index.complete.keys()],
+    waiting: [...index.waitingJobs.keys()],
+    cancelled: [...index.cancelledJobs.keys()],
+    complete: [...index.completedJobs.keys()],
     needs: [...index.distinctResources()].map((resources) => resources.cpus),
-    within: [...index.withinGuarantee(TEAMS)],
-    use: [...index.teamUse()].map(([team, resources]) => [team, resources.cpus] as const),
+    within: [...index.jobsWithinGuarantee(TEAMS)],
+    use: [...index.usedResourcesByTeam()].map(
+      ([team, resources]) => [team, resources.cpus] as const,
+    ),
   };
   for (const key of Object.keys(expected) as (keyof typeof expected)[])
     assert.deepEqual([...got[key]].sort(), [...expected[key]].sort(), `${key} ${moment}`);
-  for (const [key, job] of index.waiting) assert.equal(job, jobs.get(key));
+  for (const [key, job] of index.waitingJobs) assert.equal(job, jobs.get(key));
 };
 
 test("a shard's job index equals a pass over all jobs after each of 2000 random changes", () => {
