--- a/src/storage/group-commit.ts
+++ b/src/storage/group-commit.ts
@@ -1,19 +1,20 @@
 /**
- * Group commit: small writes that users wait for share transactions. What comes while some are in
- * flight goes together in the next, so that accepts in masses cost few requests.
+ * Group commit: combines small writes that users wait for into shared transactions. Writes that
+ * arrive while the maximum number of transactions is in flight are queued and sent together in the
+ * next one, so accepting many jobs at once takes few requests.
  *
- * Each write has an answer of its own: a conflict is answered to those alone whose keys are named,
- * and the others are tried again without them.
+ * Each write gets its own result. If a transaction ends in a conflict, only the writes whose keys
+ * the state store names as failed get the conflict; the others are sent again without them.
  */
 import type { Transaction, WriteOperation } from "../protocol/store.js";
 import type { StateStore, TransactionResult } from "./state-store.js";
 
-/** Transactions in flight at a time: one without an answer must not delay all others. */
-const MAX_IN_FLIGHT = 2;
-/** What the values of one transaction may take, measured as the state store does. */
-const MAX_VALUE_BYTES = 56 * 1024;
+/** More than one, so that a transaction that gets no answer does not block all other writes. */
+const MAX_IN_FLIGHT_TRANSACTIONS = 2;
+/** Upper limit for the values of one transaction, measured as the state store measures them. */
+const MAX_TRANSACTION_VALUE_BYTES = 56 * 1024;
 
-/** What the state store takes in one transaction. */
+/** The state store's limits for one transaction. */
 export interface GroupCommitLimits {
   readonly maxOps: number;
   readonly maxConditions: number;
@@ -22,46 +23,52 @@
 interface PendingWrite {
   readonly transaction: Transaction;
   readonly valueBytes: number;
-  readonly answer: (result: TransactionResult) => void;
-  /** Goes by itself: what it shared a transaction with failed, and no key was named. */
-  mustGoAlone: boolean;
+  readonly resolve: (result: TransactionResult) => void;
+  /**
+   * Set after a shared transaction failed without naming the failed keys: the write is then sent in
+   * a transaction of its own, because it is unknown which write caused the failure.
+   */
+  mustBeSentAlone: boolean;
 }
 
-/** The queue of writes that wait to be sent. */
+/** Queues writes and sends them in shared transactions. */
 export class GroupCommit {
-  #waiting: PendingWrite[] = [];
-  #inFlight = 0;
+  #queue: PendingWrite[] = [];
+  #inFlightCount = 0;
 
   constructor(
     private readonly store: StateStore,
     private readonly limits: GroupCommitLimits,
   ) {}
 
-  /** Resolves to what became of this write. One beyond the limits is sent by itself. */
+  /** Resolves to the result of this write. One that exceeds the limits is sent by itself. */
   commit(transaction: Transaction): Promise<TransactionResult> {
-    return new Promise((answer) => {
+    return new Promise((resolve) => {
       const valueBytes = valueBytesOf(transaction.ops);
-      this.#waiting.push({ transaction, valueBytes, answer, mustGoAlone: false });
+      this.#queue.push({ transaction, valueBytes, resolve, mustBeSentAlone: false });
       this.#sendNext();
     });
   }
 
   #sendNext(): void {
-    while (this.#inFlight < MAX_IN_FLIGHT && this.#waiting.length > 0) {
+    while (this.#inFlightCount < MAX_IN_FLIGHT_TRANSACTIONS && this.#queue.length > 0) {
       const group = this.#takeGroup();
-      this.#inFlight++;
-      // Each write is answered within, so nobody waits for the promise.
+      this.#inFlightCount++;
+      // Not awaited: `#send` never rejects and resolves each write itself.
       void this.#send(group).finally(() => {
-        this.#inFlight--;
+        this.#inFlightCount--;
         this.#sendNext();
       });
     }
   }
 
-  /** The first that waits, and as many after it as fit and have conditions on other keys. */
+  /**
+   * Removes from the queue the oldest write and all later ones that fit into the same transaction
+   * and share no condition key with a write already in it.
+   */
   #takeGroup(): readonly PendingWrite[] {
     const group = new WriteGroup(this.limits);
-    this.#waiting = this.#waiting.filter((write) => !group.tryAdd(write));
+    this.#queue = this.#queue.filter((write) => !group.tryAdd(write));
     return group.writes;
   }
 
@@ -73,14 +80,18 @@
       })
       .catch((): TransactionResult => ({ kind: "unknown" }));
     if (group.length === 1 || (result.kind !== "conflict" && result.kind !== "refused")) {
-      for (const write of group) write.answer(result);
+      for (const write of group) write.resolve(result);
       return;
     }
-    this.#separate(group, new Set(result.kind === "conflict" ? result.failed : []), result);
+    this.#splitFailedGroup(group, new Set(result.kind === "conflict" ? result.failed : []), result);
   }
 
-  /** Refused as a whole, or in conflict: nothing of the group was applied. */
-  #separate(
+  /**
+   * Handles a group of which nothing was applied (conflict or refusal). Writes whose keys failed get
+   * the result; the others go back to the front of the queue. If the result names no key of the
+   * group, all its writes are sent again one by one.
+   */
+  #splitFailedGroup(
     group: readonly PendingWrite[],
     failedKeys: ReadonlySet<string>,
     result: TransactionResult,
@@ -88,44 +99,44 @@
     const failed = group.filter((write) =>
       write.transaction.conditions.some((condition) => failedKeys.has(condition.key)),
     );
-    for (const write of failed) write.answer(result);
+    for (const write of failed) write.resolve(result);
     const others = group.filter((write) => !failed.includes(write));
-    if (failed.length === 0) for (const write of others) write.mustGoAlone = true;
-    this.#waiting.unshift(...others);
+    if (failed.length === 0) for (const write of others) write.mustBeSentAlone = true;
+    this.#queue.unshift(...others);
   }
 }
 
-/** Writes that go in one transaction. */
+/** The writes of one shared transaction. */
 class WriteGroup {
   readonly writes: PendingWrite[] = [];
-  readonly #keys = new Set<string>();
-  #ops = 0;
-  #conditions = 0;
+  readonly #conditionKeys = new Set<string>();
+  #opCount = 0;
+  #conditionCount = 0;
   #valueBytes = 0;
 
   constructor(private readonly limits: GroupCommitLimits) {}
 
-  /** Adds a write if it may join; the first always may. */
+  /** Adds a write if it fits; the first is always added. Returns whether it was added. */
   tryAdd(write: PendingWrite): boolean {
     if (this.writes.length > 0 && !this.#fits(write)) return false;
     const { ops, conditions } = write.transaction;
     this.writes.push(write);
-    this.#ops += ops.length;
-    this.#conditions += conditions.length;
+    this.#opCount += ops.length;
+    this.#conditionCount += conditions.length;
     this.#valueBytes += write.valueBytes;
-    for (const condition of conditions) this.#keys.add(condition.key);
+    for (const condition of conditions) this.#conditionKeys.add(condition.key);
     return true;
   }
 
   #fits(write: PendingWrite): boolean {
     const { ops, conditions } = write.transaction;
     return (
-      !write.mustGoAlone &&
-      this.writes[0]?.mustGoAlone !== true &&
-      this.#ops + ops.length <= this.limits.maxOps &&
-      this.#conditions + conditions.length <= this.limits.maxConditions &&
-      this.#valueBytes + write.valueBytes <= MAX_VALUE_BYTES &&
-      conditions.every((condition) => !this.#keys.has(condition.key))
+      !write.mustBeSentAlone &&
+      this.writes[0]?.mustBeSentAlone !== true &&
+      this.#opCount + ops.length <= this.limits.maxOps &&
+      this.#conditionCount + conditions.length <= this.limits.maxConditions &&
+      this.#valueBytes + write.valueBytes <= MAX_TRANSACTION_VALUE_BYTES &&
+      conditions.every((condition) => !this.#conditionKeys.has(condition.key))
     );
   }
 }
--- a/src/storage/job-index.ts
+++ b/src/storage/job-index.ts
@@ -1,39 +1,40 @@
 /**
- * Views of a shard's live jobs that a round needs, kept up to date by each change of a job. A round
- * then costs what waits or changed, not what lives: a job whose tasks all run costs it nothing.
+ * Indexes over a shard's live jobs for scheduling rounds, updated incrementally with each change of
+ * a job. The cost of a round therefore depends on the number of waiting and changed jobs, not of
+ * all live jobs: a job whose tasks are all running costs nothing.
  *
- * Invariant: each view equals the one that a pass over all live jobs would give.
+ * Invariant: each index equals the result of a full scan over all live jobs.
  */
 import type { JobId, TeamName } from "@umberfold/ids";
 import type { JobSpec, Resources } from "../protocol/jobs.js";
 import { completedTaskCount, type LiveJob, waitingTaskCount } from "./job-records.js";
 
-/** A team's guarantee; of cpus and gpus alone, for memory is not guaranteed. */
+/** A team's guaranteed resources. Memory is not guaranteed. */
 export interface TeamGuarantee {
   readonly name: TeamName;
   readonly cpus: number;
   readonly gpus: number;
 }
 
-/** How many attempts or jobs ask for the same resources. */
+/** The number of attempts or jobs that require the same resources. */
 export interface ResourceCount {
   readonly resources: Resources;
   count: number;
 }
 
-/** A job in its team's order of acceptance. */
+/** An entry of a team's list of jobs, which is sorted by time of acceptance. */
 interface OrderedJob {
   readonly id: JobId;
   readonly acceptedAt: number;
   readonly spec: JobSpec;
 }
 
-/** Sums of decimal amounts drift by a few units in the last place. */
-const TOLERANCE = 1e-9;
+/** Allows for the rounding error of sums of decimal resource amounts. */
+const SUM_TOLERANCE = 1e-9;
 
 const resourcesKey = ({ cpus, gpus, ramGb }: Resources): string => `${cpus}|${gpus}|${ramGb}`;
 
-const addCount = (
+const adjustCount = (
   counts: Map<string, ResourceCount>,
   resources: Resources,
   change: number,
@@ -45,74 +46,74 @@
   else entry.count += change;
 };
 
-/** The views; see the module's head for what holds of them. */
+/** The indexes over one shard's live jobs; see the module comment for their invariant. */
 export class JobIndex {
-  /** Jobs with tasks that wait. */
+  /** Jobs with at least one waiting task. */
   readonly waitingJobs = new Map<JobId, LiveJob>();
-  /** Jobs that were cancelled and have no final record yet. */
+  /** Cancelled jobs without a final record yet. */
   readonly cancelledJobs = new Map<JobId, LiveJob>();
-  /** Jobs whose tasks have all completed and that have no final record yet. */
+  /** Jobs not cancelled whose tasks have all completed, without a final record yet. */
   readonly completedJobs = new Map<JobId, LiveJob>();
-  readonly #jobsByResources = new Map<string, ResourceCount>();
-  readonly #openByTeam = new Map<TeamName, Map<string, ResourceCount>>();
-  /** Jobs that were not cancelled, in the order in which they were accepted. */
-  readonly #orderByTeam = new Map<TeamName, OrderedJob[]>();
+  readonly #jobCountsByResources = new Map<string, ResourceCount>();
+  readonly #openAttemptCountsByTeam = new Map<TeamName, Map<string, ResourceCount>>();
+  /** Jobs that are not cancelled, by time of acceptance. */
+  readonly #orderedJobsByTeam = new Map<TeamName, OrderedJob[]>();
 
-  /** Replaces what is known of one job; `undefined` stands for a job that is not live. */
+  /** Updates the indexes for a change of one job; `undefined` means that the job is not live. */
   replace(id: JobId, before: LiveJob | undefined, after: LiveJob | undefined): void {
     if (before !== undefined) this.#remove(id, before, after);
     if (after !== undefined) this.#add(id, before, after);
   }
 
-  /** The distinct resources that a task of any live job asks for. */
+  /** The distinct resource requirements per task of all live jobs. */
   *distinctResources(): Iterable<Resources> {
-    for (const entry of this.#jobsByResources.values()) yield entry.resources;
+    for (const entry of this.#jobCountsByResources.values()) yield entry.resources;
   }
 
-  /** What the open attempts of each team use: every one counts until it is terminated. */
+  /** The resources used by each team's open attempts. An attempt counts until it is terminated. */
   usedResourcesByTeam(): Map<TeamName, Resources> {
-    const useByTeam = new Map<TeamName, Resources>();
-    for (const [team, counts] of this.#openByTeam) {
-      let use = { cpus: 0, gpus: 0, ramGb: 0 };
+    const usedByTeam = new Map<TeamName, Resources>();
+    for (const [team, counts] of this.#openAttemptCountsByTeam) {
+      let used = { cpus: 0, gpus: 0, ramGb: 0 };
       for (const { resources, count } of counts.values())
-        use = {
-          cpus: use.cpus + count * resources.cpus,
-          gpus: use.gpus + count * resources.gpus,
-          ramGb: use.ramGb + count * resources.ramGb,
+        used = {
+          cpus: used.cpus + count * resources.cpus,
+          gpus: used.gpus + count * resources.gpus,
+          ramGb: used.ramGb + count * resources.ramGb,
         };
-      useByTeam.set(team, use);
+      usedByTeam.set(team, used);
     }
-    return useByTeam;
+    return usedByTeam;
   }
 
-  /** The open attempts of each team, as counts of attempts with the same resources. */
+  /** Each team's open attempts, counted by resource requirement. */
   openAttemptCountsByTeam(): ReadonlyMap<TeamName, ReadonlyMap<string, Readonly<ResourceCount>>> {
-    return this.#openByTeam;
+    return this.#openAttemptCountsByTeam;
   }
 
-  /** How many jobs of each team are live and not cancelled. */
+  /** The number of live jobs of each team that are not cancelled. */
   *uncancelledJobCounts(): Iterable<readonly [TeamName, number]> {
-    for (const [team, ordered] of this.#orderByTeam) yield [team, ordered.length];
+    for (const [team, ordered] of this.#orderedJobsByTeam) yield [team, ordered.length];
   }
 
   /**
-   * Jobs within their team's guarantee: those that fit in it together with the team's earlier
-   * unfinished jobs. Looks no further than the first job beyond it, for sums only grow. `tasksOf`
-   * says how many of a job's tasks count.
+   * Jobs within their team's guarantee: a job is within it if its resources, added to those of the
+   * team's earlier live jobs, do not exceed the guarantee. Stops at a team's first job that exceeds
+   * it, because the sums only grow. `countedTasksOf` returns how many of a job's tasks count.
    */
   *jobsWithinGuarantee(
     teams: Iterable<TeamGuarantee>,
-    tasksOf: (id: JobId, spec: JobSpec) => number = (_id, spec) => spec.taskCount,
+    countedTasksOf: (id: JobId, spec: JobSpec) => number = (_id, spec) => spec.taskCount,
   ): Iterable<JobId> {
     for (const team of teams) {
       if (team.cpus <= 0 && team.gpus <= 0) continue;
       let cpus = 0;
       let gpus = 0;
-      for (const { id, spec } of this.#orderByTeam.get(team.name) ?? []) {
-        const tasks = tasksOf(id, spec);
+      for (const { id, spec } of this.#orderedJobsByTeam.get(team.name) ?? []) {
+        const tasks = countedTasksOf(id, spec);
         cpus += tasks * spec.resources.cpus;
         gpus += tasks * spec.resources.gpus;
-        if (cpus > team.cpus + TOLERANCE || gpus > team.gpus + TOLERANCE) break;
+        if (cpus > team.cpus + SUM_TOLERANCE || gpus > team.gpus + SUM_TOLERANCE) break;
         yield id;
       }
     }
@@ -125,15 +126,16 @@
       this.cancelledJobs.delete(id);
       this.completedJobs.delete(id);
     }
-    if (after?.spec !== spec) addCount(this.#jobsByResources, spec.resources, -1);
+    if (after?.spec !== spec) adjustCount(this.#jobCountsByResources, spec.resources, -1);
     if (before.open.length > 0) {
-      const counts = this.#openByTeam.get(spec.team);
+      const counts = this.#openAttemptCountsByTeam.get(spec.team);
       if (counts !== undefined) {
-        addCount(counts, spec.resources, -before.open.length);
-        if (counts.size === 0) this.#openByTeam.delete(spec.team);
+        adjustCount(counts, spec.resources, -before.open.length);
+        if (counts.size === 0) this.#openAttemptCountsByTeam.delete(spec.team);
       }
     }
-    if (before.cancelledAt === null && !sameOrder(before, after)) this.#leaveOrder(id, before);
+    if (before.cancelledAt === null && !hasSameOrderEntry(before, after))
+      this.#removeFromOrder(id, before);
   }
 
   #add(id: JobId, before: LiveJob | undefined, after: LiveJob): void {
@@ -145,42 +147,44 @@
     if (after.cancelledAt === null && completedTaskCount(after) === spec.taskCount)
       this.completedJobs.set(id, after);
     else this.completedJobs.delete(id);
-    if (before?.spec !== spec) addCount(this.#jobsByResources, spec.resources, 1);
+    if (before?.spec !== spec) adjustCount(this.#jobCountsByResources, spec.resources, 1);
     if (after.open.length > 0) {
-      const counts = this.#openByTeam.get(spec.team) ?? new Map<string, ResourceCount>();
-      this.#openByTeam.set(spec.team, counts);
-      addCount(counts, spec.resources, after.open.length);
+      const counts =
+        this.#openAttemptCountsByTeam.get(spec.team) ?? new Map<string, ResourceCount>();
+      this.#openAttemptCountsByTeam.set(spec.team, counts);
+      adjustCount(counts, spec.resources, after.open.length);
     }
-    if (after.cancelledAt === null && !sameOrder(before, after)) this.#enterOrder(id, after);
+    if (after.cancelledAt === null && !hasSameOrderEntry(before, after))
+      this.#insertIntoOrder(id, after);
   }
 
-  #enterOrder(id: JobId, job: LiveJob): void {
+  #insertIntoOrder(id: JobId, job: LiveJob): void {
     const { spec, acceptedAt } = job;
-    const ordered = this.#orderByTeam.get(spec.team) ?? [];
-    this.#orderByTeam.set(spec.team, ordered);
-    ordered.splice(positionAfter(ordered, acceptedAt), 0, { id, acceptedAt, spec });
+    const ordered = this.#orderedJobsByTeam.get(spec.team) ?? [];
+    this.#orderedJobsByTeam.set(spec.team, ordered);
+    ordered.splice(indexAfter(ordered, acceptedAt), 0, { id, acceptedAt, spec });
   }
 
-  #leaveOrder(id: JobId, job: LiveJob): void {
-    const ordered = this.#orderByTeam.get(job.spec.team);
+  #removeFromOrder(id: JobId, job: LiveJob): void {
+    const ordered = this.#orderedJobsByTeam.get(job.spec.team);
     if (ordered === undefined) return;
-    let position = positionAfter(ordered, job.acceptedAt) - 1;
-    while (position >= 0 && ordered[position]?.id !== id) position--;
-    if (position >= 0) ordered.splice(position, 1);
-    if (ordered.length === 0) this.#orderByTeam.delete(job.spec.team);
+    let index = indexAfter(ordered, job.acceptedAt) - 1;
+    while (index >= 0 && ordered[index]?.id !== id) index--;
+    if (index >= 0) ordered.splice(index, 1);
+    if (ordered.length === 0) this.#orderedJobsByTeam.delete(job.spec.team);
   }
 }
 
-/** Whether a job keeps its place in its team's order, and what the order says of it. */
-const sameOrder = (before: LiveJob | undefined, after: LiveJob | undefined): boolean =>
+/** Whether a job's entry in its team's list is the same before and after a change. */
+const hasSameOrderEntry = (before: LiveJob | undefined, after: LiveJob | undefined): boolean =>
   before !== undefined &&
   after !== undefined &&
   before.spec === after.spec &&
   before.acceptedAt === after.acceptedAt &&
   (before.cancelledAt === null) === (after.cancelledAt === null);
 
-/** The position of the first job accepted later than `acceptedAt`, by binary search. */
-const positionAfter = (ordered: readonly OrderedJob[], acceptedAt: number): number => {
+/** The index of the first job accepted later than `acceptedAt`, by binary search. */
+const indexAfter = (ordered: readonly OrderedJob[], acceptedAt: number): number => {
   let low = 0;
   let high = ordered.length;
   while (low < high) {
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -1,14 +1,14 @@
 /**
- * Read batching: reads of jobs that never answer anything older than what the state store holds, at
- * a cost that does not grow with the number of questions.
+ * Read batching: linearizable reads of jobs (never older than the state store's state at the time of
+ * the call) with far fewer requests than lookups.
  *
- * Questions gather for some milliseconds, and one transaction that only compares proves for many
- * jobs at once that what the replica has of them is current. A question joins only a comparison
- * that is sent after it was asked: one under way could prove a state older than what another
- * controller has answered meanwhile.
+ * Lookups are collected for `BATCH_DELAY_MS`. Then one read-only transaction, a comparison, checks
+ * for many jobs at once that the revisions in the replica are current. A lookup only joins a
+ * comparison that is sent after the lookup began: one already in flight could confirm a state older
+ * than what another controller has returned to a user in the meantime.
  *
- * A job whose comparison fails is read by itself: first its live record, then its final one, for
- * jobs move only that way.
+ * A job whose comparison fails is read by itself: first its live record, then its final record. This
+ * order is safe because a job's live record is replaced by its final record, never the reverse.
  */
 import { type JobId, KEY_ABSENT, type MonotonicMs, type Revision } from "@umberfold/ids";
 import type { Condition } from "../protocol/store.js";
@@ -19,94 +19,98 @@
 import type { Replica } from "./replica.js";
 import type { StateStore } from "./state-store.js";
 
-/** What the state store holds of a job. */
+/** The result of a lookup: the job's state in the state store. */
 export type JobLookup =
-  /** Accepted and not over. */
+  /** Accepted, not finished. */
   | {
       readonly kind: "live";
       readonly job: AcceptedJob;
       readonly rev: Revision;
-      /** When the request was sent that proved it: the state is no older than that. */
+      /** When the request that confirmed it was sent: the state is at least as recent as this. */
       readonly asOf: MonotonicMs;
     }
-  /** Over. */
+  /** Finished or cancelled; the final record exists. */
   | { readonly kind: "final"; readonly job: FinalJob }
-  /** Neither record exists: it was never accepted. */
+  /** Neither record exists: the job was never accepted. */
   | { readonly kind: "none" }
-  /** Nothing is proved: no answer came, or there were more questions than the limits let through. */
+  /** Unknown: the state store did not answer, or the queue or the request budget was exhausted. */
   | { readonly kind: "unavailable" };
 
-const MAX_CACHED_FINALS = 20_000;
-/** How long questions gather before they are sent together. */
-const GATHER_MS = 20;
-/** Comparisons in flight at a time: one without an answer must not delay all questions. */
-const MAX_IN_FLIGHT = 3;
-/** How long a comparison waits for its part of the state store's requests. */
-const BUDGET_WAIT_MS = 250;
-const BUDGET_POLL_MS = 25;
-/** Jobs that may wait for a comparison, in full comparisons: those beyond are refused at once. */
-const MAX_WAITING_BATCHES = 6;
-/** How many comparisons a job takes part in while each fails for other jobs' sake. */
-const MAX_COMPARISONS = 3;
+const MAX_CACHED_FINAL_JOBS = 20_000;
+/** How long lookups are collected before they are sent as one comparison. */
+const BATCH_DELAY_MS = 20;
+/** More than one, so that a comparison that gets no answer does not block all other lookups. */
+const MAX_IN_FLIGHT_COMPARISONS = 3;
+/** How long a read waits for this controller's request budget before it fails. */
+const BUDGET_TIMEOUT_MS = 250;
+const BUDGET_POLL_INTERVAL_MS = 25;
+/** Capacity of the lookup queue in full comparisons; lookups beyond it are refused at once. */
+const MAX_QUEUED_BATCHES = 6;
+/** A lookup whose comparison failed because of other jobs this many times is read by itself. */
+const MAX_COMPARISONS_PER_LOOKUP = 3;
 
-/** All callers that ask about one job and wait for the next comparison. */
-interface Question {
+/** A queued lookup of one job, shared by all callers that asked for it since it was queued. */
+interface PendingLookup {
   readonly id: JobId;
-  readonly answers: ((found: JobLookup) => void)[];
-  /** Comparisons that failed without naming this job. */
-  attempts: number;
+  readonly resolvers: ((found: JobLookup) => void)[];
+  /** Failed comparisons that did not name this job's keys. */
+  failedComparisonCount: number;
 }
 
-/** What the replica has of a job, as conditions, and the answer if they hold. */
-interface Claim {
-  readonly question: Question;
+/** The conditions under which the replica's state of a job is current. */
+interface RevisionCheck {
+  readonly lookup: PendingLookup;
   readonly conditions: readonly Condition[];
-  /** Undefined if the claim is that there is no such job. */
-  readonly known: { readonly job: AcceptedJob; readonly rev: Revision } | undefined;
+  /** The job in the replica; undefined if it has none, and the check is that no record exists. */
+  readonly replicated: { readonly job: AcceptedJob; readonly rev: Revision } | undefined;
 }
 
 const UNAVAILABLE: JobLookup = { kind: "unavailable" };
 const NONE: JobLookup = { kind: "none" };
 
-/** Answers questions about jobs; see the module's head. */
+/** Looks up jobs in the state store; see the module comment. */
 export class JobReader {
-  readonly #finals = new FinalJobCache(MAX_CACHED_FINALS);
+  readonly #finalJobs = new FinalJobCache(MAX_CACHED_FINAL_JOBS);
   readonly #finalReads = new Map<JobId, Promise<JobLookup>>();
-  /** In the order in which they were first asked about. */
-  readonly #waiting = new Map<JobId, Question>();
-  #inFlight = 0;
-  #gathering = false;
+  /** Pending lookups by job, oldest first. */
+  readonly #queue = new Map<JobId, PendingLookup>();
+  #inFlightCount = 0;
+  #isBatchScheduled = false;
   /**
-   * Jobs compared and comparisons sent; jobs that were read by themselves because the replica's
-   * state of them was not proved current; questions refused for want of room or of requests.
+   * `compared`: jobs compared; `comparisons`: comparisons sent; `changed`: jobs read by themselves
+   * because the replica's state was not confirmed; `refused`: lookups refused because the queue was
+   * full or the request budget was exhausted.
    */
   readonly counters = { compared: 0, comparisons: 0, changed: 0, refused: 0 };
 
   constructor(
     private readonly store: StateStore,
     private readonly replica: Replica,
-    /** The most conditions that a transaction takes. */
+    /** The state store's limit for the conditions of one transaction. */
     private readonly maxConditions: number,
   ) {}
 
-  /** A final record that is known here, which needs no request. */
+  /** A final record from the local cache, without a request; undefined if it is not cached. */
   cachedFinalJob(id: JobId): FinalJob | undefined {
-    return this.#finals.get(id);
+    return this.#finalJobs.get(id);
   }
 
-  /** What the state store held of a job at some moment after this call. */
+  /** The state of a job in the state store at some time after this call began. */
   async read(id: JobId): Promise<JobLookup> {
-    const known = this.#finals.get(id);
-    if (known !== undefined) return { kind: "final", job: known };
+    const cached = this.#finalJobs.get(id);
+    if (cached !== undefined) return { kind: "final", job: cached };
     if (!this.replica.acceptedJobs.has(id)) {
-      const final = await this.#sharedReadFinal(id);
+      const final = await this.#readFinalShared(id);
       if (final.kind !== "none") return final;
     }
     return this.#enqueue(id);
   }
 
-  /** A read of a final record may be shared by all who ask: what it finds is true for ever. */
-  #sharedReadFinal(id: JobId): Promise<JobLookup> {
+  /**
+   * Reads a final record; concurrent callers share one request. This is safe because a final record
+   * never changes, and the caller confirms an absent one by a comparison.
+   */
+  #readFinalShared(id: JobId): Promise<JobLookup> {
     const pending = this.#finalReads.get(id);
     if (pending !== undefined) return pending;
     const read = this.#readFinal(id).finally(() => this.#finalReads.delete(id));
@@ -121,11 +125,14 @@
     if (read.kind === "absent") return { kind: "none" };
     const job = parseFinalJob(read.item.value);
     if (job === undefined) return UNAVAILABLE;
-    this.#finals.remember(id, job);
+    this.#finalJobs.remember(id, job);
     return { kind: "final", job };
   }
 
-  /** Live first, then final: jobs move only that way, so only both absent means unknown. */
+  /**
+   * Reads the live record, then the final one. In this order a job that finishes in between is
+   * still found, so the job was never accepted if both are absent.
+   */
   async #readLiveThenFinal(id: JobId): Promise<JobLookup> {
     if (!(await this.#waitForBudget())) return UNAVAILABLE;
     const asOf = monotonicNow();
@@ -138,121 +145,127 @@
     return { kind: "live", job, rev: read.item.rev, asOf };
   }
 
-  /** Waits a little for a part of the state store's requests; false if there is none. */
+  /** Waits for the request budget and takes one request; false if the wait timed out. */
   async #waitForBudget(): Promise<boolean> {
-    const deadline = monotonicNow() + BUDGET_WAIT_MS;
+    const deadline = monotonicNow() + BUDGET_TIMEOUT_MS;
     while (!this.store.mayRead()) {
       if (monotonicNow() >= deadline) return false;
-      await sleep(BUDGET_POLL_MS);
+      await sleep(BUDGET_POLL_INTERVAL_MS);
     }
     return true;
   }
 
   #enqueue(id: JobId): Promise<JobLookup> {
-    const question = this.#waiting.get(id) ?? { id, answers: [], attempts: 0 };
-    if (question.answers.length === 0 && this.#isFull()) {
+    const lookup = this.#queue.get(id) ?? { id, resolvers: [], failedComparisonCount: 0 };
+    if (lookup.resolvers.length === 0 && this.#isQueueFull()) {
       this.counters.refused++;
       return Promise.resolve(UNAVAILABLE);
     }
-    this.#waiting.set(id, question);
-    void this.#gather();
-    return new Promise((answer) => question.answers.push(answer));
+    this.#queue.set(id, lookup);
+    void this.#scheduleBatch();
+    return new Promise((resolve) => lookup.resolvers.push(resolve));
   }
 
-  #isFull(): boolean {
-    return this.#waiting.size >= MAX_WAITING_BATCHES * this.maxConditions;
+  #isQueueFull(): boolean {
+    return this.#queue.size >= MAX_QUEUED_BATCHES * this.maxConditions;
   }
 
-  /** Sends the next comparison, after a while in which questions gather; one at a time gathers. */
-  async #gather(): Promise<void> {
-    if (this.#gathering || this.#inFlight >= MAX_IN_FLIGHT) return;
-    this.#gathering = true;
-    await sleep(GATHER_MS);
+  /**
+   * Sends the next comparison after the batch delay. Does nothing if one is scheduled already or the
+   * maximum number is in flight; the end of a comparison schedules the next one.
+   */
+  async #scheduleBatch(): Promise<void> {
+    if (this.#isBatchScheduled || this.#inFlightCount >= MAX_IN_FLIGHT_COMPARISONS) return;
+    this.#isBatchScheduled = true;
+    await sleep(BATCH_DELAY_MS);
     const mayRead = await this.#waitForBudget();
-    this.#gathering = false;
-    const claims = this.#takeClaims();
-    if (claims.length === 0) return;
+    this.#isBatchScheduled = false;
+    const checks = this.#takeBatch();
+    if (checks.length === 0) return;
     if (!mayRead) {
-      this.counters.refused += claims.length;
-      for (const { question } of claims) answerAll(question, UNAVAILABLE);
+      this.counters.refused += checks.length;
+      for (const { lookup } of checks) resolveAll(lookup, UNAVAILABLE);
     } else {
-      this.#inFlight++;
-      // Each question is answered within, so nobody waits for the promise.
-      void this.#compare(claims).finally(() => {
-        this.#inFlight--;
-        if (this.#waiting.size > 0) void this.#gather();
+      this.#inFlightCount++;
+      // Not awaited: `#compare` resolves each lookup itself.
+      void this.#compare(checks).finally(() => {
+        this.#inFlightCount--;
+        if (this.#queue.size > 0) void this.#scheduleBatch();
       });
     }
-    if (this.#waiting.size > 0) void this.#gather();
+    if (this.#queue.size > 0) void this.#scheduleBatch();
   }
 
-  /** As many of the questions as one transaction takes, those first that have waited longest. */
-  #takeClaims(): readonly Claim[] {
-    const claims: Claim[] = [];
+  /** Removes from the queue as many lookups as fit into one transaction, oldest first. */
+  #takeBatch(): readonly RevisionCheck[] {
+    const checks: RevisionCheck[] = [];
     let conditions = 0;
-    for (const question of this.#waiting.values()) {
-      const claim = this.#claimOf(question);
-      if (conditions + claim.conditions.length > this.maxConditions) break;
-      conditions += claim.conditions.length;
-      claims.push(claim);
+    for (const lookup of this.#queue.values()) {
+      const check = this.#checkOf(lookup);
+      if (conditions + check.conditions.length > this.maxConditions) break;
+      conditions += check.conditions.length;
+      checks.push(check);
     }
-    for (const { question } of claims) this.#waiting.delete(question.id);
-    return claims;
+    for (const { lookup } of checks) this.#queue.delete(lookup.id);
+    return checks;
   }
 
-  #claimOf(question: Question): Claim {
-    const { id } = question;
+  #checkOf(lookup: PendingLookup): RevisionCheck {
+    const { id } = lookup;
     const accepted = this.replica.acceptedJobs.get(id);
     if (accepted === undefined) {
       const absent = [keys.live(id), keys.final(id)].map((key) => ({ key, rev: KEY_ABSENT }));
-      return { question, conditions: absent, known: undefined };
+      return { lookup, conditions: absent, replicated: undefined };
     }
     const { value: job, rev } = accepted;
-    return { question, conditions: [{ key: keys.live(id), rev }], known: { job, rev } };
+    return { lookup, conditions: [{ key: keys.live(id), rev }], replicated: { job, rev } };
   }
 
-  async #compare(claims: readonly Claim[]): Promise<void> {
+  async #compare(checks: readonly RevisionCheck[]): Promise<void> {
     const asOf = monotonicNow();
     this.counters.comparisons++;
-    this.counters.compared += claims.length;
+    this.counters.compared += checks.length;
     const conditionByKey = new Map(
-      claims.flatMap((claim) => claim.conditions.map((each) => [each.key, each] as const)),
+      checks.flatMap((check) => check.conditions.map((each) => [each.key, each] as const)),
     );
     const result = await this.store.compare([...conditionByKey.values()]);
     const failedKeys = new Set(result.kind === "conflict" ? result.failed : []);
-    for (const { question, known, conditions } of claims) {
+    for (const { lookup, replicated, conditions } of checks) {
       if (result.kind === "current")
-        answerAll(question, known === undefined ? NONE : { kind: "live", ...known, asOf });
-      else if (result.kind === "unavailable") answerAll(question, UNAVAILABLE);
-      else if (conditions.some((each) => failedKeys.has(each.key))) this.#readAlone(question);
-      else this.#compareAgain(question);
+        resolveAll(lookup, replicated === undefined ? NONE : { kind: "live", ...replicated, asOf });
+      else if (result.kind === "unavailable") resolveAll(lookup, UNAVAILABLE);
+      else if (conditions.some((each) => failedKeys.has(each.key))) this.#readRecords(lookup);
+      else this.#requeue(lookup);
     }
   }
 
-  /** What the replica has of it was not proved current: the job is read by itself. */
-  #readAlone(question: Question): void {
+  /** Reads the job's records, because the replica's state of it could not be confirmed. */
+  #readRecords(lookup: PendingLookup): void {
     this.counters.changed++;
-    this.#readLiveThenFinal(question.id).then(
-      (found) => answerAll(question, found),
-      () => answerAll(question, UNAVAILABLE),
+    this.#readLiveThenFinal(lookup.id).then(
+      (found) => resolveAll(lookup, found),
+      () => resolveAll(lookup, UNAVAILABLE),
     );
   }
 
-  /** Not named among what has changed, which alone proves nothing: it joins the next comparison. */
-  #compareAgain(question: Question): void {
-    question.attempts++;
-    if (question.attempts >= MAX_COMPARISONS) {
-      this.#readAlone(question);
+  /**
+   * Queues a lookup for the next comparison: this one failed and did not name the job's keys, but
+   * the state store need not name all failed keys, so nothing is known about this job.
+   */
+  #requeue(lookup: PendingLookup): void {
+    lookup.failedComparisonCount++;
+    if (lookup.failedComparisonCount >= MAX_COMPARISONS_PER_LOOKUP) {
+      this.#readRecords(lookup);
       return;
     }
-    // Whoever asked meanwhile may be answered by a comparison that is yet to be sent, too.
-    const newer = this.#waiting.get(question.id);
-    if (newer === undefined) this.#waiting.set(question.id, question);
-    else newer.answers.push(...question.answers);
-    void this.#gather();
+    // Merge with a lookup queued since then: the next comparison is recent enough for both.
+    const newer = this.#queue.get(lookup.id);
+    if (newer === undefined) this.#queue.set(lookup.id, lookup);
+    else newer.resolvers.push(...lookup.resolvers);
+    void this.#scheduleBatch();
   }
 }
 
-const answerAll = (question: Question, found: JobLookup): void => {
-  for (const answer of question.answers) answer(found);
+const resolveAll = (lookup: PendingLookup, found: JobLookup): void => {
+  for (const resolve of lookup.resolvers) resolve(found);
 };
--- a/test/storage/group-commit.test.ts
+++ b/test/storage/group-commit.test.ts
@@ -8,7 +8,12 @@
 import { SimulatedClock } from "../sim/clock.js";
 import { FakeStateStore } from "../sim/fakes/state-store.js";
 
-/** Writes committed in masses share transactions, and each gets only the answer to its own. */
+/**
+ * Writes committed at the same time share transactions, and each gets its own result: a failure of
+ * one must not be reported to the others.
+ */
+
+/** What happens to one request of the state store instead of a normal answer. */
 type Outcome = "applied" | "lost" | "conflict_without_keys" | "refused";
 
 const create = (key: string, rev = 0): Transaction => ({
@@ -72,21 +77,24 @@
   assert.ok(requests <= 10, String(requests));
 });
 
-/** Of four writes, two are sent alone and then two together; the third is in conflict. */
+/**
+ * Of four writes, the first two are each sent alone and the last two together in one transaction;
+ * the key of the third exists already, so it is in conflict.
+ */
 const cases: readonly (readonly [name: string, outcomes: Outcome[], results: readonly string[]])[] =
   [
     [
-      "a conflict that names a key is the answer to that write alone",
+      "a conflict that names a key is reported to that write only",
       [],
       ["applied", "applied", "conflict", "applied"],
     ],
     [
-      "a lost answer leaves only the write that was sent unknown",
+      "after a lost answer only the write of that request is unknown",
       ["lost"],
       ["unknown", "applied", "conflict", "applied"],
     ],
     [
-      "a conflict that names no key is resolved by sending each write alone",
+      "after a conflict that names no key each write is sent alone",
       ["applied", "applied", "conflict_without_keys"],
       ["applied", "applied", "conflict", "applied"],
     ],
--- a/test/storage/job-reader.test.ts
+++ b/test/storage/job-reader.test.ts
@@ -11,8 +11,8 @@
 import { FakeStateStore } from "../sim/fakes/state-store.js";
 
 /**
- * Many questions cost few requests, and no answer is older than the question: a user who was
- * answered by another controller must never get an older state here.
+ * Many lookups take few requests, and no lookup returns a state older than its call: a user who got
+ * a newer state from another controller must never see an older one here.
  */
 type Body = Record<string, unknown>;
 const spec = (id: string): JobSpec => ({
@@ -35,7 +35,7 @@
   deadlineS: null,
 });
 
-/** What the state store does with the n-th comparison, instead of answering it at once. */
+/** What happens to one comparison instead of a prompt answer; in the order of the comparisons. */
 type Outcome = "lost" | "late" | "refused" | "first_failed_only";
 
 const MAX_CONDITIONS = 64;
@@ -45,7 +45,7 @@
   readonly state = new FakeStateStore(this.clock);
   readonly replica = new Replica();
   readonly reader: JobReader;
-  readonly answers = new Map<string, JobLookup>();
+  readonly results = new Map<string, JobLookup>();
   requests = 0;
   outcomes: Outcome[] = [];
 
@@ -71,12 +71,12 @@
       }
       await this.clock.sleep(2);
       const response = await this.state.handle(method, path, body as Body | undefined);
-      // Executed at once, and its answer is late.
+      // The store executes the request now; for "late" only the answer is delayed.
       await this.clock.sleep(outcome === "late" ? 400 : 2);
       const answer = response.body as Body | undefined;
       const failedKeys = answer?.failed;
-      const cut = outcome === "first_failed_only" && Array.isArray(failedKeys);
-      const failed = cut ? { failed: failedKeys.slice(0, 1) } : {};
+      const truncated = outcome === "first_failed_only" && Array.isArray(failedKeys);
+      const failed = truncated ? { failed: failedKeys.slice(0, 1) } : {};
       return { kind: "answer", status: response.status, body: { ...answer, ...failed } };
     };
     return { call, callRaw: call, close: () => undefined };
@@ -87,7 +87,7 @@
     return this.state.rev;
   }
 
-  /** Writes the record of a live job, and brings it to the replica unless told otherwise. */
+  /** Writes the record of a live job; `inReplica` says whether the replica learns of it. */
   job(id: string, inReplica = true, cancelledAt: number | null = null): void {
     const value = encodeAcceptedJob({
       spec: spec(id),
@@ -100,7 +100,7 @@
       this.replica.apply({ kind: "put", key: keys.live(jobId(id)), value, rev: revision(rev) });
   }
 
-  /** Writes the final record of a job; the replica is not told. */
+  /** Replaces a job's live record by its final one; the replica does not learn of it. */
   finish(id: string): void {
     const key = keys.final(jobId(id));
     this.write([
@@ -109,14 +109,14 @@
     ]);
   }
 
-  /** Asks about a job; `as` names the question. */
-  ask(id: string, as = id): void {
-    void this.reader.read(jobId(id)).then((found) => this.answers.set(as, found));
+  /** Starts a lookup of a job; its result is kept under `name`. */
+  lookUp(id: string, name = id): void {
+    void this.reader.read(jobId(id)).then((found) => this.results.set(name, found));
   }
 
-  /** The answer to a question, or `nothing` while there is none. */
-  answerTo(as: string): string {
-    const found = this.answers.get(as);
+  /** The result of a lookup as one word; `nothing` while there is none. */
+  resultOf(name: string): string {
+    const found = this.results.get(name);
     if (found?.kind === "live") return found.job.cancelledAt === null ? "live" : "cancelled";
     return found?.kind ?? "nothing";
   }
@@ -124,13 +124,13 @@
 
 const ids = Array.from({ length: 300 }, (_, i) => `wk-${i + 1}`);
 
-test("900 questions about 300 jobs take at most 20 requests", async () => {
+test("900 lookups of 300 jobs take at most 20 requests", async () => {
   const setup = new Setup();
   for (const id of ids) setup.job(id);
-  for (const id of ids) for (let user = 0; user < 3; user++) setup.ask(id, `${id}.${user}`);
+  for (const id of ids) for (let user = 0; user < 3; user++) setup.lookUp(id, `${id}.${user}`);
   await setup.clock.runUntil(2000);
-  for (const id of ids) assert.equal(setup.answerTo(`${id}.2`), "live");
-  // 900 questions, 64 conditions a request; each was a request by itself.
+  for (const id of ids) assert.equal(setup.resultOf(`${id}.2`), "live");
+  // 64 conditions fit into one request; without batching each lookup would take one.
   assert.ok(setup.requests <= 20, String(setup.requests));
 });
 
@@ -141,87 +141,87 @@
   readonly expected: Readonly<Record<string, string>>;
 }[] = [
   {
-    name: "a job that another controller cancelled is answered as cancelled",
+    name: "a job that another controller cancelled is found cancelled",
     run: (setup) => {
       setup.job("wk-1");
       setup.job("wk-2");
       setup.job("wk-2", false, 5);
-      setup.ask("wk-1");
-      setup.ask("wk-2");
+      setup.lookUp("wk-1");
+      setup.lookUp("wk-2");
     },
     expected: { "wk-1": "live", "wk-2": "cancelled" },
   },
   {
-    name: "a conflict that names one of two changed jobs answers both as cancelled",
+    name: "after a conflict that names one of two changed jobs both are found cancelled",
     outcomes: ["first_failed_only", "first_failed_only"],
     run: (setup) => {
       for (const id of ["wk-1", "wk-2", "wk-3"]) setup.job(id);
       for (const id of ["wk-1", "wk-3"]) setup.job(id, false, 5);
-      for (const id of ["wk-1", "wk-2", "wk-3"]) setup.ask(id);
+      for (const id of ["wk-1", "wk-2", "wk-3"]) setup.lookUp(id);
     },
     expected: { "wk-1": "cancelled", "wk-2": "live", "wk-3": "cancelled" },
   },
   {
-    name: "a finished job is final, one not in the replica live, an unknown one none",
+    name: "a finished job is final, one that the replica lacks is live, an unknown one is none",
     run: (setup) => {
       setup.job("wk-1");
       setup.finish("wk-1");
       setup.job("wk-2", false);
-      for (const id of ["wk-1", "wk-2", "wk-3"]) setup.ask(id);
+      for (const id of ["wk-1", "wk-2", "wk-3"]) setup.lookUp(id);
     },
     expected: { "wk-1": "final", "wk-2": "live", "wk-3": "none" },
   },
   {
-    name: "a question asked while a comparison is in flight is not answered by it",
+    name: "a lookup that begins while a comparison is in flight is not resolved by it",
     outcomes: ["late"],
     run: (setup) => {
       setup.job("wk-1");
-      setup.ask("wk-1", "first");
-      // The first is compared by now and its answer on its way when another controller cancels.
+      setup.lookUp("wk-1", "first");
+      // By now the store has executed the first comparison; then another controller cancels.
       setup.clock.after(100, () => {
         setup.job("wk-1", false, 5);
-        setup.ask("wk-1", "second");
+        setup.lookUp("wk-1", "second");
       });
     },
     expected: { first: "live", second: "cancelled" },
   },
   {
-    name: "a comparison without an answer makes only its own questions unavailable",
+    name: "a comparison without an answer makes only its own lookups unavailable",
     outcomes: ["lost"],
     run: (setup) => {
       setup.job("wk-1");
-      setup.ask("wk-1", "first");
-      setup.clock.after(100, () => setup.ask("wk-1", "second"));
+      setup.lookUp("wk-1", "first");
+      setup.clock.after(100, () => setup.lookUp("wk-1", "second"));
     },
     expected: { first: "unavailable", second: "live" },
   },
   {
-    name: "an answer of 503 makes the question unavailable",
+    name: "an answer of 503 makes the lookup unavailable",
     outcomes: ["refused"],
     run: (setup) => {
       setup.job("wk-1");
-      setup.ask("wk-1");
+      setup.lookUp("wk-1");
     },
     expected: { "wk-1": "unavailable" },
   },
 ];
 
 for (const c of cases)
-  test(`a batch of questions: ${c.name}`, async () => {
+  test(`a batch of lookups: ${c.name}`, async () => {
     const setup = new Setup();
     setup.outcomes = c.outcomes ?? [];
     c.run(setup);
     await setup.clock.runUntil(4000);
-    for (const [as, expected] of Object.entries(c.expected))
-      assert.equal(setup.answerTo(as), expected, as);
+    for (const [name, expected] of Object.entries(c.expected))
+      assert.equal(setup.resultOf(name), expected, name);
   });
 
-test("a question for which there is no request budget is unavailable within 600 ms", async () => {
+test("a lookup for which there is no request budget is unavailable within 600 ms", async () => {
   const setup = new Setup(1);
   for (const id of ids.slice(0, 5)) setup.job(id);
-  setup.ask("wk-1");
-  setup.clock.after(30, () => setup.ask("wk-2"));
+  setup.lookUp("wk-1");
+  setup.clock.after(30, () => setup.lookUp("wk-2"));
   await setup.clock.runUntil(600);
-  assert.equal(setup.answerTo("wk-1"), "live");
-  assert.equal(setup.answerTo("wk-2"), "unavailable");
+  assert.equal(setup.resultOf("wk-1"), "live");
+  assert.equal(setup.resultOf("wk-2"), "unavailable");
 });
