--- a/src/storage/replica.ts
+++ b/src/storage/replica.ts
@@ -1,11 +1,10 @@
 /**
- * This controller's copy of the state store's `now/` keys, kept up to date by the watch and by its
- * own committed writes.
+ * This controller's local copy of the state store's `now/` keys, kept up to date by the watch and by
+ * this controller's own committed writes.
  *
- * Changes of a key may come in any order and more than once: the newer revision of a key wins, and
- * older news of it is ignored. Whatever is read here may be older than what the store holds; only a
- * condition on its revision, or a comparison, proves it current. What a record of each kind changes
- * is in one table, `#handlers`.
+ * Changes of a key may arrive in any order and more than once: the highest revision wins, and older
+ * changes are ignored. All data here may be stale. Only a condition on its revision, in a write or a
+ * comparison, proves it current. The table `#handlers` defines what a record of each kind changes.
  */
 import {
   type ControllerLabel,
@@ -35,39 +34,42 @@
 import { SpanIndex } from "./span-index.js";
 import type { Versioned } from "./versioned.js";
 
-/** The copy of the watched keys, by kind of record. */
+/** The local copy of the watched keys, by kind of record. */
 export class Replica {
-  /** Accepted jobs that are not over. */
+  /** The records of live jobs (accepted, not finished). */
   readonly acceptedJobs = new Map<JobId, Versioned<AcceptedJob>>();
-  /** The owner of each shard; none for a shard that nobody has claimed. */
+  /** The owner of each shard; no entry for an unclaimed shard. */
   readonly shardOwners = new Map<ShardId, Versioned<ControllerId>>();
-  /** The controllers whose leases are alive. */
+  /** The controllers whose leases have not expired. */
   readonly members = new Map<ControllerLabel, Versioned<ControllerId>>();
   /** Rental intents, by name. */
   readonly rentalIntents = new Map<string, Versioned<RentalIntent>>();
-  /** Records of gone machines, by name. */
+  /** Records that name machines which the cloud has reported gone, by name. */
   readonly goneRecords = new Map<string, Versioned<GoneRecord>>();
-  /** The controller that leads; undefined while none does. */
+  /** The leader; undefined while there is none. */
   leader: Versioned<ControllerId> | undefined;
-  /** The machine types that the cloud offers; undefined until the first leader has written them. */
+  /** The machine types that the cloud offers; undefined until a leader has written them. */
   machineTypes: Versioned<readonly MachineType[]> | undefined;
-  /** The home shard of each team; undefined until the first leader has written it. */
+  /** The home shard of each team; undefined until a leader has written them. */
   teams: Versioned<ReadonlyMap<TeamName, ShardId>> | undefined;
   /** Teams that span several shards. */
   readonly spans: SpanIndex;
-  /** All changes up to here are in. */
+  /** All changes up to this revision have been applied. */
   syncedRevision = revision(0);
-  /** The highest revision seen: some change up to here is in, not all need be. */
+  /** The highest revision seen; changes between `syncedRevision` and this one may be missing. */
   latestSeenRevision = revision(0);
-  /** Jobs whose records were rewritten since a reader last emptied this set. */
+  /** Jobs whose records were rewritten since the round last cleared this set. */
   readonly rewrittenJobs = new Set<JobId>();
-  /** Machines proved gone since a reader last emptied this set. */
+  /** Machines recorded as gone since the round last cleared this set. */
   readonly recentlyGoneMachines = new Set<MachineId>();
   readonly #fleet = new FleetIndex((key) => this.revisionOf(key));
   readonly #jobsByShard = new Map<ShardId, ShardJobs>();
   readonly #revisions = new Map<string, Revision>();
-  /** Keys deleted ahead of the watch: its older news must not bring them back. */
-  readonly #deletedAhead = new Map<string, Revision>();
+  /**
+   * Keys whose deletion was applied before the watch reported it, with its revision: older changes
+   * that the watch reports later must not restore them.
+   */
+  readonly #deletedBeforeWatch = new Map<string, Revision>();
   readonly #handlers: Readonly<Record<KeyKind, RecordHandler>> = {
     live: {
       put: (name, value, rev) => this.#putAcceptedJob(jobId(name), value, rev),
@@ -130,11 +132,11 @@
       put: (name, value, rev) => this.spans.put(name, value, rev),
       drop: (name) => this.spans.drop(name),
     },
-    // Written by another version: nothing is known of it but its revision.
+    // A kind that this version does not know: only the revision of the key is kept.
     other: { put: () => undefined, drop: () => undefined },
   };
 
-  /** `shardCount` is how many shards there are. */
+  /** `shardCount` is the number of shards. */
   constructor(shardCount = Number.POSITIVE_INFINITY) {
     this.spans = new SpanIndex(shardCount);
   }
@@ -149,12 +151,12 @@
     return this.#fleet.pages;
   }
 
-  /** Rises with every change of machines, and of who owns their shards. */
+  /** A version that rises with each change of machines or of shard owners. */
   get fleetVersion(): number {
     return this.#fleet.version;
   }
 
-  /** The jobs of a shard and their open attempts; created empty when first asked for. */
+  /** The jobs of a shard and their open attempts; created empty on first access. */
   shardJobs(shard: ShardId): ShardJobs {
     let jobs = this.#jobsByShard.get(shard);
     if (jobs === undefined) {
@@ -164,7 +166,7 @@
     return jobs;
   }
 
-  /** The shard that a job was placed in, else its team's home shard; undefined if unknown. */
+  /** The shard that a job was assigned to, else its team's home shard; undefined if unknown. */
   shardOf(id: JobId): ShardId | undefined {
     const accepted = this.acceptedJobs.get(id);
     if (accepted === undefined) return undefined;
@@ -182,38 +184,38 @@
     for (const jobs of this.#jobsByShard.values()) yield* jobs.jobs;
   }
 
-  /** The jobs of each shard of which something is known. */
+  /** The jobs of each shard that has had jobs or job pages, or whose jobs were read. */
   allShardJobs(): Iterable<readonly [ShardId, ShardJobs]> {
     return this.#jobsByShard;
   }
 
-  /** The open attempts on a machine of its shard's jobs, by task. */
+  /** The open attempts on a machine, of jobs in the machine's shard, by task. */
   openAttemptsOn(id: MachineId): ReturnType<ShardJobs["openAttemptsOn"]> {
     return this.shardJobs(this.machines.get(id)?.shard ?? shardId(0)).openAttemptsOn(id);
   }
 
-  /** The key of the page that a machine's row is in. */
+  /** The key of the page that holds a machine's record. */
   machinePageKeyOf(id: MachineId): string | undefined {
     return this.#fleet.pageOf(id);
   }
 
-  /** Whether the cloud has said that the machine is gone, and the record of it is still there. */
+  /** Whether a gone record names the machine: the cloud has reported it gone. */
   isGone(id: MachineId): boolean {
     return this.#fleet.gone.has(id);
   }
 
-  /** The revision of a key as it is here; `KEY_ABSENT` if it isn't. */
+  /** The revision of a key in this copy; `KEY_ABSENT` if the key does not exist. */
   revisionOf(key: string): Revision {
     return this.#revisions.get(key) ?? KEY_ABSENT;
   }
 
-  /** Whether a change, or a newer one of its key, is in already: by an own commit, watch or read. */
+  /** Whether this change or a newer one of the same key has been applied. */
   isApplied(change: StoreChange): boolean {
-    const known = this.#revisions.get(change.key) ?? this.#deletedAhead.get(change.key);
+    const known = this.#revisions.get(change.key) ?? this.#deletedBeforeWatch.get(change.key);
     return change.rev <= (known ?? KEY_ABSENT);
   }
 
-  /** Takes one change in; one that is older than what is known of its key is ignored. */
+  /** Applies one change; ignores it if a newer one of the same key has been applied. */
   apply(change: StoreChange): void {
     const { key, rev } = change;
     if (rev > this.latestSeenRevision) this.latestSeenRevision = rev;
@@ -221,25 +223,25 @@
     const { kind, name } = classifyKey(key);
     if (change.kind === "put") {
       this.#revisions.set(key, rev);
-      this.#deletedAhead.delete(key);
+      this.#deletedBeforeWatch.delete(key);
       this.#handlers[kind].put(name, change.value, rev, key);
     } else {
       this.#revisions.delete(key);
-      if (rev > this.syncedRevision) this.#deletedAhead.set(key, rev);
+      if (rev > this.syncedRevision) this.#deletedBeforeWatch.set(key, rev);
       this.#handlers[kind].drop(name, key);
     }
   }
 
-  /** The watch has brought everything up to `rev`. */
+  /** Records that all changes up to `rev` have been applied. */
   advanceTo(rev: Revision): void {
     if (rev <= this.syncedRevision) return;
     this.syncedRevision = rev;
     if (rev > this.latestSeenRevision) this.latestSeenRevision = rev;
-    for (const [key, deletedRev] of this.#deletedAhead)
-      if (deletedRev <= rev) this.#deletedAhead.delete(key);
+    for (const [key, deletedRev] of this.#deletedBeforeWatch)
+      if (deletedRev <= rev) this.#deletedBeforeWatch.delete(key);
   }
 
-  /** Takes a full scan in: keys that it lacks are gone, unless they are younger than the scan. */
+  /** Applies a full scan: keys that it lacks are deleted, unless they are newer than the scan. */
   applyScan(items: readonly KeyValue[], rev: Revision): void {
     const present = new Set(items.map((item) => item.key));
     for (const [key, knownRev] of [...this.#revisions])
@@ -249,7 +251,7 @@
   }
 
   #putAcceptedJob(id: JobId, value: unknown, rev: Revision): void {
-    // Both the shard that it leaves and the one that it enters, if its record names another.
+    // Called before and after, to mark the job in its old and its new shard if they differ.
     this.#jobChanged(id);
     const before = this.acceptedJobs.get(id);
     putParsed(this.acceptedJobs, id, parseAcceptedJob(id, value), rev);
@@ -265,7 +267,7 @@
   }
 
   #putMachinePage(shard: ShardId, key: string, value: unknown, rev: Revision): void {
-    // An unreadable page leaves what was last known of its machines.
+    // The machines of an unreadable page keep their last known records.
     const machines = parseMachinePage(shard, value) ?? this.machinePages.get(key)?.machines;
     this.#fleet.put(key, { shard, rev, machines: machines ?? new Map() });
   }
--- a/src/storage/shard-jobs.ts
+++ b/src/storage/shard-jobs.ts
@@ -1,11 +1,12 @@
 /**
- * The live jobs of one shard with their progress, and the attempts that are open on each machine.
+ * The live jobs of one shard with their progress, and the open attempts on each machine.
  *
- * Changes are only marked when they come; the views are brought up to date when somebody reads one
- * (`#refresh`). So a controller that neither owns the shard nor leads never parses its pages.
+ * Updates are lazy: a change only marks its job or page as dirty, and the next read of a view
+ * processes all dirty ones (`#refresh`). So a controller that is neither owner of the shard nor
+ * leader never parses the shard's pages.
  *
- * What must hold after a refresh: a job is in at most one page's view (`#pageKeyOf`), and
- * `#openByMachine` has exactly the open attempts of all pages.
+ * Invariants after a refresh: `#pageKeyOf` maps each job to at most one page, and
+ * `#attemptsByMachine` holds exactly the open attempts of all pages.
  */
 import {
   type AttemptNumber,
@@ -20,23 +21,23 @@
 import { type AcceptedJob, type JobProgress, type LiveJob, NO_PROGRESS } from "./job-records.js";
 import { parseJobPage } from "./pages.js";
 
-/** An attempt that the records say is open on a machine. */
+/** An attempt that is open on a machine according to the records. */
 export interface IndexedAttempt {
   readonly job: JobId;
   /** The task's number within its job. */
   readonly index: number;
   readonly attempt: AttemptNumber;
-  /** See `attemptKey`: computed once, for each round looks at all that is open. */
+  /** The result of `attemptKey`, stored because each round reads the keys of all open attempts. */
   readonly key: string;
 }
 
-/** A job page as it was last read. */
+/** A job page: its revision and the progress of the jobs in it. */
 export interface JobPage {
   readonly rev: Revision;
   readonly entries: ReadonlyMap<JobId, JobProgress>;
 }
 
-/** What is known of a page: `value` is its stored form until it is parsed into `entries`. */
+/** A page with its latest stored form in `value`, until `#parsePage` parses it into `entries`. */
 interface PageState {
   rev: Revision;
   value: unknown;
@@ -57,62 +58,65 @@
   return true;
 };
 
-/** The jobs of one shard; changed by the replica alone. */
+/** The jobs of one shard. Only the replica changes them. */
 export class ShardJobs {
   readonly #jobs = new Map<JobId, LiveJob>();
   readonly #index = new JobIndex();
   readonly #pages = new Map<string, PageState>();
   readonly #pageKeyOf = new Map<JobId, string>();
-  readonly #openByMachine = new Map<MachineId, Map<TaskId, IndexedAttempt>>();
-  readonly #openVersions = new Map<MachineId, number>();
+  readonly #attemptsByMachine = new Map<MachineId, Map<TaskId, IndexedAttempt>>();
+  readonly #attemptsVersions = new Map<MachineId, number>();
   readonly #dirtyPages = new Set<string>();
   readonly #dirtyJobs = new Set<JobId>();
 
-  /** `accepted` answers the record of a live job; undefined if there is none. */
-  constructor(private readonly accepted: (id: JobId) => AcceptedJob | undefined) {}
+  /** `acceptedJob` returns the record of a live job; undefined if there is none. */
+  constructor(private readonly acceptedJob: (id: JobId) => AcceptedJob | undefined) {}
 
-  /** Accepted jobs that are not over, by id. */
+  /** The live jobs (accepted, not finished), by id. */
   get jobs(): ReadonlyMap<JobId, LiveJob> {
     this.#refresh();
     return this.#jobs;
   }
 
-  /** Views of these jobs that are kept up to date with each change. */
+  /** Indexes over these jobs, for scheduling rounds. */
   get index(): JobIndex {
     this.#refresh();
     return this.#index;
   }
 
-  /** Job pages by key; a deleted page stays, without entries and with revision `KEY_ABSENT`. */
+  /** Job pages by key. A deleted page stays, without entries and with revision `KEY_ABSENT`. */
   get pages(): ReadonlyMap<string, JobPage> {
     this.#refresh();
     return this.#pages;
   }
 
-  /** The key of the page that a job's progress is in; undefined for a job without progress. */
+  /** The key of the page that holds a job's progress; undefined for a job without progress. */
   pageKeyOf(id: JobId): string | undefined {
     this.#refresh();
     return this.#pageKeyOf.get(id);
   }
 
-  /** The attempts that are open on a machine, by task. */
+  /** The open attempts on a machine, by task. */
   openAttemptsOn(id: MachineId): ReadonlyMap<TaskId, IndexedAttempt> {
     this.#refresh();
-    return this.#openByMachine.get(id) ?? NO_ATTEMPTS;
+    return this.#attemptsByMachine.get(id) ?? NO_ATTEMPTS;
   }
 
-  /** The same number as before means: the same is open on the machine, with the same resources. */
+  /**
+   * A version that rises with each change of the machine's open attempts or of their resources. As
+   * long as it is unchanged, results computed from them remain valid.
+   */
   openAttemptsVersionOn(id: MachineId): number {
     this.#refresh();
-    return this.#openVersions.get(id) ?? 0;
+    return this.#attemptsVersions.get(id) ?? 0;
   }
 
-  /** A job's record was written or deleted, or its shard has changed. */
+  /** Marks a job as dirty: its record was written or deleted, or its shard has changed. */
   jobChanged(id: JobId): void {
     this.#dirtyJobs.add(id);
   }
 
-  /** A job page was written: `value` is its stored form. */
+  /** Marks a job page as dirty: it was written with the stored form `value`. */
   pageChanged(key: string, value: unknown, rev: Revision): void {
     const page = this.#pages.get(key);
     if (page === undefined) this.#pages.set(key, { rev, value, entries: NO_ENTRIES });
@@ -123,25 +127,28 @@
     this.#dirtyPages.add(key);
   }
 
-  /** Brings all views up to date with the changes marked since the last time. */
+  /** Processes all dirty pages and jobs. */
   #refresh(): void {
     if (this.#dirtyPages.size > 0) this.#parsePages();
     if (this.#dirtyJobs.size === 0) return;
     for (const id of this.#dirtyJobs) {
-      const accepted = this.accepted(id);
+      const accepted = this.acceptedJob(id);
       const before = this.#jobs.get(id);
       const after = accepted === undefined ? undefined : { ...accepted, ...this.#progressOf(id) };
       if (after === undefined) this.#jobs.delete(id);
       else this.#jobs.set(id, after);
       this.#index.replace(id, before, after);
-      // The resources of its open attempts are known, or not known, from now on.
+      // With the job's record, the resources of its open attempts become known or unknown.
       if ((before === undefined) !== (after === undefined))
-        for (const { machine } of (after ?? before)?.open ?? []) this.#openChangedOn(machine);
+        for (const { machine } of (after ?? before)?.open ?? []) this.#attemptsChangedOn(machine);
     }
     this.#dirtyJobs.clear();
   }
 
-  /** All leave the index before any enters it: a job may have moved from one page to another. */
+  /**
+   * Parses the dirty pages and updates the indexes. All outdated entries are removed before any new
+   * one is added, because a job may have moved from one page to another.
+   */
   #parsePages(): void {
     const toIndex: (readonly [JobId, JobProgress])[] = [];
     for (const key of this.#dirtyPages) {
@@ -154,9 +161,12 @@
     this.#dirtyPages.clear();
   }
 
-  /** Takes what a page no longer says out of the index, and adds what is new to `toIndex`. */
+  /**
+   * Parses one page, removes outdated attempts from the index, and adds those to be indexed to
+   * `toIndex`.
+   */
   #parsePage(key: string, page: PageState, toIndex: (readonly [JobId, JobProgress])[]): void {
-    // An unreadable page leaves what was last known of its jobs.
+    // The jobs of an unreadable page keep their last known progress.
     const next = parseJobPage(page.value) ?? page.entries;
     for (const [id, before] of page.entries) {
       const after = next.get(id);
@@ -179,32 +189,32 @@
     return (key === undefined ? undefined : this.#pages.get(key)?.entries.get(id)) ?? NO_PROGRESS;
   }
 
-  #openChangedOn(id: MachineId): void {
-    this.#openVersions.set(id, (this.#openVersions.get(id) ?? 0) + 1);
+  #attemptsChangedOn(id: MachineId): void {
+    this.#attemptsVersions.set(id, (this.#attemptsVersions.get(id) ?? 0) + 1);
   }
 
   #unindexAttempts(id: JobId, progress: JobProgress): void {
     for (const { index, attempt, machine } of progress.open) {
-      const openHere = this.#openByMachine.get(machine);
+      const attempts = this.#attemptsByMachine.get(machine);
       const task = taskId(id, index);
-      // A job that changed its page may be indexed from the new one already.
-      if (openHere?.get(task)?.attempt !== attempt) continue;
-      openHere.delete(task);
-      this.#openChangedOn(machine);
-      if (openHere.size === 0) this.#openByMachine.delete(machine);
+      // The task may be indexed already with another attempt, from the page its job moved to.
+      if (attempts?.get(task)?.attempt !== attempt) continue;
+      attempts.delete(task);
+      this.#attemptsChangedOn(machine);
+      if (attempts.size === 0) this.#attemptsByMachine.delete(machine);
     }
   }
 
   #indexAttempts(id: JobId, progress: JobProgress): void {
     for (const { index, attempt, machine } of progress.open) {
-      let openHere = this.#openByMachine.get(machine);
-      if (openHere === undefined) {
-        openHere = new Map();
-        this.#openByMachine.set(machine, openHere);
+      let attempts = this.#attemptsByMachine.get(machine);
+      if (attempts === undefined) {
+        attempts = new Map();
+        this.#attemptsByMachine.set(machine, attempts);
       }
       const task = taskId(id, index);
-      openHere.set(task, { job: id, index, attempt, key: attemptKey(task, attempt) });
-      this.#openChangedOn(machine);
+      attempts.set(task, { job: id, index, attempt, key: attemptKey(task, attempt) });
+      this.#attemptsChangedOn(machine);
     }
   }
 }
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -1,10 +1,10 @@
 /**
- * The client of the state store: its calls, its limits, and the evidence of its availability.
+ * Client of the state store.
  *
- * It owns this controller's part of the store's limits (`request-budget.ts`) and the times of the
- * last answers, from which store availability is judged. What an answer proves is classified in
- * `store-results.ts`. Nothing here is retried but in `commitUntilDecided` and `transactWithRetry`,
- * and no method throws for want of an answer.
+ * It owns this controller's share of the store's rate limits (`request-budget.ts`) and the times of
+ * the last answers and failures, from which the availability of the store is derived. The outcomes
+ * of calls are classified in `store-results.ts`. Only `commitUntilDecided` and `transactWithRetry`
+ * retry. A call without an answer is reported in the result; no method throws because of it.
  */
 import { type LeaseId, type MonotonicMs, monotonicMs, type Revision } from "@umberfold/ids";
 import {
@@ -34,7 +34,7 @@
 
 export type { CompareResult, ReadResult, TransactionResult, WatchResult } from "./store-results.js";
 
-/** All items under a prefix, and a revision from which watching misses nothing. */
+/** All items under a prefix, and the revision from which a watch misses no later change. */
 export interface ScanSnapshot {
   readonly items: readonly KeyValue[];
   readonly rev: Revision;
@@ -42,68 +42,71 @@
 
 const CALL_TIMEOUT_MS = 1500;
 const SCAN_PAGE_TIMEOUT_MS = 4 * CALL_TIMEOUT_MS;
-/** How much longer than the watch itself its answer may take. */
-const WATCH_GRACE_MS = 5000;
-const SCAN_PAGE_ITEMS = 1000;
-/** Within a tenth of a second the limits let a few more changes through. */
+/** Added to the duration of a watch to get the timeout of its call. */
+const WATCH_EXTRA_TIMEOUT_MS = 5000;
+const MAX_SCAN_PAGE_ITEMS = 1000;
+/** The three retries take about 0.1 s, in which the rate limits admit a few more changes. */
 const MAX_THROTTLED_ATTEMPTS = 4;
-const THROTTLED_RETRY_MS = 35;
+const THROTTLED_RETRY_DELAY_MS = 35;
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 500;
 
-/** The state store, as this controller calls it. */
+/** Calls the state store and records its answers as evidence of its availability. */
 export class StateStore {
   readonly #budget: RequestBudget;
-  /** Requests sent, and those refused for the limits (429). */
+  /** `requests`: requests sent; `refused`: those refused with 429 because of the rate limits. */
   readonly counters = { requests: 0, refused: 0 };
-  /** When the last answer other than 503 came. */
+  /** When the last answer other than 503 arrived. */
   answeredAt = monotonicNow();
-  /** When the last 503 came. */
+  /** When the last answer with status 503 arrived. */
   refusedAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
-  /** When the last call ended without any answer of the store's side. */
+  /** When the last call ended without an answer, except for calls that failed on this side. */
   unansweredAt: MonotonicMs = monotonicMs(Number.NEGATIVE_INFINITY);
 
-  /** `members` is how many controllers share the limits at first. */
+  /** `controllerCount` is the number of controllers that initially share the rate limits. */
   constructor(
     private readonly address: string,
     limits: StoreLimits,
-    private readonly calls: HttpClient,
-    members: number,
+    private readonly client: HttpClient,
+    controllerCount: number,
   ) {
-    this.#budget = new RequestBudget(limits, members);
+    this.#budget = new RequestBudget(limits, controllerCount);
   }
 
   /** See `RequestBudget.updateShares`. */
-  updateShares(members: number, othersWrites: number): void {
-    this.#budget.updateShares(members, othersWrites);
+  updateShares(controllerCount: number, peerWritesPerS: number): void {
+    this.#budget.updateShares(controllerCount, peerWritesPerS);
   }
 
-  /** Whether a read may be sent now; takes it from the budget if so. */
+  /** Whether a read may be sent now; if so, takes one request from the budget. */
   mayRead(): boolean {
     return this.#budget.mayRead();
   }
 
-  /** Whether changes that a user waits for may be sent now; takes them from the budget if so. */
+  /** Whether changes that a user waits for may be sent now; if so, takes them from the budget. */
   mayWriteNow(changes: number): boolean {
     return this.#budget.mayWriteNow(changes);
   }
 
-  /** Whether a batch may be sent once `minChanges` are there; takes `changes` if so. */
+  /**
+   * Whether a batch of `changes` may be sent now: the budget must hold at least `minChanges`. If so,
+   * takes `changes` from the budget, which may leave a debt.
+   */
   mayWriteBatch(changes: number, minChanges: number): boolean {
     return this.#budget.mayWriteBatch(changes, minChanges);
   }
 
-  /** Milliseconds until this many changes may be written. */
+  /** Time until the budget holds this many changes, in milliseconds. */
   writeWaitMs(changes: number): number {
     return this.#budget.writeWaitMs(changes);
   }
 
-  /** How full the budget of changes is, from 0 to 1. */
+  /** The available fraction of the budget for changes, from 0 to 1. */
   writeBudgetFraction(): number {
     return this.#budget.writeLevel();
   }
 
-  /** The newest call was refused (503) or got no answer. */
+  /** Whether the latest call was refused with 503 or got no answer. */
   isFailing(): boolean {
     return Math.max(this.refusedAt, this.unansweredAt) > this.answeredAt;
   }
@@ -115,15 +118,16 @@
     timeoutMs = CALL_TIMEOUT_MS,
   ): Promise<CallResult> {
     this.counters.requests++;
-    const outcome = await this.calls.call(this.address, method, path, body, timeoutMs);
+    const outcome = await this.client.call(this.address, method, path, body, timeoutMs);
     this.#recordEvidence(outcome);
     return outcome;
   }
 
-  /** Keeps what an outcome says of the store's availability and of its limits. */
+  /** Records what an outcome shows about the store's availability and rate limits. */
   #recordEvidence(outcome: CallResult): void {
     if (outcome.kind !== "answer") {
-      // For want of a socket or of processor time here: that says nothing of the store.
+      // A call that failed on this side (no free socket, or no turn within its timeout) is no
+      // evidence that the store is unavailable.
       if (outcome.kind !== "unsent" || outcome.own !== true) this.unansweredAt = monotonicNow();
       return;
     }
@@ -143,34 +147,36 @@
   }
 
   /**
-   * Repeats one transaction until it is decided or `giveUp` answers true. The same conditions make
-   * that safe: applied at most once, and a definite 409 means no earlier copy can be applied any
-   * more, for the revisions they named have passed. (A key once created under an `absent` condition
-   * leaves a final record or is never created under the same name again.)
+   * Repeats a transaction, with exponential backoff, until its result is definite or `shouldGiveUp`
+   * returns true. Repeating is safe because the conditions are the same each time. The transaction
+   * is applied at most once. After a conflict (409) no earlier copy can be applied any more, because
+   * the revisions in the conditions are no longer current. (A key created under the condition that
+   * it is absent cannot be created twice either: when it is deleted, a final record remains that the
+   * conditions name, or the same name is never used again.)
    */
   async commitUntilDecided(
     transaction: Transaction,
-    giveUp: () => boolean,
+    shouldGiveUp: () => boolean,
   ): Promise<TransactionResult> {
     for (let backoffMs = MIN_BACKOFF_MS; ; backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2)) {
       const result = await this.transact(transaction);
       if (result.kind !== "unknown" && result.kind !== "unavailable") return result;
-      if (giveUp()) return result;
+      if (shouldGiveUp()) return result;
       await sleep(backoffMs);
     }
   }
 
-  /** For what a user waits for: tries a few times more if only the limits stood in the way. */
+  /** For writes that a user waits for: retries a few times if only the rate limit was exceeded. */
   async transactWithRetry(transaction: Transaction): Promise<TransactionResult> {
     for (let attempt = 1; ; attempt++) {
       const result = await this.transact(transaction);
       const throttled = result.kind === "unavailable" && result.throttled === true;
       if (!throttled || attempt >= MAX_THROTTLED_ATTEMPTS) return result;
-      await sleep(THROTTLED_RETRY_MS);
+      await sleep(THROTTLED_RETRY_DELAY_MS);
     }
   }
 
-  /** One request, and no write, that proves many revisions current. */
+  /** Checks in one request, without a write, that many revisions are current. */
   async compare(conditions: readonly Condition[]): Promise<CompareResult> {
     return classifyComparison(await this.#call("POST", storePaths.txn, compareBody(conditions)));
   }
@@ -180,18 +186,18 @@
     return classifyRead(await this.#call("GET", storePaths.key(key), undefined));
   }
 
-  /** Reads all items under a prefix, page by page; undefined if a page could not be had. */
+  /** Reads all items under a prefix, page by page; undefined if reading a page failed. */
   async scan(prefix: string): Promise<ScanSnapshot | undefined> {
     const items: KeyValue[] = [];
     let firstRev: Revision | undefined;
     let afterKey: string | undefined;
     for (;;) {
-      const path = storePaths.scan(prefix, afterKey, SCAN_PAGE_ITEMS);
+      const path = storePaths.scan(prefix, afterKey, MAX_SCAN_PAGE_ITEMS);
       const outcome = await this.#call("GET", path, undefined, SCAN_PAGE_TIMEOUT_MS);
       if (outcome.kind !== "answer" || outcome.status !== 200) return undefined;
       const page = parseScanPage(outcome.body);
       if (page === undefined) return undefined;
-      // Later pages are newer; changes since the first page come again through the watch.
+      // Later pages are newer; the watch reports all changes since the first page again.
       firstRev ??= page.rev;
       items.push(...page.items);
       if (!page.more || page.items.length === 0) return { items, rev: firstRev };
@@ -202,10 +208,10 @@
   /** Waits up to `waitMs` for changes under a prefix after a revision. */
   async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchResult> {
     const path = storePaths.watch(prefix, after, waitMs);
-    return classifyWatch(await this.#call("GET", path, undefined, waitMs + WATCH_GRACE_MS));
+    return classifyWatch(await this.#call("GET", path, undefined, waitMs + WATCH_EXTRA_TIMEOUT_MS));
   }
 
-  /** Asks for a new lease; undefined if none was granted, or the answer did not come. */
+  /** Requests a new lease; undefined if none was granted or no answer arrived. */
   async grant(ttlMs: number): Promise<LeaseId | undefined> {
     const outcome = await this.#call("POST", storePaths.grants, grantBody(ttlMs));
     return outcome.kind === "answer" && outcome.status === 200
@@ -213,7 +219,7 @@
       : undefined;
   }
 
-  /** Renews a lease. `lapsed`: it has expired, and its keys are gone. */
+  /** Renews a lease. `lapsed`: the lease has expired and its keys are deleted. */
   async renew(lease: LeaseId): Promise<"renewed" | "lapsed" | "unavailable"> {
     const outcome = await this.#call("POST", storePaths.renew(lease), {});
     if (outcome.kind !== "answer") return "unavailable";
@@ -221,13 +227,13 @@
     return outcome.status === 200 ? "renewed" : "unavailable";
   }
 
-  /** Gives a lease back, and with it its keys; without an answer it expires by itself. */
+  /** Releases a lease, which deletes its keys; if the request fails, the lease expires later. */
   async release(lease: LeaseId): Promise<void> {
     await this.#call("DELETE", storePaths.lease(lease), undefined);
   }
 
-  /** Closes the connections. */
+  /** Closes all connections to the state store. */
   close(): void {
-    this.calls.close();
+    this.client.close();
   }
 }
--- a/src/storage/store-results.ts
+++ b/src/storage/store-results.ts
@@ -1,19 +1,19 @@
 /**
- * What an answer of the state store proves, and what it doesn't.
+ * Classifies the outcomes of calls to the state store by what they prove.
  *
- * How the outcome of a transaction is classified:
+ * Outcomes of a transaction:
  *
- * | outcome of the call            | result        | applied?                                      |
- * | ------------------------------ | ------------- | --------------------------------------------- |
- * | 200 with a revision            | `applied`     | yes, at that revision                         |
- * | 409                            | `conflict`    | no: a condition did not hold                  |
- * | 400                            | `refused`     | no, and never will be                         |
- * | 429                            | `unavailable` | no; `throttled`: the limits were reached      |
- * | 503, or the call was not sent  | `unavailable` | no                                            |
- * | anything else, or no answer    | `unknown`     | perhaps, or it may yet be                     |
+ * | outcome of the call            | result        | applied?                                     |
+ * | ------------------------------ | ------------- | -------------------------------------------- |
+ * | 200 with a revision            | `applied`     | yes, at that revision                        |
+ * | 409                            | `conflict`    | no: a condition did not hold                 |
+ * | 400                            | `refused`     | no, and never will be                        |
+ * | 429                            | `unavailable` | no; `throttled`: a rate limit was exceeded   |
+ * | 503, or the call was not sent  | `unavailable` | no                                           |
+ * | anything else, or no answer    | `unknown`     | perhaps, or it may be applied later          |
  *
- * Only `unknown` leaves open what happened: whoever gets it must find out, by sending the same
- * conditions again (`StateStore.commitUntilDecided`) or by reading the keys.
+ * After `unknown` the caller must find out what happened, either by sending the transaction with the
+ * same conditions again (`StateStore.commitUntilDecided`) or by reading the keys.
  */
 import type { Revision } from "@umberfold/ids";
 import {
@@ -26,45 +26,45 @@
 } from "../protocol/store.js";
 import type { CallResult } from "../transport/client.js";
 
-/** What became of a transaction. */
+/** The result of a transaction. */
 export type TransactionResult =
-  /** `rev` is the revision of all its changes. */
+  /** Applied; all its changes have the revision `rev`. */
   | { readonly kind: "applied"; readonly rev: Revision }
   /** Not applied. `failed` names keys whose condition did not hold; it need not name all. */
   | { readonly kind: "conflict"; readonly failed: readonly string[] }
-  /** Our lease has expired, or the request is malformed: it never will be applied. */
+  /** This controller's lease has expired or the request is malformed: it will never be applied. */
   | { readonly kind: "refused" }
-  /** Not executed; `throttled`: only because the limits were reached at this moment. */
+  /** Not executed; `throttled` is set if the only reason was an exceeded rate limit. */
   | { readonly kind: "unavailable"; readonly throttled?: boolean }
-  /** May have been applied, or may yet be. */
+  /** May have been applied, or may be applied later. */
   | { readonly kind: "unknown" };
 
-/** What became of a comparison. */
+/** The result of a comparison: a transaction of conditions only, without changes. */
 export type CompareResult =
-  /** All conditions held at one moment after the call. */
+  /** All conditions held at one moment after the call began. */
   | { readonly kind: "current" }
   /** `failed` names keys whose condition did not hold; it need not name all. */
   | { readonly kind: "conflict"; readonly failed: readonly string[] }
-  /** Nothing is proved. */
+  /** Neither confirmed nor refuted. */
   | { readonly kind: "unavailable" };
 
-/** What a read of one key found. */
+/** The result of reading one key. */
 export type ReadResult =
   | { readonly kind: "found"; readonly item: KeyValue }
   /** The key did not exist at `rev`. */
   | { readonly kind: "absent"; readonly rev: Revision }
-  /** Nothing is proved. */
+  /** Unknown whether the key exists. */
   | { readonly kind: "unavailable" };
 
-/** What a watch brought. */
+/** The result of a watch. */
 export type WatchResult =
-  /** All changes after the revision asked for, up to `rev`. */
+  /** All changes after the requested revision, up to and including `rev`. */
   | { readonly kind: "changes"; readonly rev: Revision; readonly changes: readonly StoreChange[] }
-  /** The changes can't be had any more, or not all of them could be read: scan again. */
+  /** Some changes are missing (no longer kept, or unreadable): a new scan is needed. */
   | { readonly kind: "too_old" }
   | { readonly kind: "unavailable" };
 
-/** See the table at the head of this module. */
+/** Classifies the outcome of a transaction; see the table in the module comment. */
 export const classifyTransaction = (outcome: CallResult): TransactionResult => {
   if (outcome.kind === "unsent") return { kind: "unavailable" };
   if (outcome.kind === "lost") return { kind: "unknown" };
@@ -86,7 +86,10 @@
   }
 };
 
-/** A comparison writes nothing, so whatever isn't an answer to it can be asked again. */
+/**
+ * Classifies the outcome of a comparison. It writes nothing and can be repeated safely, so there is
+ * no `unknown`: a missing or unexpected answer is `unavailable`.
+ */
 export const classifyComparison = (outcome: CallResult): CompareResult => {
   if (outcome.kind !== "answer") return { kind: "unavailable" };
   if (outcome.status === 200) return { kind: "current" };
@@ -94,7 +97,10 @@
   return { kind: "unavailable" };
 };
 
-/** 404 counts as an answer only with the revision at which the key was absent. */
+/**
+ * Classifies the outcome of a read. 404 proves a key absent only if the answer has the revision at
+ * which it was absent.
+ */
 export const classifyRead = (outcome: CallResult): ReadResult => {
   if (outcome.kind !== "answer") return { kind: "unavailable" };
   if (outcome.status === 200) {
@@ -105,7 +111,10 @@
   return rev === undefined ? { kind: "unavailable" } : { kind: "absent", rev };
 };
 
-/** An unreadable list of changes leaves a hole, as one that is too old does: 410. */
+/**
+ * Classifies the outcome of a watch. After an unreadable list of changes some are missing, as after
+ * 410 (the requested revision is too old), so both are `too_old`.
+ */
 export const classifyWatch = (outcome: CallResult): WatchResult => {
   if (outcome.kind !== "answer") return { kind: "unavailable" };
   if (outcome.status === 410) return { kind: "too_old" };
--- a/test/storage/job-index.test.ts
+++ b/test/storage/job-index.test.ts
@@ -1,4 +1,4 @@
-/** The index of a shard's jobs must show what a pass over all of them would. */
+/** A shard's job index must always equal the result of a full scan over its live jobs. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { attemptNumber, type JobId, jobId, machineId, revision, wallClockMs } from "@umberfold/ids";
@@ -13,35 +13,38 @@
 import { ShardJobs } from "../../src/storage/shard-jobs.js";
 import { type RandomSource, randomSource, randomSpec, TEAMS } from "../support/random-jobs.js";
 
-/** What the index replaced: passes over all live jobs of the shard. */
-const fullPass = (jobs: ReadonlyMap<string, LiveJob>) => {
+/** The expected content of the index, computed by a full scan over the shard's live jobs. */
+const fullScan = (jobs: ReadonlyMap<string, LiveJob>) => {
   const ordered = [...jobs].filter(([, j]) => j.cancelledAt === null);
   ordered.sort(([, a], [, b]) => a.acceptedAt - b.acceptedAt);
-  const used = new Map<string, number>();
-  const within: string[] = [];
-  const use = new Map<string, number>();
+  const acceptedCpus = new Map<string, number>();
+  const withinGuarantee: string[] = [];
+  const usedCpus = new Map<string, number>();
   for (const [id, j] of ordered) {
     const { cpus } = TEAMS.find((t) => t.name === j.spec.team) ?? { cpus: 0 };
-    const sum = (used.get(j.spec.team) ?? 0) + j.spec.taskCount * j.spec.resources.cpus;
-    used.set(j.spec.team, sum);
-    if (cpus > 0 && sum <= cpus) within.push(id);
+    const sum = (acceptedCpus.get(j.spec.team) ?? 0) + j.spec.taskCount * j.spec.resources.cpus;
+    acceptedCpus.set(j.spec.team, sum);
+    if (cpus > 0 && sum <= cpus) withinGuarantee.push(id);
   }
   for (const j of jobs.values())
     if (j.open.length > 0)
-      use.set(j.spec.team, (use.get(j.spec.team) ?? 0) + j.open.length * j.spec.resources.cpus);
+      usedCpus.set(
+        j.spec.team,
+        (usedCpus.get(j.spec.team) ?? 0) + j.open.length * j.spec.resources.cpus,
+      );
   return {
     waiting: [...jobs].filter(([, j]) => waitingTaskCount(j) > 0).map(([id]) => id),
     cancelled: [...jobs].filter(([, j]) => j.cancelledAt !== null).map(([id]) => id),
     complete: [...jobs]
       .filter(([, j]) => j.cancelledAt === null && rangesCount(j.done) === j.spec.taskCount)
       .map(([id]) => id),
-    needs: [...new Set([...jobs.values()].map((j) => j.spec.resources.cpus))],
-    within,
-    use: [...use],
+    taskCpus: [...new Set([...jobs.values()].map((j) => j.spec.resources.cpus))],
+    withinGuarantee,
+    usedCpus: [...usedCpus],
   };
 };
 
-/** Accepted jobs and their pages, changed at random, and the index that follows them. */
+/** Random changes of accepted jobs and their pages, and the `ShardJobs` that they are applied to. */
 class RandomShard {
   readonly #random: RandomSource;
   readonly #accepted = new Map<string, AcceptedJob>();
@@ -77,7 +80,7 @@
     for (const page of this.#pages) page.delete(id);
   }
 
-  /** A job may move from one page to another with what it has open. */
+  /** Rewrites a job's progress; with it the job may move, open attempts included, to another page. */
   #progress(id: JobId, job: AcceptedJob, page: Map<JobId, JobProgress>, step: number): void {
     const { taskCount } = job.spec;
     for (const other of this.#pages) other.delete(id);
@@ -91,29 +94,29 @@
   }
 }
 
-const assertEqualToFullPass = ({ index, jobs }: ShardJobs, moment: string): void => {
-  const expected = fullPass(jobs);
-  const got = {
+const assertEqualToFullScan = ({ index, jobs }: ShardJobs, moment: string): void => {
+  const expected = fullScan(jobs);
+  const actual = {
     waiting: [...index.waitingJobs.keys()],
     cancelled: [...index.cancelledJobs.keys()],
     complete: [...index.completedJobs.keys()],
-    needs: [...index.distinctResources()].map((resources) => resources.cpus),
-    within: [...index.jobsWithinGuarantee(TEAMS)],
-    use: [...index.usedResourcesByTeam()].map(
+    taskCpus: [...index.distinctResources()].map((resources) => resources.cpus),
+    withinGuarantee: [...index.jobsWithinGuarantee(TEAMS)],
+    usedCpus: [...index.usedResourcesByTeam()].map(
       ([team, resources]) => [team, resources.cpus] as const,
     ),
   };
   for (const key of Object.keys(expected) as (keyof typeof expected)[])
-    assert.deepEqual([...got[key]].sort(), [...expected[key]].sort(), `${key} ${moment}`);
+    assert.deepEqual([...actual[key]].sort(), [...expected[key]].sort(), `${key} ${moment}`);
   for (const [key, job] of index.waitingJobs) assert.equal(job, jobs.get(key));
 };
 
-test("a shard's job index equals a pass over all jobs after each of 2000 random changes", () => {
+test("a shard's job index equals a full scan after each of 2000 random changes", () => {
   for (let seed = 1; seed <= 8; seed++) {
     const shard = new RandomShard(seed);
     for (let step = 1; step <= 250; step++) {
       shard.change(step);
-      assertEqualToFullPass(shard.shardJobs, `${seed}/${step}`);
+      assertEqualToFullScan(shard.shardJobs, `${seed}/${step}`);
     }
   }
 });
--- a/test/storage/replica.test.ts
+++ b/test/storage/replica.test.ts
@@ -1,10 +1,10 @@
-/** What the replica makes of changes that arrive twice, late or in another order. */
+/** How the replica handles changes that arrive twice, late or in another order. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { controllerLabel, machineId, revision } from "@umberfold/ids";
 import { Replica } from "../../src/storage/replica.js";
 
-test("a machine that moves to another page is in one only, in whatever order the pages come", () => {
+test("a machine moved to another page is in that page only, in either order of changes", () => {
   const page = { t: ["g8"], z: ["a"] };
   const row = ["m-1", 0, 0, 0, 0, "", 5];
   const changes = [
@@ -25,24 +25,24 @@
   }
 });
 
-test("the replica ignores changes older than what it knows", () => {
+test("the replica ignores changes older than those it has applied", () => {
   const replica = new Replica();
   const key = "now/member/a";
   const put = (rev: number, start: string): void =>
     replica.apply({ kind: "put", key, value: { l: "a", i: start }, rev: revision(rev) });
-  const knownStart = (): string | undefined =>
+  const storedIncarnation = (): string | undefined =>
     replica.members.get(controllerLabel("a"))?.value.incarnation;
   put(5, "new");
   put(3, "old");
-  assert.equal(knownStart(), "new");
-  // Deleted by an own transaction at 9; the watch has yet to show the change of 7.
+  assert.equal(storedIncarnation(), "new");
+  // An own transaction deleted the key at revision 9; the watch reports revision 7 only later.
   replica.apply({ kind: "delete", key, rev: revision(9) });
   put(7, "late");
   assert.equal(replica.members.size, 0);
   replica.advanceTo(revision(9));
   put(11, "again");
-  assert.equal(knownStart(), "again");
-  // A scan from before the last change doesn't revert it; one from after does.
+  assert.equal(storedIncarnation(), "again");
+  // A scan older than the last change doesn't revert it; a newer one does.
   replica.applyScan([], revision(10));
   assert.equal(replica.members.size, 1);
   replica.applyScan([], revision(12));
--- a/test/storage/store-results.test.ts
+++ b/test/storage/store-results.test.ts
@@ -1,3 +1,4 @@
+/** How the outcomes of calls to the state store are classified. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { revision } from "@umberfold/ids";
@@ -19,17 +20,17 @@
 const CONFLICT = { ledger: 7, failed: ["k/1"] };
 const ITEM = { path: "k/1", v: 1, mark: 7 };
 
-type Row = readonly [name: string, outcome: CallResult, expected: unknown];
-const checkAll = (
-  what: string,
+type Case = readonly [name: string, outcome: CallResult, expected: unknown];
+const testCases = (
+  callName: string,
   classify: (outcome: CallResult) => unknown,
-  rows: readonly Row[],
+  cases: readonly Case[],
 ): void => {
-  for (const [name, outcome, expected] of rows)
-    test(`${what}: ${name}`, () => assert.deepEqual(classify(outcome), expected));
+  for (const [name, outcome, expected] of cases)
+    test(`${callName}: ${name}`, () => assert.deepEqual(classify(outcome), expected));
 };
 
-checkAll("a transaction", classifyTransaction, [
+testCases("a transaction", classifyTransaction, [
   ["200 is applied", answer(200, { ledger: 7 }), { kind: "applied", rev: revision(7) }],
   ["200 without a revision is unknown", answer(200), { kind: "unknown" }],
   ["409 is a conflict", answer(409, CONFLICT), { kind: "conflict", failed: ["k/1"] }],
@@ -42,7 +43,7 @@
   ["a call without an answer is unknown", LOST, { kind: "unknown" }],
 ]);
 
-checkAll("a comparison", classifyComparison, [
+testCases("a comparison", classifyComparison, [
   ["200 is current", answer(200, { ledger: 7 }), { kind: "current" }],
   ["409 is a conflict", answer(409, CONFLICT), { kind: "conflict", failed: ["k/1"] }],
   ["any other status is unavailable", answer(400), { kind: "unavailable" }],
@@ -50,7 +51,7 @@
   ["a call without an answer is unavailable", LOST, { kind: "unavailable" }],
 ]);
 
-checkAll("a read", classifyRead, [
+testCases("a read", classifyRead, [
   [
     "200 is found",
     answer(200, ITEM),
@@ -63,7 +64,7 @@
   ["a call without an answer is unavailable", LOST, { kind: "unavailable" }],
 ]);
 
-checkAll("a watch", classifyWatch, [
+testCases("a watch", classifyWatch, [
   [
     "200 brings changes",
     answer(200, { ledger: 7, log: [{ drop: "k/1", mark: 7 }] }),
--- a/test/support/random-jobs.ts
+++ b/test/support/random-jobs.ts
@@ -1,4 +1,4 @@
-/** Random jobs for tests that compare an index or a search with a pass over everything. */
+/** Random jobs for tests that compare an index or a search with a full scan. */
 import { jobId, teamName } from "@umberfold/ids";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -9,12 +9,15 @@
   { name: teamName("a"), cpus: 24, gpus: 0 },
   { name: teamName("b"), cpus: 0, gpus: 0 },
 ];
-/** Images that jobs need and machines may have. */
+/** Container images that jobs require and machines may have cached. */
 export const IMAGES = ["i", "j"];
-/** Zones of machines. */
+/** Zones that machines are in. */
 export const ZONES = ["x", "y"];
 
-/** Draws that follow from a seed alone. */
+/**
+ * A deterministic random source: `unit` draws a number from 0 to 1 (exclusive), `below` an integer
+ * from 0 to `n` (exclusive), `pick` an element of a list.
+ */
 export const randomSource = (seed: number) => {
   const generator = xoroshiro128plus(seed);
   const unit = (): number => uniformFloat64(generator);
@@ -22,13 +25,13 @@
   const pick = <T>(items: readonly T[]): T => items[below(items.length)] as T;
   return { unit, below, pick };
 };
-/** See `randomSource`. */
+/** The type of a source that `randomSource` returns. */
 export type RandomSource = ReturnType<typeof randomSource>;
 
-/** Resources in proportion to processors. */
+/** Resources without gpus, with 3 GB of memory per cpu. */
 export const resourcesOf = (cpus: number): Resources => ({ cpus, gpus: 0, ramGb: cpus * 3 });
 
-/** A job of few tasks with random placement rules. */
+/** A job of 1 to 6 tasks with random resources and placement constraints. */
 export const randomSpec = (random: RandomSource, id: string): JobSpec => ({
   id: jobId(id),
   jobClass: "c",
