--- a/src/storage/group-commit.ts
+++ b/src/storage/group-commit.ts
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Handles a group of which nothing was applied (conflict or refusal). Writes whose keys failed get
-   * the result; the others go back to the front of the queue. If the result names no key of the
+   * Handles a group of which nothing was applied (conflict or refusal). Writes whose keys failed
+   * get the result; the others go back to the front of the queue. If the result names no key of the
    * group, all its writes are sent again one by one.
    */
   #splitFailedGroup(
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -1,14 +1,15 @@
 /**
- * Read batching: linearizable reads of jobs (never older than the state store's state at the time of
- * the call) with far fewer requests than lookups.
+ * Read batching: linearizable reads of jobs (never older than the state store's state at the time
+ * of the call) with far fewer requests than lookups.
  *
  * Lookups are collected for `BATCH_DELAY_MS`. Then one read-only transaction, a comparison, checks
  * for many jobs at once that the revisions in the replica are current. A lookup only joins a
  * comparison that is sent after the lookup began: one already in flight could confirm a state older
  * than what another controller has returned to a user in the meantime.
  *
- * A job whose comparison fails is read by itself: first its live record, then its final record. This
- * order is safe because a job's live record is replaced by its final record, never the reverse.
+ * A job whose comparison fails is read by itself: first its live record, then its final record.
+ * This order is safe because a job's live record is replaced by its final record, never the
+ * reverse.
  */
 import { type JobId, KEY_ABSENT, type MonotonicMs, type Revision } from "@umberfold/ids";
 import type { Condition } from "../protocol/store.js";
@@ -171,8 +172,8 @@
   }
 
   /**
-   * Sends the next comparison after the batch delay. Does nothing if one is scheduled already or the
-   * maximum number is in flight; the end of a comparison schedules the next one.
+   * Sends the next comparison after the batch delay. Does nothing if one is scheduled already or
+   * the maximum number is in flight; the end of a comparison schedules the next one.
    */
   async #scheduleBatch(): Promise<void> {
     if (this.#isBatchScheduled || this.#inFlightCount >= MAX_IN_FLIGHT_COMPARISONS) return;
--- a/src/storage/replica.ts
+++ b/src/storage/replica.ts
@@ -1,10 +1,11 @@
 /**
- * This controller's local copy of the state store's `now/` keys, kept up to date by the watch and by
- * this controller's own committed writes.
+ * This controller's local copy of the state store's `now/` keys, kept up to date by the watch and
+ * by this controller's own committed writes.
  *
  * Changes of a key may arrive in any order and more than once: the highest revision wins, and older
- * changes are ignored. All data here may be stale. Only a condition on its revision, in a write or a
- * comparison, proves it current. The table `#handlers` defines what a record of each kind changes.
+ * changes are ignored. All data here may be stale. Only a condition on its revision, in a write or
+ * a comparison, proves it current. The table `#handlers` defines what a record of each kind
+ * changes.
  */
 import {
   type ControllerLabel,
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Whether a batch of `changes` may be sent now: the budget must hold at least `minChanges`. If so,
-   * takes `changes` from the budget, which may leave a debt.
+   * Whether a batch of `changes` may be sent now: the budget must hold at least `minChanges`. If
+   * so, takes `changes` from the budget, which may leave a debt.
    */
   mayWriteBatch(changes: number, minChanges: number): boolean {
     return this.#budget.mayWriteBatch(changes, minChanges);
@@ -126,8 +126,8 @@
   /** Records what an outcome shows about the store's availability and rate limits. */
   #recordEvidence(outcome: CallResult): void {
     if (outcome.kind !== "answer") {
-      // A call that failed on this side (no free socket, or no turn within its timeout) is no
-      // evidence that the store is unavailable.
+      // A call that failed on this side (no free socket, or not sent within its timeout because
+      // this process was busy) is no evidence that the store is unavailable.
       if (outcome.kind !== "unsent" || outcome.own !== true) this.unansweredAt = monotonicNow();
       return;
     }
@@ -149,10 +149,10 @@
   /**
    * Repeats a transaction, with exponential backoff, until its result is definite or `shouldGiveUp`
    * returns true. Repeating is safe because the conditions are the same each time. The transaction
-   * is applied at most once. After a conflict (409) no earlier copy can be applied any more, because
-   * the revisions in the conditions are no longer current. (A key created under the condition that
-   * it is absent cannot be created twice either: when it is deleted, a final record remains that the
-   * conditions name, or the same name is never used again.)
+   * is applied at most once. After a conflict (409) no earlier copy can be applied any more,
+   * because the revisions in the conditions are no longer current. (A key created under the
+   * condition that it is absent cannot be created twice either: when it is deleted, a final record
+   * remains that the conditions name, or the same name is never used again.)
    */
   async commitUntilDecided(
     transaction: Transaction,
--- a/src/storage/store-results.ts
+++ b/src/storage/store-results.ts
@@ -12,8 +12,8 @@
  * | 503, or the call was not sent  | `unavailable` | no                                           |
  * | anything else, or no answer    | `unknown`     | perhaps, or it may be applied later          |
  *
- * After `unknown` the caller must find out what happened, either by sending the transaction with the
- * same conditions again (`StateStore.commitUntilDecided`) or by reading the keys.
+ * After `unknown` the caller must find out what happened, either by sending the transaction with
+ * the same conditions again (`StateStore.commitUntilDecided`) or by reading the keys.
  */
 import type { Revision } from "@umberfold/ids";
 import {
--- a/test/storage/job-index.test.ts
+++ b/test/storage/job-index.test.ts
@@ -44,7 +44,7 @@
   };
 };
 
-/** Random changes of accepted jobs and their pages, and the `ShardJobs` that they are applied to. */
+/** Changes accepted jobs and their pages at random and applies the changes to `shardJobs`. */
 class RandomShard {
   readonly #random: RandomSource;
   readonly #accepted = new Map<string, AcceptedJob>();
@@ -80,7 +80,7 @@
     for (const page of this.#pages) page.delete(id);
   }
 
-  /** Rewrites a job's progress; with it the job may move, open attempts included, to another page. */
+  /** Rewrites a job's progress, which may move the job with its open attempts to another page. */
   #progress(id: JobId, job: AcceptedJob, page: Map<JobId, JobProgress>, step: number): void {
     const { taskCount } = job.spec;
     for (const other of this.#pages) other.delete(id);
