--- a/packages/load-spread/src/load.ts
+++ b/packages/load-spread/src/load.ts
@@ -10,21 +10,21 @@
 export interface ShardLoad {
   readonly shard: ShardId;
   /** Jobs that are neither finished nor cancelled. */
-  readonly jobs: number;
+  readonly jobCount: number;
   /** Open attempts. */
-  readonly open: number;
+  readonly openAttemptCount: number;
   /** Tasks that wait for an attempt. */
-  readonly waiting: number;
+  readonly waitingTaskCount: number;
   /** The part of the team's quota that its open attempts take; 0 where the team has no limit. */
-  readonly used: Share;
+  readonly usedShare: Share;
   /** The part that open attempts and waiting tasks would take together. */
-  readonly demand: Share;
+  readonly demandShare: Share;
   /** The part that the largest waiting task would take. */
-  readonly largest: Share;
+  readonly largestTaskShare: Share;
   /** Processors that open and waiting tasks take, without those beyond the team's limit. */
-  readonly wantedCpus: number;
+  readonly demandCpus: number;
   /** When the oldest job that waits there was accepted; infinity if none waits. */
-  readonly oldest: number;
+  readonly oldestAcceptedAt: number;
 }
 
 /** What one team has in all shards. */
@@ -43,19 +43,20 @@
   readonly owner: string;
   readonly shards: readonly ShardId[];
   /** Its machines, open attempts and waiting tasks together. */
-  readonly units: number;
+  readonly loadUnits: number;
 }
 
 /** A team's open attempts and waiting tasks, over all shards. */
-export const tasksOf = (load: TeamLoad): number => {
+export const taskCountOf = (load: TeamLoad): number => {
   let tasks = 0;
-  for (const { open, waiting } of load.shards.values()) tasks += open + waiting;
+  for (const { openAttemptCount, waitingTaskCount } of load.shards.values())
+    tasks += openAttemptCount + waitingTaskCount;
   return tasks;
 };
 
 /** A team's waiting tasks, over all shards. */
-export const waitingOf = (load: TeamLoad): number => {
+export const waitingTaskCountOf = (load: TeamLoad): number => {
   let tasks = 0;
-  for (const { waiting } of load.shards.values()) tasks += waiting;
+  for (const { waitingTaskCount: waiting } of load.shards.values()) tasks += waiting;
   return tasks;
 };
--- a/packages/load-spread/src/machine-balance.ts
+++ b/packages/load-spread/src/machine-balance.ts
@@ -54,7 +54,7 @@
   const wantedByTeam = new Map<TeamName, number>();
   for (const { team, shards } of loads) {
     let cpus = 0;
-    for (const row of shards.values()) cpus += row.wantedCpus;
+    for (const row of shards.values()) cpus += row.demandCpus;
     if (cpus > 0) wantedByTeam.set(team, cpus);
   }
   const parts = fairParts(wantedByTeam, capacity);
@@ -63,7 +63,7 @@
     const grantedFraction =
       (parts.get(team) ?? 0) / Math.max(MIN_WANTED_CPUS, wantedByTeam.get(team) ?? 0);
     for (const row of shards.values())
-      needs.set(row.shard, (needs.get(row.shard) ?? 0) + row.wantedCpus * grantedFraction);
+      needs.set(row.shard, (needs.get(row.shard) ?? 0) + row.demandCpus * grantedFraction);
   }
   return needs;
 };
@@ -71,7 +71,7 @@
 const shardsWithWaiting = (loads: readonly TeamLoad[]): ReadonlySet<ShardId> =>
   new Set(
     loads.flatMap((load) =>
-      [...load.shards.values()].filter((row) => row.waiting > 0).map((row) => row.shard),
+      [...load.shards.values()].filter((row) => row.waitingTaskCount > 0).map((row) => row.shard),
     ),
   );
 
--- a/packages/load-spread/src/minimum-shares.ts
+++ b/packages/load-spread/src/minimum-shares.ts
@@ -17,8 +17,10 @@
 
 const waitingOldestFirst = (load: TeamLoad, span: Span): readonly ShardLoad[] =>
   [...load.shards.values()]
-    .filter((row) => row.waiting > 0 && span.entries.some((entry) => entry.shard === row.shard))
-    .sort((a, b) => a.oldest - b.oldest);
+    .filter(
+      (row) => row.waitingTaskCount > 0 && span.entries.some((entry) => entry.shard === row.shard),
+    )
+    .sort((a, b) => a.oldestAcceptedAt - b.oldestAcceptedAt);
 
 /**
  * What each shard's target must be at least, as shares. Each shard with waiting tasks, the one that
@@ -39,7 +41,7 @@
     minimums.set(shard, minimum);
     remaining -= increase;
   };
-  for (const row of waitingOldestFirst(load, span)) raiseTo(row.shard, row.largest);
+  for (const row of waitingOldestFirst(load, span)) raiseTo(row.shard, row.largestTaskShare);
   for (const entry of span.entries)
     if (entry.state === "active") raiseTo(entry.shard, Math.floor(minShare * WHOLE));
   return minimums;
@@ -55,9 +57,9 @@
     const row = load.shards.get(shard);
     unusable.set(
       shard,
-      row === undefined || row.waiting === 0
-        ? Math.max(0, target - (row?.used ?? 0))
-        : beyondWholeTasks(target, row.largest),
+      row === undefined || row.waitingTaskCount === 0
+        ? Math.max(0, target - (row?.usedShare ?? 0))
+        : beyondWholeTasks(target, row.largestTaskShare),
     );
   }
   return unusable;
@@ -78,11 +80,16 @@
   const unusable = unusableShares(load, targets);
   let totalUnusable = 0;
   for (const part of unusable.values()) totalUnusable += part;
-  for (const { shard, largest, demand } of waiting) {
+  for (const { shard, largestTaskShare, demandShare } of waiting) {
     const own = unusable.get(shard) ?? 0;
-    const lack = largest - own;
+    const lack = largestTaskShare - own;
     const target = consolidated.get(shard) ?? 0;
-    if (largest === 0 || lack <= 0 || totalUnusable - own < lack || target - own >= demand)
+    if (
+      largestTaskShare === 0 ||
+      lack <= 0 ||
+      totalUnusable - own < lack ||
+      target - own >= demandShare
+    )
       continue;
     let missing = lack;
     for (const [other, part] of unusable) {
@@ -94,7 +101,7 @@
     }
     unusable.set(shard, 0);
     consolidated.set(shard, target + lack);
-    totalUnusable -= largest;
+    totalUnusable -= largestTaskShare;
   }
   return consolidated;
 };
--- a/packages/load-spread/src/plan.ts
+++ b/packages/load-spread/src/plan.ts
@@ -7,7 +7,7 @@
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { type PlannedShare, type Share, type Span, share, WHOLE } from "@umberfold/spans";
 import type { OwnerLoad, TeamLoad } from "./load.js";
-import { tasksOf } from "./load.js";
+import { taskCountOf } from "./load.js";
 import { minimumShares } from "./minimum-shares.js";
 import type { LoadSpreadSettings } from "./settings.js";
 
@@ -58,11 +58,11 @@
 ): TeamPlan | undefined => {
   if (load.span === undefined) return undefined;
   const minimums = minimumShares(load, load.span, settings.minShare);
-  const totalDemand = [...load.shards.values()].reduce((sum, row) => sum + row.demand, 0);
+  const totalDemand = [...load.shards.values()].reduce((sum, row) => sum + row.demandShare, 0);
   // Demand beyond the quota is scaled down to it.
   const demandUnit = Math.max(WHOLE, totalDemand);
   const shards = load.span.entries.map((entry) => {
-    const demand = (load.shards.get(entry.shard)?.demand ?? 0) / demandUnit;
+    const demand = (load.shards.get(entry.shard)?.demandShare ?? 0) / demandUnit;
     const minTarget = (minimums.get(entry.shard) ?? 0) / WHOLE;
     const active = entry.state === "active";
     return {
@@ -75,7 +75,7 @@
       maxTarget: active ? 1 : Math.max(minTarget, demand),
     };
   });
-  return { team: load.team, tasks: tasksOf(load), shards };
+  return { team: load.team, tasks: taskCountOf(load), shards };
 };
 
 /** The planners' input; teams without a span are left out. */
@@ -85,7 +85,7 @@
   settings: LoadSpreadSettings,
 ): PlanInput => ({
   teams: loads.flatMap((load) => teamPlan(load, owners, settings) ?? []),
-  units: new Map(owners.map((o) => [o.owner, o.units])),
+  units: new Map(owners.map((o) => [o.owner, o.loadUnits])),
   minWeight: settings.minShare,
   costs: settings,
 });
--- a/packages/load-spread/src/span-policy.ts
+++ b/packages/load-spread/src/span-policy.ts
@@ -6,7 +6,7 @@
  */
 import type { ShardId } from "@umberfold/ids";
 import type { Span, SpanEvent } from "@umberfold/spans";
-import { type OwnerLoad, type TeamLoad, tasksOf, waitingOf } from "./load.js";
+import { type OwnerLoad, type TeamLoad, taskCountOf, waitingTaskCountOf } from "./load.js";
 import type { Pressure, PressureInput } from "./pressure.js";
 import type { LoadSpreadSettings } from "./settings.js";
 
@@ -39,16 +39,18 @@
 export const teamPressure = (load: TeamLoad, owners: readonly OwnerLoad[]): PressureInput => {
   const { within, outside } = splitOwners(load, owners);
   return {
-    tasks: tasksOf(load),
-    waiting: waitingOf(load),
-    busiest: Math.max(0, ...within.map((owner) => owner.units)),
-    idlest: Math.min(Number.POSITIVE_INFINITY, ...outside.map((owner) => owner.units)),
+    tasks: taskCountOf(load),
+    waiting: waitingTaskCountOf(load),
+    busiest: Math.max(0, ...within.map((owner) => owner.loadUnits)),
+    idlest: Math.min(Number.POSITIVE_INFINITY, ...outside.map((owner) => owner.loadUnits)),
   };
 };
 
 /** The shard that a span grows into: of the idlest owner outside it, a draining one if it has any. */
 const nextShard = (load: TeamLoad, owners: readonly OwnerLoad[]): ShardId | undefined => {
-  const idlest = [...splitOwners(load, owners).outside].sort((a, b) => a.units - b.units)[0];
+  const idlest = [...splitOwners(load, owners).outside].sort(
+    (a, b) => a.loadUnits - b.loadUnits,
+  )[0];
   if (idlest === undefined) return undefined;
   const draining = load.span?.entries.find((entry) => idlest.shards.includes(entry.shard));
   return draining?.shard ?? idlest.shards[0];
@@ -56,7 +58,7 @@
 
 const hasWork = (load: TeamLoad, shard: ShardId): boolean => {
   const row = load.shards.get(shard);
-  return row !== undefined && (row.jobs > 0 || row.open > 0);
+  return row !== undefined && (row.jobCount > 0 || row.openAttemptCount > 0);
 };
 
 /** A shard with jobs of the team that its span lacks: a submission came after the shard had left. */
--- a/packages/load-spread/test/fixtures.ts
+++ b/packages/load-spread/test/fixtures.ts
@@ -44,14 +44,14 @@
 /** What the team has in a shard: nothing but what is given. */
 export const shardLoad = (shard: ShardId, change: Partial<ShardLoad> = {}): ShardLoad => ({
   shard,
-  jobs: 0,
-  open: 0,
-  waiting: 0,
-  used: share(0),
-  demand: share(0),
-  largest: share(0),
-  wantedCpus: 0,
-  oldest: Number.POSITIVE_INFINITY,
+  jobCount: 0,
+  openAttemptCount: 0,
+  waitingTaskCount: 0,
+  usedShare: share(0),
+  demandShare: share(0),
+  largestTaskShare: share(0),
+  demandCpus: 0,
+  oldestAcceptedAt: Number.POSITIVE_INFINITY,
   ...change,
 });
 
@@ -64,7 +64,7 @@
 
 /** Owners `n-0`, `n-1`, ..., each of the shard with its number, and what they have to do. */
 export const owners = (...units: readonly number[]): readonly OwnerLoad[] =>
-  units.map((ownUnits, i) => ({ owner: `n-${i}`, shards: [shardId(i)], units: ownUnits }));
+  units.map((ownUnits, i) => ({ owner: `n-${i}`, shards: [shardId(i)], loadUnits: ownUnits }));
 
 /** The home shard and these, all active; the home shard has all of the quota. */
 export const spanOf = (...shards: readonly ShardId[]): Span => {
@@ -78,7 +78,7 @@
 };
 
 /** Many waiting tasks in the home shard. */
-export const burst = shardLoad(HOME, { jobs: 50, open: 20, waiting: 100 });
+export const burst = shardLoad(HOME, { jobCount: 50, openAttemptCount: 20, waitingTaskCount: 100 });
 
 /** A planner's input for one team and owners with these units. */
 export const planned = (load: TeamLoad, ...units: readonly number[]) =>
--- a/packages/load-spread/test/machine-balance.test.ts
+++ b/packages/load-spread/test/machine-balance.test.ts
@@ -8,7 +8,7 @@
 const wants = (team: string, ...cpus: readonly number[]): TeamLoad => ({
   ...teamLoad(
     undefined,
-    cpus.map((wantedCpus, i) => shardLoad(shardId(i), { waiting: 1, wantedCpus })),
+    cpus.map((demandCpus, i) => shardLoad(shardId(i), { waitingTaskCount: 1, demandCpus })),
   ),
   team: teamName(team),
 });
--- a/packages/load-spread/test/minimum-shares.test.ts
+++ b/packages/load-spread/test/minimum-shares.test.ts
@@ -9,8 +9,18 @@
   [
     "what neither shard can use alone lets the one that waits longer start one more",
     [
-      shardLoad(HOME, { waiting: 5, largest: millionths(333_000), demand: WHOLE, oldest: 2 }),
-      shardLoad(OTHER, { waiting: 5, largest: millionths(333_000), demand: WHOLE, oldest: 1 }),
+      shardLoad(HOME, {
+        waitingTaskCount: 5,
+        largestTaskShare: millionths(333_000),
+        demandShare: WHOLE,
+        oldestAcceptedAt: 2,
+      }),
+      shardLoad(OTHER, {
+        waitingTaskCount: 5,
+        largestTaskShare: millionths(333_000),
+        demandShare: WHOLE,
+        oldestAcceptedAt: 1,
+      }),
     ],
     [334_000, 666_000],
   ],
@@ -18,11 +28,11 @@
     "an idle shard's minimum share is lent to a task that waits",
     [
       shardLoad(HOME, {
-        waiting: 1,
-        used: millionths(400_000),
-        largest: millionths(400_000),
-        demand: millionths(800_000),
-        oldest: 1,
+        waitingTaskCount: 1,
+        usedShare: millionths(400_000),
+        largestTaskShare: millionths(400_000),
+        demandShare: millionths(800_000),
+        oldestAcceptedAt: 1,
       }),
     ],
     [800_000, 200_000],
--- a/packages/load-spread/test/planner.test.ts
+++ b/packages/load-spread/test/planner.test.ts
@@ -64,15 +64,15 @@
   .map((rows) =>
     teamLoad(
       spanOf(OTHER, THIRD),
-      rows.map(([used, more, waiting, largest], i) =>
+      rows.map(([used, more, waitingTaskCount, largest], i) =>
         shardLoad(shardId(i), {
-          jobs: 1,
-          open: 5,
-          waiting,
-          used: millionths(used),
-          demand: millionths(used + more),
-          largest: millionths(largest),
-          oldest: i,
+          jobCount: 1,
+          openAttemptCount: 5,
+          waitingTaskCount,
+          usedShare: millionths(used),
+          demandShare: millionths(used + more),
+          largestTaskShare: millionths(largest),
+          oldestAcceptedAt: i,
         }),
       ),
     ),
@@ -96,11 +96,11 @@
 test("two shards that each wait with a task too large for half: the older is served first", () => {
   const rows = [HOME, OTHER].map((shard, i) =>
     shardLoad(shard, {
-      jobs: 1,
-      waiting: 1,
-      demand: millionths(600_000),
-      largest: millionths(600_000),
-      oldest: i,
+      jobCount: 1,
+      waitingTaskCount: 1,
+      demandShare: millionths(600_000),
+      largestTaskShare: millionths(600_000),
+      oldestAcceptedAt: i,
     }),
   );
   const load = teamLoad(spanOf(OTHER), rows);
@@ -149,8 +149,20 @@
   let span = spanOf(OTHER);
   const load = (): TeamLoad =>
     teamLoad(span, [
-      shardLoad(HOME, { jobs: 5, open: 10, waiting: 10, demand: millionths(400_000), oldest: 1 }),
-      shardLoad(OTHER, { jobs: 5, open: 10, waiting: 10, demand: millionths(300_000), oldest: 2 }),
+      shardLoad(HOME, {
+        jobCount: 5,
+        openAttemptCount: 10,
+        waitingTaskCount: 10,
+        demandShare: millionths(400_000),
+        oldestAcceptedAt: 1,
+      }),
+      shardLoad(OTHER, {
+        jobCount: 5,
+        openAttemptCount: 10,
+        waitingTaskCount: 10,
+        demandShare: millionths(300_000),
+        oldestAcceptedAt: 2,
+      }),
     ]);
   let writes = 0;
   for (let i = 0; i < 50; i++) {
@@ -167,11 +179,11 @@
 test("new jobs go to the owner with the least to do, quota to where the waiting jobs are", () => {
   const load = teamLoad(spanOf(OTHER), [
     shardLoad(HOME, {
-      jobs: 50,
-      open: 20,
-      waiting: 80,
-      used: WHOLE,
-      demand: millionths(5_000_000),
+      jobCount: 50,
+      openAttemptCount: 20,
+      waitingTaskCount: 80,
+      usedShare: WHOLE,
+      demandShare: millionths(5_000_000),
     }),
   ]);
   for (const plans of [
--- a/packages/load-spread/test/span-policy.test.ts
+++ b/packages/load-spread/test/span-policy.test.ts
@@ -57,8 +57,8 @@
     name: "nothing grows while a failover is on",
     load: teamLoad(spanOf(OTHER), [burst]),
     owners: [
-      { owner: "n-0", shards: [HOME], units: 200 },
-      { owner: "n-2", shards: [THIRD], units: 1 },
+      { owner: "n-0", shards: [HOME], loadUnits: 200 },
+      { owner: "n-2", shards: [THIRD], loadUnits: 1 },
     ],
     pressure: { state: "pressed", since: 0 },
     expected: undefined,
@@ -80,7 +80,7 @@
   },
   {
     name: "a job in a shard that the span lacks has that shard adopted",
-    load: teamLoad(undefined, [shardLoad(THIRD, { jobs: 1, waiting: 1 })]),
+    load: teamLoad(undefined, [shardLoad(THIRD, { jobCount: 1, waitingTaskCount: 1 })]),
     owners: owners(1, 1, 1),
     pressure: NO_PRESSURE,
     expected: "adopt 2",
@@ -100,8 +100,10 @@
   let changes = 0;
   for (let second = 0; second < 1200; second++) {
     // Swings by a task around the number of tasks from which a team is spread.
-    const waiting = SETTINGS.minTasks - 20 + (second % 2 === 0 ? 1 : -1);
-    const load = teamLoad(span, [shardLoad(HOME, { jobs: 5, open: 20, waiting })]);
+    const waitingTaskCount = SETTINGS.minTasks - 20 + (second % 2 === 0 ? 1 : -1);
+    const load = teamLoad(span, [
+      shardLoad(HOME, { jobCount: 5, openAttemptCount: 20, waitingTaskCount }),
+    ]);
     const now = second * 1000;
     pressure = stepPressure(pressure, teamPressure(load, owners(100, 10, 10)), SETTINGS, now);
     const decision = decideSpan(load, pressure, owners(100, 10, 10), SETTINGS, now);
--- a/src/coordination/load-spread/owner-loads.ts
+++ b/src/coordination/load-spread/owner-loads.ts
@@ -29,15 +29,15 @@
 /** Machines, open attempts and waiting tasks of each owner's shards; owners without any are left out. */
 export const ownerLoads = ({ replica }: ControllerContext): readonly OwnerLoad[] => {
   const machines = machineCounts(replica);
-  const loads = new Map<ControllerLabel, { owner: string; shards: ShardId[]; units: number }>();
+  const loads = new Map<ControllerLabel, { owner: string; shards: ShardId[]; loadUnits: number }>();
   for (const label of replica.members.keys())
-    loads.set(label, { owner: label, shards: [], units: 0 });
+    loads.set(label, { owner: label, shards: [], loadUnits: 0 });
   for (const [shard, record] of replica.shardOwners) {
     const load = loads.get(record.value.label);
     // A shard whose owner is no member waits for its failover.
     if (load === undefined) continue;
     load.shards.push(shard);
-    load.units += (machines.get(shard) ?? 0) + taskUnits(replica, shard);
+    load.loadUnits += (machines.get(shard) ?? 0) + taskUnits(replica, shard);
   }
   return [...loads.values()].filter(({ shards }) => shards.length > 0);
 };
--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -152,14 +152,14 @@
 /** A span in which each shard keeps what its open attempts use, and the home shard has the rest. */
 const spanOfOpenAttempts = (load: TeamLoad): Span => {
   const others = [...load.shards.values()].filter(({ shard }) => shard !== load.home);
-  const usedElsewhere = sumOfShares(others.map(({ used }) => used));
+  const usedElsewhere = sumOfShares(others.map(({ usedShare }) => usedShare));
   const atHome = share(Math.max(0, WHOLE - usedElsewhere));
   const scale = usedElsewhere > WHOLE ? WHOLE / usedElsewhere : 1;
   return {
     home: load.home,
     entries: [
       { shard: load.home, state: "active", share: atHome, target: atHome, weight: WHOLE },
-      ...others.map(({ shard, used }) => {
+      ...others.map(({ shard, usedShare: used }) => {
         const kept = share(Math.floor(used * scale));
         return { shard, state: "draining" as const, share: kept, target: kept, weight: share(0) };
       }),
--- a/src/coordination/load-spread/team-loads.ts
+++ b/src/coordination/load-spread/team-loads.ts
@@ -68,14 +68,14 @@
 
 const shardLoad = (shard: ShardId, sums: TeamSums): ShardLoad => ({
   shard,
-  jobs: sums.jobs,
-  open: sums.open,
-  waiting: sums.waiting,
-  used: quotaShare(sums.openFraction),
-  demand: quotaShare(sums.openFraction + sums.waitingFraction),
-  largest: quotaShare(sums.largestFraction),
-  wantedCpus: sums.cpus,
-  oldest: sums.oldest,
+  jobCount: sums.jobs,
+  openAttemptCount: sums.open,
+  waitingTaskCount: sums.waiting,
+  usedShare: quotaShare(sums.openFraction),
+  demandShare: quotaShare(sums.openFraction + sums.waitingFraction),
+  largestTaskShare: quotaShare(sums.largestFraction),
+  demandCpus: sums.cpus,
+  oldestAcceptedAt: sums.oldest,
 });
 
 /** What a team wants beyond its limit it can't have: less of it in each shard alike. */
@@ -85,11 +85,11 @@
 ): ReadonlyMap<ShardId, ShardLoad> => {
   if (loads === undefined) return new Map();
   let cpus = 0;
-  for (const load of loads.values()) cpus += load.wantedCpus;
+  for (const load of loads.values()) cpus += load.demandCpus;
   if (cpus <= cpusMax) return loads;
   const scale = cpusMax / cpus;
   return new Map(
-    [...loads].map(([shard, load]) => [shard, { ...load, wantedCpus: load.wantedCpus * scale }]),
+    [...loads].map(([shard, load]) => [shard, { ...load, demandCpus: load.demandCpus * scale }]),
   );
 };
 
--- a/test/coordination/load-spread/machine-balance.test.ts
+++ b/test/coordination/load-spread/machine-balance.test.ts
@@ -59,10 +59,19 @@
   return replica;
 };
 
-const load = (team: string, shard: ShardLoad["shard"], wantedCpus: number): TeamLoad => {
-  const none = { used: share(0), demand: share(0), largest: share(0), oldest: 0 };
-  const here = { shard, jobs: 1, open: 0, waiting: 1, wantedCpus, ...none };
-  return { team: teamName(team), home: shard, span: undefined, shards: new Map([[shard, here]]) };
+const load = (team: string, shard: ShardLoad["shard"], demandCpus: number): TeamLoad => {
+  const row = {
+    shard,
+    jobCount: 1,
+    openAttemptCount: 0,
+    waitingTaskCount: 1,
+    usedShare: share(0),
+    demandShare: share(0),
+    largestTaskShare: share(0),
+    demandCpus,
+    oldestAcceptedAt: 0,
+  };
+  return { team: teamName(team), home: shard, span: undefined, shards: new Map([[shard, row]]) };
 };
 
 const LOADS = [load("burst", BUSY, 1000), load("quiet", QUIET, 2 * CPUS)];
--- a/test/measure/planner.ts
+++ b/test/measure/planner.ts
@@ -40,14 +40,20 @@
     const shard = shardId(i);
     const stepped = stepSpan(span, { kind: "join", shard });
     if (stepped.ok) span = stepped.span;
-    const open = Math.floor(random() * 50);
-    const waiting = Math.floor(random() * random() * 500);
-    const largest = share(Math.floor(random() * 0.05 * WHOLE));
-    const used = share(Math.floor((random() * WHOLE) / shards));
-    const demand = share(used + waiting * largest);
-    const wantedCpus = open + waiting;
-    const rest = { used, demand, largest, wantedCpus, oldest: random() };
-    loads.set(shard, { shard, jobs: 1, open, waiting, ...rest });
+    const openAttemptCount = Math.floor(random() * 50);
+    const waitingTaskCount = Math.floor(random() * random() * 500);
+    const largestTaskShare = share(Math.floor(random() * 0.05 * WHOLE));
+    const usedShare = share(Math.floor((random() * WHOLE) / shards));
+    const demandShare = share(usedShare + waitingTaskCount * largestTaskShare);
+    const demandCpus = openAttemptCount + waitingTaskCount;
+    const rest = {
+      usedShare,
+      demandShare,
+      largestTaskShare,
+      demandCpus,
+      oldestAcceptedAt: random(),
+    };
+    loads.set(shard, { shard, jobCount: 1, openAttemptCount, waitingTaskCount, ...rest });
   }
   return { team: teamName(`t${number}`), home: shardId(0), span, shards: loads };
 };
@@ -56,7 +62,7 @@
   const owners = Array.from({ length: shards }, (_, i) => ({
     owner: `n-${i}`,
     shards: [shardId(i)],
-    units: Math.floor(random() * 500),
+    loadUnits: Math.floor(random() * 500),
   }));
   const loads = Array.from({ length: teams }, (_, number) => randomTeam(number, shards));
   return planInput(loads, owners, settings);
