--- a/packages/load-spread/src/fair-share.ts
+++ b/packages/load-spread/src/fair-share.ts
@@ -8,48 +8,48 @@
 import type { JobId, TeamName } from "@umberfold/ids";
 
 /** A job with waiting tasks; a list of them is in the order in which the queue serves them. */
-export interface WaitingWork {
+export interface WaitingJob {
   readonly id: JobId;
   readonly team: TeamName;
   /** Number of waiting tasks. */
-  readonly tasks: number;
+  readonly taskCount: number;
   /** The dominant share of one task: the part (0 to 1) of all capacity that it takes. */
-  readonly dominant: number;
+  readonly taskDominantShare: number;
 }
 
 /** What fair turns are computed from. */
-export interface FairTurnInput {
+export interface TaskBatchInput {
   /** Jobs of equal standing (guarantee and priority): only among them is anything reordered. */
-  readonly jobs: readonly WaitingWork[];
+  readonly jobs: readonly WaitingJob[];
   /** Dominant share (0 to 1) of each team's open attempts; a team left out has none. */
-  readonly shares: ReadonlyMap<TeamName, number>;
+  readonly dominantShares: ReadonlyMap<TeamName, number>;
   /** For how many tasks turns are computed: a round starts no more. */
-  readonly mostTasks: number;
+  readonly maxTasks: number;
 }
 
 /** Up to this many tasks of a job are to be placed next. */
-export interface FairTurn {
+export interface TaskBatch {
   readonly id: JobId;
-  readonly tasks: number;
+  readonly taskCount: number;
 }
 
 /**
  * All tasks of a round are divided into about this many turns at least. More, smaller turns would
  * be fairer, but cost a round more.
  */
-const MIN_TURNS = 64;
+const MIN_BATCHES = 64;
 
 /** The jobs of one team, and how far they have been given turns. */
 interface TeamQueue {
-  readonly jobs: WaitingWork[];
+  readonly jobs: WaitingJob[];
   /** The team's dominant share, the tasks given turns included. */
-  share: number;
-  nextJob: number;
+  dominantShare: number;
+  nextJobIndex: number;
   /** Tasks of the next job that have been given turns already. */
-  nextJobTasks: number;
+  nextJobBatchedTaskCount: number;
 }
 
-const queuesOf = (input: FairTurnInput): readonly TeamQueue[] => {
+const teamQueues = (input: TaskBatchInput): readonly TeamQueue[] => {
   const queues = new Map<TeamName, TeamQueue>();
   for (const job of input.jobs) {
     const queue = queues.get(job.team);
@@ -57,46 +57,54 @@
     else
       queues.set(job.team, {
         jobs: [job],
-        share: input.shares.get(job.team) ?? 0,
-        nextJob: 0,
-        nextJobTasks: 0,
+        dominantShare: input.dominantShares.get(job.team) ?? 0,
+        nextJobIndex: 0,
+        nextJobBatchedTaskCount: 0,
       });
   }
   return [...queues.values()];
 };
 
-const leastServed = (queues: readonly TeamQueue[]): TeamQueue | undefined => {
+const queueWithLeastShare = (queues: readonly TeamQueue[]): TeamQueue | undefined => {
   let least: TeamQueue | undefined;
   for (const queue of queues)
-    if (queue.nextJob < queue.jobs.length && (least === undefined || queue.share < least.share))
+    if (
+      queue.nextJobIndex < queue.jobs.length &&
+      (least === undefined || queue.dominantShare < least.dominantShare)
+    )
       least = queue;
   return least;
 };
 
-const countTurn = (queue: TeamQueue, job: WaitingWork, tasks: number): void => {
-  queue.share += tasks * job.dominant;
-  queue.nextJobTasks += tasks;
-  if (queue.nextJobTasks < job.tasks) return;
-  queue.nextJob++;
-  queue.nextJobTasks = 0;
+const recordBatch = (queue: TeamQueue, job: WaitingJob, tasks: number): void => {
+  queue.dominantShare += tasks * job.taskDominantShare;
+  queue.nextJobBatchedTaskCount += tasks;
+  if (queue.nextJobBatchedTaskCount < job.taskCount) return;
+  queue.nextJobIndex++;
+  queue.nextJobBatchedTaskCount = 0;
 };
 
 /** The turns in their order. Jobs of one team keep theirs; successive turns of a job are one. */
-export const fairTurns = (input: FairTurnInput): readonly FairTurn[] => {
-  const queues = queuesOf(input);
-  const tasksPerTurn = Math.max(1, Math.ceil(input.mostTasks / MIN_TURNS));
-  const turns: FairTurn[] = [];
-  let remaining = input.mostTasks;
+export const fairTaskBatches = (input: TaskBatchInput): readonly TaskBatch[] => {
+  const queues = teamQueues(input);
+  const tasksPerTurn = Math.max(1, Math.ceil(input.maxTasks / MIN_BATCHES));
+  const turns: TaskBatch[] = [];
+  let remaining = input.maxTasks;
   while (remaining > 0) {
-    const queue = leastServed(queues);
-    const job = queue?.jobs[queue.nextJob];
+    const queue = queueWithLeastShare(queues);
+    const job = queue?.jobs[queue.nextJobIndex];
     if (queue === undefined || job === undefined) break;
-    const tasks = Math.min(tasksPerTurn, job.tasks - queue.nextJobTasks, remaining);
+    const taskCount = Math.min(
+      tasksPerTurn,
+      job.taskCount - queue.nextJobBatchedTaskCount,
+      remaining,
+    );
     const last = turns.at(-1);
-    if (last?.id === job.id) turns[turns.length - 1] = { id: job.id, tasks: last.tasks + tasks };
-    else turns.push({ id: job.id, tasks });
-    remaining -= tasks;
-    countTurn(queue, job, tasks);
+    if (last?.id === job.id)
+      turns[turns.length - 1] = { id: job.id, taskCount: last.taskCount + taskCount };
+    else turns.push({ id: job.id, taskCount });
+    remaining -= taskCount;
+    recordBatch(queue, job, taskCount);
   }
   return turns;
 };
--- a/packages/load-spread/src/index.ts
+++ b/packages/load-spread/src/index.ts
@@ -3,10 +3,19 @@
  * of spans, shares and turns come out. The service supplies records, transactions and the clock.
  */
 export { chooseShard } from "./choose-shard.js";
-export { type FairTurn, type FairTurnInput, fairTurns, type WaitingWork } from "./fair-share.js";
+export {
+  fairTaskBatches,
+  type TaskBatch,
+  type TaskBatchInput,
+  type WaitingJob,
+} from "./fair-share.js";
 export { greedyPlan } from "./greedy-planner.js";
 export type { OwnerLoad, ShardLoad, TeamLoad } from "./load.js";
-export { fairNeeds, type MachineShift, machineShifts } from "./machine-balance.js";
+export {
+  type CapacityTransfer,
+  fairCpusByShard,
+  planCapacityTransfers,
+} from "./machine-balance.js";
 export { consolidateTargets, minimumShares } from "./minimum-shares.js";
 export {
   isWorthWriting,
@@ -14,11 +23,11 @@
   planCost,
   planInput,
   type SpanPlan,
-  type TeamPlan,
+  type TeamPlanInput,
 } from "./plan.js";
 export { LoadSpreadPlanner, type PlannerCounters } from "./planner.js";
 export {
-  NO_PRESSURE,
+  INITIAL_PRESSURE,
   type Pressure,
   type PressureInput,
   type PressureState,
@@ -26,5 +35,5 @@
 } from "./pressure.js";
 export type { LoadSpreadSettings } from "./settings.js";
 export { solvePlan } from "./solver-planner.js";
-export { decideSpan, dissolvable, type SpanDecision, teamPressure } from "./span-policy.js";
+export { decideSpan, isDissolvable, type SpanDecision, teamPressure } from "./span-policy.js";
 export { nextTransfer, type TransferInput } from "./transfers.js";
--- a/packages/load-spread/src/load.ts
+++ b/packages/load-spread/src/load.ts
@@ -57,6 +57,6 @@
 /** A team's waiting tasks, over all shards. */
 export const waitingTaskCountOf = (load: TeamLoad): number => {
   let tasks = 0;
-  for (const { waitingTaskCount: waiting } of load.shards.values()) tasks += waiting;
+  for (const { waitingTaskCount } of load.shards.values()) tasks += waitingTaskCount;
   return tasks;
 };
--- a/packages/load-spread/src/machine-balance.ts
+++ b/packages/load-spread/src/machine-balance.ts
@@ -8,27 +8,27 @@
 import type { TeamLoad } from "./load.js";
 
 /** Processors that should go from one shard to another. */
-export interface MachineShift {
+export interface CapacityTransfer {
   readonly from: ShardId;
   readonly to: ShardId;
   readonly cpus: number;
 }
 
 /** A shard is given machines once it lacks this part of its fair need. */
-const MIN_LACK_FRACTION = 0.1;
+const MIN_DEFICIT_FRACTION = 0.1;
 /** One call shifts no more than this part of all processors. */
-const MAX_SHIFTED_FRACTION = 0.1;
+const MAX_TRANSFERRED_FRACTION = 0.1;
 /** Guards against division by zero for a team that wants nothing. */
-const MIN_WANTED_CPUS = 1e-9;
+const MIN_DEMAND_CPUS = 1e-9;
 
 /** What one shard has too much or too little. */
-interface ShardCpus {
+interface ShardImbalance {
   readonly shard: ShardId;
   cpus: number;
 }
 
 /** Max-min fairness: what each team gets of the capacity, never more than it wants. */
-const fairParts = (
+const maxMinFairCpus = (
   wantedByTeam: ReadonlyMap<TeamName, number>,
   capacity: number,
 ): ReadonlyMap<TeamName, number> => {
@@ -47,7 +47,7 @@
  * What each shard needs so that every team gets its fair part of the capacity, which is divided
  * between the team's shards in proportion to what it wants in them.
  */
-export const fairNeeds = (
+export const fairCpusByShard = (
   loads: readonly TeamLoad[],
   capacity: number,
 ): ReadonlyMap<ShardId, number> => {
@@ -57,18 +57,18 @@
     for (const row of shards.values()) cpus += row.demandCpus;
     if (cpus > 0) wantedByTeam.set(team, cpus);
   }
-  const parts = fairParts(wantedByTeam, capacity);
+  const parts = maxMinFairCpus(wantedByTeam, capacity);
   const needs = new Map<ShardId, number>();
   for (const { team, shards } of loads) {
     const grantedFraction =
-      (parts.get(team) ?? 0) / Math.max(MIN_WANTED_CPUS, wantedByTeam.get(team) ?? 0);
+      (parts.get(team) ?? 0) / Math.max(MIN_DEMAND_CPUS, wantedByTeam.get(team) ?? 0);
     for (const row of shards.values())
       needs.set(row.shard, (needs.get(row.shard) ?? 0) + row.demandCpus * grantedFraction);
   }
   return needs;
 };
 
-const shardsWithWaiting = (loads: readonly TeamLoad[]): ReadonlySet<ShardId> =>
+const shardsWithWaitingTasks = (loads: readonly TeamLoad[]): ReadonlySet<ShardId> =>
   new Set(
     loads.flatMap((load) =>
       [...load.shards.values()].filter((row) => row.waitingTaskCount > 0).map((row) => row.shard),
@@ -80,25 +80,25 @@
  * fair need to those that lack most of theirs and have waiting tasks. `capacity`: what each shard
  * has.
  */
-export const machineShifts = (
+export const planCapacityTransfers = (
   loads: readonly TeamLoad[],
   capacity: ReadonlyMap<ShardId, number>,
-): readonly MachineShift[] => {
+): readonly CapacityTransfer[] => {
   const total = [...capacity.values()].reduce((sum, cpus) => sum + cpus, 0);
-  const needs = fairNeeds(loads, total);
-  const haveWaiting = shardsWithWaiting(loads);
-  const receivers: ShardCpus[] = [];
-  const givers: ShardCpus[] = [];
+  const needs = fairCpusByShard(loads, total);
+  const haveWaiting = shardsWithWaitingTasks(loads);
+  const receivers: ShardImbalance[] = [];
+  const givers: ShardImbalance[] = [];
   for (const [shard, cpus] of capacity) {
     const need = needs.get(shard) ?? 0;
-    if (need - cpus > MIN_LACK_FRACTION * need && haveWaiting.has(shard))
+    if (need - cpus > MIN_DEFICIT_FRACTION * need && haveWaiting.has(shard))
       receivers.push({ shard, cpus: need - cpus });
     else if (cpus > need) givers.push({ shard, cpus: cpus - need });
   }
   receivers.sort((a, b) => b.cpus - a.cpus);
   givers.sort((a, b) => b.cpus - a.cpus);
-  const shifts: MachineShift[] = [];
-  let remaining = MAX_SHIFTED_FRACTION * total;
+  const shifts: CapacityTransfer[] = [];
+  let remaining = MAX_TRANSFERRED_FRACTION * total;
   for (const receiver of receivers)
     for (const giver of givers) {
       const cpus = Math.min(receiver.cpus, giver.cpus, remaining);
--- a/packages/load-spread/src/minimum-shares.ts
+++ b/packages/load-spread/src/minimum-shares.ts
@@ -5,15 +5,17 @@
  * No state. Both functions keep the sum of a span's targets at the whole quota or below.
  */
 import type { ShardId } from "@umberfold/ids";
-import { type Span, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, type Span } from "@umberfold/spans";
 import type { ShardLoad, TeamLoad } from "./load.js";
 
 /** Targets that are short of a whole task by no more than this were only rounded. */
-const ROUNDING_SHARE = WHOLE * 1e-8;
+const ROUNDING_TOLERANCE_SHARE = FULL_SHARE * 1e-8;
 
 /** The part of a target that is left once as many whole tasks as possible have taken theirs. */
-const beyondWholeTasks = (target: number, task: number): number =>
-  task <= 0 ? 0 : Math.max(0, target - task * Math.floor((target + ROUNDING_SHARE) / task));
+const remainderAfterWholeTasks = (target: number, task: number): number =>
+  task <= 0
+    ? 0
+    : Math.max(0, target - task * Math.floor((target + ROUNDING_TOLERANCE_SHARE) / task));
 
 const waitingOldestFirst = (load: TeamLoad, span: Span): readonly ShardLoad[] =>
   [...load.shards.values()]
@@ -34,7 +36,7 @@
   minShare: number,
 ): ReadonlyMap<ShardId, number> => {
   const minimums = new Map<ShardId, number>(span.entries.map((entry) => [entry.shard, 0]));
-  let remaining: number = WHOLE;
+  let remaining: number = FULL_SHARE;
   const raiseTo = (shard: ShardId, minimum: number): void => {
     const increase = minimum - (minimums.get(shard) ?? 0);
     if (increase <= 0 || increase > remaining) return;
@@ -43,7 +45,7 @@
   };
   for (const row of waitingOldestFirst(load, span)) raiseTo(row.shard, row.largestTaskShare);
   for (const entry of span.entries)
-    if (entry.state === "active") raiseTo(entry.shard, Math.floor(minShare * WHOLE));
+    if (entry.state === "active") raiseTo(entry.shard, Math.floor(minShare * FULL_SHARE));
   return minimums;
 };
 
@@ -59,7 +61,7 @@
       shard,
       row === undefined || row.waitingTaskCount === 0
         ? Math.max(0, target - (row?.usedShare ?? 0))
-        : beyondWholeTasks(target, row.largestTaskShare),
+        : remainderAfterWholeTasks(target, row.largestTaskShare),
     );
   }
   return unusable;
--- a/packages/load-spread/src/planner.ts
+++ b/packages/load-spread/src/planner.ts
@@ -26,7 +26,7 @@
   readonly noBetter: number;
 }
 
-type Solver = typeof solvePlan;
+type PlanSolver = typeof solvePlan;
 
 /** Plans the spans of all teams. */
 export class LoadSpreadPlanner {
@@ -37,7 +37,7 @@
   constructor(
     private readonly settings: LoadSpreadSettings,
     private readonly now: () => number,
-    private readonly solver: Solver = solvePlan,
+    private readonly solver: PlanSolver = solvePlan,
   ) {}
 
   /** The plans that are worth a write, by team. */
--- a/packages/load-spread/src/pressure.ts
+++ b/packages/load-spread/src/pressure.ts
@@ -18,30 +18,32 @@
 export interface Pressure {
   readonly state: PressureState;
   /** Milliseconds of a monotonic clock. */
-  readonly since: number;
+  readonly sinceMs: number;
 }
 
 /** The pressure of a team that has not been looked at yet. */
-export const NO_PRESSURE: Pressure = { state: "calm", since: 0 };
+export const INITIAL_PRESSURE: Pressure = { state: "calm", sinceMs: 0 };
 
 /** What a team's pressure is judged by. */
 export interface PressureInput {
   /** Open attempts and waiting tasks. */
-  readonly tasks: number;
-  readonly waiting: number;
+  readonly taskCount: number;
+  readonly waitingTaskCount: number;
   /** Units of the busiest owner within the span. */
-  readonly busiest: number;
+  readonly maxSpanOwnerUnits: number;
   /** Units of the idlest owner outside it; infinity if there is none. */
-  readonly idlest: number;
+  readonly minOtherOwnerUnits: number;
 }
 
 /** Below this part of `minTasks` a team is relaxed. */
-const RELAXED_FRACTION = 0.5;
+const LOW_PRESSURE_FRACTION = 0.5;
 
 const stateOf = (input: PressureInput, settings: LoadSpreadSettings): PressureState => {
-  if (input.tasks < settings.minTasks * RELAXED_FRACTION) return "relaxed";
-  const uneven = input.busiest > input.idlest * settings.imbalance;
-  return input.tasks >= settings.minTasks && input.waiting > 0 && uneven ? "pressed" : "calm";
+  if (input.taskCount < settings.minTasks * LOW_PRESSURE_FRACTION) return "relaxed";
+  const uneven = input.maxSpanOwnerUnits > input.minOtherOwnerUnits * settings.imbalance;
+  return input.taskCount >= settings.minTasks && input.waitingTaskCount > 0 && uneven
+    ? "pressed"
+    : "calm";
 };
 
 /** The pressure at `now` (milliseconds of a monotonic clock); a state that lasts keeps its `since`. */
@@ -52,5 +54,5 @@
   now: number,
 ): Pressure => {
   const state = stateOf(input, settings);
-  return state === before.state ? before : { state, since: now };
+  return state === before.state ? before : { state, sinceMs: now };
 };
--- a/packages/load-spread/src/solver-planner.ts
+++ b/packages/load-spread/src/solver-planner.ts
@@ -6,19 +6,25 @@
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { type Constraint, equalTo, greaterEq, inRange, lessEq, type Model, solve } from "yalps";
-import { type PlanInput, type SpanPlan, spanPlan, type TeamPlan, UNMET_COST } from "./plan.js";
+import {
+  buildSpanPlan,
+  type PlanInput,
+  type SpanPlan,
+  type TeamPlanInput,
+  UNMET_DEMAND_COST,
+} from "./plan.js";
 
 /** A solution whose parts are out of their bounds, or add up to other than 1, by more is rejected. */
 const SOLUTION_TOLERANCE = 1e-6;
 /** Coefficients below this are zero to the solver, and its answers are rounded to it. */
 const SOLVER_PRECISION = 1e-10;
 /** The variable that bounds every owner's load, in multiples of the mean load. */
-const BUSIEST = "busiest";
+const BUSIEST_OWNER_LOAD = "busiest";
 
 type Coefficients = Record<string, number>;
 
 /** The linear programme while it is put together. */
-interface Programme {
+interface LinearProgram {
   readonly variables: Record<string, Coefficients>;
   readonly constraints: Record<string, Constraint>;
 }
@@ -28,58 +34,59 @@
  * cover; `gain`, what is transferred to it.
  */
 const addTargets = (
-  { variables, constraints }: Programme,
-  team: TeamPlan,
+  { variables, constraints }: LinearProgram,
+  team: TeamPlanInput,
   teamIndex: number,
   transferCost: number,
 ): void => {
   constraints[`quota|${teamIndex}`] = equalTo(1);
   for (const row of team.shards) {
     const cell = `${teamIndex}|${row.shard}`;
-    constraints[`bounds|${cell}`] = inRange(row.minTarget, row.maxTarget);
-    constraints[`demand|${cell}`] = greaterEq(row.demand);
-    constraints[`current|${cell}`] = lessEq(row.current);
+    constraints[`bounds|${cell}`] = inRange(row.minTargetFraction, row.maxTargetFraction);
+    constraints[`demand|${cell}`] = greaterEq(row.demandFraction);
+    constraints[`current|${cell}`] = lessEq(row.currentFraction);
     variables[`target|${cell}`] = {
       [`quota|${teamIndex}`]: 1,
       [`bounds|${cell}`]: 1,
       [`demand|${cell}`]: 1,
       [`current|${cell}`]: 1,
     };
-    variables[`unmet|${cell}`] = { cost: UNMET_COST, [`demand|${cell}`]: 1 };
+    variables[`unmet|${cell}`] = { cost: UNMET_DEMAND_COST, [`demand|${cell}`]: 1 };
     variables[`gain|${cell}`] = { [`current|${cell}`]: -1, cost: transferCost };
   }
 };
 
 /** For each active shard: `weight`, its part of new jobs, which are taken for as many as now. */
 const addWeights = (
-  { variables, constraints }: Programme,
-  team: TeamPlan,
+  { variables, constraints }: LinearProgram,
+  team: TeamPlanInput,
   teamIndex: number,
   input: PlanInput,
   meanLoad: number,
 ): void => {
   constraints[`jobs|${teamIndex}`] = equalTo(1);
   for (const row of team.shards) {
-    if (!row.active) continue;
+    if (!row.isActive) continue;
     const cell = `${teamIndex}|${row.shard}`;
-    constraints[`least|${cell}`] = greaterEq(input.minWeight);
+    constraints[`least|${cell}`] = greaterEq(input.minWeightFraction);
     const weight: Coefficients = { [`jobs|${teamIndex}`]: 1, [`least|${cell}`]: 1 };
-    if (input.units.has(row.owner)) weight[`load|${row.owner}`] = team.tasks / meanLoad;
+    if (input.loadUnitsByOwner.has(row.owner))
+      weight[`load|${row.owner}`] = team.taskCount / meanLoad;
     variables[`weight|${cell}`] = weight;
   }
 };
 
 const modelOf = (input: PlanInput): Model => {
-  const programme: Programme = { variables: {}, constraints: {} };
-  const tasks = input.teams.reduce((sum, team) => sum + team.tasks, 0);
-  const totalLoad = [...input.units.values()].reduce((sum, units) => sum + units, tasks);
-  const meanLoad = Math.max(1, totalLoad / Math.max(1, input.units.size));
+  const programme: LinearProgram = { variables: {}, constraints: {} };
+  const tasks = input.teams.reduce((sum, team) => sum + team.taskCount, 0);
+  const totalLoad = [...input.loadUnitsByOwner.values()].reduce((sum, units) => sum + units, tasks);
+  const meanLoad = Math.max(1, totalLoad / Math.max(1, input.loadUnitsByOwner.size));
   const busiest: Coefficients = { cost: input.costs.loadCost };
-  for (const [owner, units] of input.units) {
+  for (const [owner, units] of input.loadUnitsByOwner) {
     programme.constraints[`load|${owner}`] = lessEq(-units / meanLoad);
     busiest[`load|${owner}`] = -1;
   }
-  programme.variables[BUSIEST] = busiest;
+  programme.variables[BUSIEST_OWNER_LOAD] = busiest;
   for (const [teamIndex, team] of input.teams.entries()) {
     addTargets(programme, team, teamIndex, input.costs.transferCost);
     addWeights(programme, team, teamIndex, input, meanLoad);
@@ -88,18 +95,18 @@
 };
 
 /** Between what a solution's part for a shard must lie. */
-interface PartBounds {
+interface FractionBounds {
   readonly shard: ShardId;
   readonly min: number;
   readonly max: number;
 }
 
 /** Parts of a solution that add up to 1, each within its bounds; undefined otherwise. */
-const readParts = (
+const readFractions = (
   values: ReadonlyMap<string, number>,
   name: "target" | "weight",
   teamIndex: number,
-  bounds: readonly PartBounds[],
+  bounds: readonly FractionBounds[],
 ): ReadonlyMap<ShardId, number> | undefined => {
   const parts = new Map<ShardId, number>();
   let sum = 0;
@@ -129,18 +136,18 @@
   const values = new Map(solution.variables);
   const plans = new Map<TeamName, SpanPlan>();
   for (const [teamIndex, { team, shards }] of input.teams.entries()) {
-    const targetBounds = shards.map(({ shard, minTarget, maxTarget }) => ({
+    const targetBounds = shards.map(({ shard, minTargetFraction, maxTargetFraction }) => ({
       shard,
-      min: minTarget,
-      max: maxTarget,
+      min: minTargetFraction,
+      max: maxTargetFraction,
     }));
     const weightBounds = shards
-      .filter((row) => row.active)
-      .map(({ shard }) => ({ shard, min: input.minWeight, max: 1 }));
-    const targets = readParts(values, "target", teamIndex, targetBounds);
-    const weights = readParts(values, "weight", teamIndex, weightBounds);
+      .filter((row) => row.isActive)
+      .map(({ shard }) => ({ shard, min: input.minWeightFraction, max: 1 }));
+    const targets = readFractions(values, "target", teamIndex, targetBounds);
+    const weights = readFractions(values, "weight", teamIndex, weightBounds);
     if (targets === undefined || weights === undefined) return undefined;
-    plans.set(team, spanPlan(targets, weights));
+    plans.set(team, buildSpanPlan(targets, weights));
   }
   return plans;
 };
--- a/packages/load-spread/src/span-policy.ts
+++ b/packages/load-spread/src/span-policy.ts
@@ -14,7 +14,7 @@
 export interface SpanDecision {
   readonly event: Extract<SpanEvent, { kind: "join" | "adopt" | "drain" | "leave" }>;
   /** The change answers the pressure: it must last anew before the next change. */
-  readonly answersPressure: boolean;
+  readonly restartsPressureTimer: boolean;
 }
 
 const ownerOf = (owners: readonly OwnerLoad[], shard: ShardId): OwnerLoad | undefined =>
@@ -39,15 +39,18 @@
 export const teamPressure = (load: TeamLoad, owners: readonly OwnerLoad[]): PressureInput => {
   const { within, outside } = splitOwners(load, owners);
   return {
-    tasks: taskCountOf(load),
-    waiting: waitingTaskCountOf(load),
-    busiest: Math.max(0, ...within.map((owner) => owner.loadUnits)),
-    idlest: Math.min(Number.POSITIVE_INFINITY, ...outside.map((owner) => owner.loadUnits)),
+    taskCount: taskCountOf(load),
+    waitingTaskCount: waitingTaskCountOf(load),
+    maxSpanOwnerUnits: Math.max(0, ...within.map((owner) => owner.loadUnits)),
+    minOtherOwnerUnits: Math.min(
+      Number.POSITIVE_INFINITY,
+      ...outside.map((owner) => owner.loadUnits),
+    ),
   };
 };
 
 /** The shard that a span grows into: of the idlest owner outside it, a draining one if it has any. */
-const nextShard = (load: TeamLoad, owners: readonly OwnerLoad[]): ShardId | undefined => {
+const shardOfIdlestOwner = (load: TeamLoad, owners: readonly OwnerLoad[]): ShardId | undefined => {
   const idlest = [...splitOwners(load, owners).outside].sort(
     (a, b) => a.loadUnits - b.loadUnits,
   )[0];
@@ -91,7 +94,7 @@
   if (active.length >= settings.maxSpan) return undefined;
   // While a shard has no owner a failover is on: an owner that looks busy may only have taken over.
   if (!active.every((shard) => ownerOf(owners, shard) !== undefined)) return undefined;
-  return nextShard(load, owners);
+  return shardOfIdlestOwner(load, owners);
 };
 
 /**
@@ -107,26 +110,27 @@
 ): SpanDecision | undefined => {
   const adopted = shardToAdopt(load);
   if (adopted !== undefined)
-    return { event: { kind: "adopt", shard: adopted }, answersPressure: false };
+    return { event: { kind: "adopt", shard: adopted }, restartsPressureTimer: false };
   const left = shardToLeave(load);
-  if (left !== undefined) return { event: { kind: "leave", shard: left }, answersPressure: false };
+  if (left !== undefined)
+    return { event: { kind: "leave", shard: left }, restartsPressureTimer: false };
   const drained = shardToDrain(load);
   if (drained !== undefined && !settings.enabled)
-    return { event: { kind: "drain", shard: drained }, answersPressure: false };
-  const lastedS = (now - pressure.since) / 1000;
+    return { event: { kind: "drain", shard: drained }, restartsPressureTimer: false };
+  const lastedS = (now - pressure.sinceMs) / 1000;
   if (pressure.state === "relaxed" && drained !== undefined && lastedS >= settings.shrinkAfterS)
-    return { event: { kind: "drain", shard: drained }, answersPressure: true };
+    return { event: { kind: "drain", shard: drained }, restartsPressureTimer: true };
   if (pressure.state !== "pressed" || !settings.enabled || lastedS < settings.growAfterS)
     return undefined;
   const joining = shardToJoin(load, owners, settings);
   return joining === undefined
     ? undefined
-    : { event: { kind: "join", shard: joining }, answersPressure: true };
+    : { event: { kind: "join", shard: joining }, restartsPressureTimer: true };
 };
 
 /**
  * Whether a span's record can be deleted: the home shard is alone in it, which means the same as no
  * record.
  */
-export const dissolvable = (span: Span): boolean =>
+export const isDissolvable = (span: Span): boolean =>
   span.entries.length === 1 && span.entries[0]?.shard === span.home;
--- a/packages/load-spread/src/transfers.ts
+++ b/packages/load-spread/src/transfers.ts
@@ -13,7 +13,7 @@
   /** The shard whose owner asks. */
   readonly from: ShardId;
   /** What its open attempts take. */
-  readonly used: Share;
+  readonly usedShare: Share;
 }
 
 /**
@@ -23,11 +23,11 @@
 export const nextTransfer = ({
   span,
   from,
-  used,
+  usedShare,
 }: TransferInput): Extract<SpanEvent, { kind: "transfer" }> | undefined => {
   const giver = span.entries.find((entry) => entry.shard === from);
   if (giver === undefined) return undefined;
-  const spare = Math.min(giver.share - giver.target, giver.share - used);
+  const spare = Math.min(giver.share - giver.target, giver.share - usedShare);
   if (spare <= 0) return undefined;
   let receiver: { readonly shard: ShardId; readonly lack: number } | undefined;
   for (const entry of span.entries) {
@@ -36,5 +36,5 @@
   }
   if (receiver === undefined) return undefined;
   const amount = share(Math.min(spare, receiver.lack));
-  return { kind: "transfer", from, to: receiver.shard, amount, used };
+  return { kind: "transfer", from, to: receiver.shard, amount, used: usedShare };
 };
--- a/packages/load-spread/test/fixtures.ts
+++ b/packages/load-spread/test/fixtures.ts
@@ -8,7 +8,7 @@
   type ShardLoad,
   type TeamLoad,
 } from "@umberfold/load-spread";
-import { homeSpan, type Share, type Span, share, stepSpan, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, homeSpan, type Share, type Span, share, stepSpan } from "@umberfold/spans";
 
 export const SEED = 20261202;
 export const TEAM = teamName("t");
@@ -36,9 +36,9 @@
 };
 
 /** Shares are given in millionths of a quota. */
-export const MILLIONTH = WHOLE / 1_000_000;
+export const MILLIONTH = FULL_SHARE / 1_000_000;
 /** Shares that differ by less were only rounded. */
-export const ROUNDING = WHOLE * 1e-8;
+export const ROUNDING = FULL_SHARE * 1e-8;
 export const millionths = (count: number): Share => share(count * MILLIONTH);
 
 /** What the team has in a shard: nothing but what is given. */
--- a/packages/load-spread/test/machine-balance.test.ts
+++ b/packages/load-spread/test/machine-balance.test.ts
@@ -1,8 +1,8 @@
-/** `machineShifts`: which shards give machines to others. */
+/** `planCapacityTransfers`: which shards give machines to others. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { shardId, teamName } from "@umberfold/ids";
-import { machineShifts, type TeamLoad } from "@umberfold/load-spread";
+import { planCapacityTransfers, type TeamLoad } from "@umberfold/load-spread";
 import { shardLoad, teamLoad } from "./fixtures.js";
 
 const wants = (team: string, ...cpus: readonly number[]): TeamLoad => ({
@@ -36,7 +36,7 @@
 for (const [name, loads, capacity, expected] of shifts)
   test(`machines between shards: ${name}`, () => {
     const capacityOf = new Map(capacity.map((cpus, i) => [shardId(i), cpus]));
-    const actual = machineShifts(loads, capacityOf);
+    const actual = planCapacityTransfers(loads, capacityOf);
     assert.deepEqual(
       actual.map((shift) => `${shift.from}>${shift.to}:${Math.round(shift.cpus)}`),
       expected,
--- a/packages/load-spread/test/minimum-shares.test.ts
+++ b/packages/load-spread/test/minimum-shares.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { consolidateTargets, type ShardLoad } from "@umberfold/load-spread";
-import { WHOLE } from "@umberfold/spans";
+import { FULL_SHARE } from "@umberfold/spans";
 import { HOME, MILLIONTH, millionths, OTHER, shardLoad, spanOf, teamLoad } from "./fixtures.js";
 
 const fragments: readonly (readonly [string, readonly ShardLoad[], readonly number[]])[] = [
@@ -12,13 +12,13 @@
       shardLoad(HOME, {
         waitingTaskCount: 5,
         largestTaskShare: millionths(333_000),
-        demandShare: WHOLE,
+        demandShare: FULL_SHARE,
         oldestAcceptedAt: 2,
       }),
       shardLoad(OTHER, {
         waitingTaskCount: 5,
         largestTaskShare: millionths(333_000),
-        demandShare: WHOLE,
+        demandShare: FULL_SHARE,
         oldestAcceptedAt: 1,
       }),
     ],
--- a/packages/load-spread/test/planner.test.ts
+++ b/packages/load-spread/test/planner.test.ts
@@ -12,7 +12,7 @@
   solvePlan,
   type TeamLoad,
 } from "@umberfold/load-spread";
-import { stepSpan, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, stepSpan } from "@umberfold/spans";
 import fc from "fast-check";
 import {
   burst,
@@ -43,16 +43,16 @@
     targets += target;
     weights += weight;
     assert.ok(target >= (minimums.get(shard) ?? 0) - ROUNDING, `${target} in ${shard}`);
-    assert.ok(weight >= SETTINGS.minShare * WHOLE - ROUNDING);
+    assert.ok(weight >= SETTINGS.minShare * FULL_SHARE - ROUNDING);
   }
-  assert.ok(targets <= WHOLE && targets > WHOLE - ROUNDING);
-  assert.ok(weights <= WHOLE && weights > WHOLE - ROUNDING);
+  assert.ok(targets <= FULL_SHARE && targets > FULL_SHARE - ROUNDING);
+  assert.ok(weights <= FULL_SHARE && weights > FULL_SHARE - ROUNDING);
   const consolidated = consolidateTargets(
     load,
     load.span,
     new Map([...spanPlan].map(([shard, { target }]) => [shard, target])),
   );
-  assert.ok([...consolidated.values()].reduce((sum, n) => sum + n, 0) <= WHOLE);
+  assert.ok([...consolidated.values()].reduce((sum, n) => sum + n, 0) <= FULL_SHARE);
   for (const target of consolidated.values()) assert.ok(target >= 0);
 };
 
@@ -182,7 +182,7 @@
       jobCount: 50,
       openAttemptCount: 20,
       waitingTaskCount: 80,
-      usedShare: WHOLE,
+      usedShare: FULL_SHARE,
       demandShare: millionths(5_000_000),
     }),
   ]);
@@ -192,7 +192,7 @@
   ]) {
     const home = plans?.get(TEAM)?.get(HOME);
     assert.ok((home?.target ?? 0) > 800_000 * MILLIONTH, "quota stays with what waits");
-    assert.ok((home?.weight ?? WHOLE) < 300_000 * MILLIONTH, "new jobs don't");
+    assert.ok((home?.weight ?? FULL_SHARE) < 300_000 * MILLIONTH, "new jobs don't");
   }
 });
 
@@ -208,5 +208,5 @@
   const planner = new LoadSpreadPlanner(SETTINGS, () => 0);
   const changed = planner.plan([teamLoad(small.span, [])], owners(1, 1)).get(TEAM);
   assert.equal(changed?.get(OTHER)?.target, 0);
-  assert.equal(changed?.get(HOME)?.target, WHOLE);
+  assert.equal(changed?.get(HOME)?.target, FULL_SHARE);
 });
--- a/packages/load-spread/test/span-policy.test.ts
+++ b/packages/load-spread/test/span-policy.test.ts
@@ -3,8 +3,8 @@
 import test from "node:test";
 import {
   decideSpan,
+  INITIAL_PRESSURE,
   type LoadSpreadSettings,
-  NO_PRESSURE,
   type OwnerLoad,
   type Pressure,
   stepPressure,
@@ -36,21 +36,21 @@
     name: "pressure that lasts grows the span to the idlest owner's shard",
     load: teamLoad(undefined, [burst]),
     owners: owners(200, 50, 20),
-    pressure: { state: "pressed", since: 0 },
+    pressure: { state: "pressed", sinceMs: 0 },
     expected: "join 2",
   },
   {
     name: "pressure that has not lasted does nothing",
     load: teamLoad(undefined, [burst]),
     owners: owners(200, 50, 20),
-    pressure: { state: "pressed", since: 8000 },
+    pressure: { state: "pressed", sinceMs: 8000 },
     expected: undefined,
   },
   {
     name: "a span of as many shards as it may have grows no further",
     load: teamLoad(spanOf(OTHER, THIRD), [burst]),
     owners: owners(200, 50, 20, 1),
-    pressure: { state: "pressed", since: 0 },
+    pressure: { state: "pressed", sinceMs: 0 },
     expected: undefined,
   },
   {
@@ -60,21 +60,21 @@
       { owner: "n-0", shards: [HOME], loadUnits: 200 },
       { owner: "n-2", shards: [THIRD], loadUnits: 1 },
     ],
-    pressure: { state: "pressed", since: 0 },
+    pressure: { state: "pressed", sinceMs: 0 },
     expected: undefined,
   },
   {
     name: "a team that stays relaxed has the shard that joined last drained",
     load: teamLoad(spanOf(OTHER, THIRD), []),
     owners: owners(20, 20, 20),
-    pressure: { state: "relaxed", since: -30_000 },
+    pressure: { state: "relaxed", sinceMs: -30_000 },
     expected: "drain 2",
   },
   {
     name: "switched off, a span drains at once",
     load: teamLoad(spanOf(OTHER), [burst]),
     owners: owners(200, 20),
-    pressure: { state: "pressed", since: 0 },
+    pressure: { state: "pressed", sinceMs: 0 },
     settings: { enabled: false },
     expected: "drain 1",
   },
@@ -82,7 +82,7 @@
     name: "a job in a shard that the span lacks has that shard adopted",
     load: teamLoad(undefined, [shardLoad(THIRD, { jobCount: 1, waitingTaskCount: 1 })]),
     owners: owners(1, 1, 1),
-    pressure: NO_PRESSURE,
+    pressure: INITIAL_PRESSURE,
     expected: "adopt 2",
   },
 ];
@@ -96,7 +96,7 @@
 
 test("at a load that sits on a threshold a span changes a bounded number of times", () => {
   let span: Span | undefined;
-  let pressure = NO_PRESSURE;
+  let pressure = INITIAL_PRESSURE;
   let changes = 0;
   for (let second = 0; second < 1200; second++) {
     // Swings by a task around the number of tasks from which a team is spread.
@@ -108,7 +108,7 @@
     pressure = stepPressure(pressure, teamPressure(load, owners(100, 10, 10)), SETTINGS, now);
     const decision = decideSpan(load, pressure, owners(100, 10, 10), SETTINGS, now);
     if (decision === undefined) continue;
-    if (decision.answersPressure) pressure = { ...pressure, since: now };
+    if (decision.restartsPressureTimer) pressure = { ...pressure, sinceMs: now };
     const stepped = stepSpan(span ?? homeSpan(HOME), decision.event);
     assert.ok(stepped.ok);
     span = stepped.span;
--- a/packages/load-spread/test/transfers.test.ts
+++ b/packages/load-spread/test/transfers.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { nextTransfer } from "@umberfold/load-spread";
-import { share, stepSpan, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, share, stepSpan } from "@umberfold/spans";
 import { HOME, millionths, OTHER, plan, spanOf, THIRD } from "./fixtures.js";
 
 test("an owner transfers what is beyond its target and unused, to the shard that lacks most", () => {
@@ -11,7 +11,7 @@
     plan: new Map([plan(HOME, 300_000, 0), plan(OTHER, 600_000, 0), plan(THIRD, 100_000, 0)]),
   });
   assert.ok(stepped.ok);
-  const event = nextTransfer({ span: stepped.span, from: HOME, used: millionths(500_000) });
+  const event = nextTransfer({ span: stepped.span, from: HOME, usedShare: millionths(500_000) });
   assert.deepEqual(event, {
     kind: "transfer",
     from: HOME,
@@ -19,6 +19,6 @@
     amount: millionths(500_000),
     used: millionths(500_000),
   });
-  assert.equal(nextTransfer({ span: stepped.span, from: OTHER, used: share(0) }), undefined);
-  assert.equal(nextTransfer({ span: stepped.span, from: HOME, used: WHOLE }), undefined);
+  assert.equal(nextTransfer({ span: stepped.span, from: OTHER, usedShare: share(0) }), undefined);
+  assert.equal(nextTransfer({ span: stepped.span, from: HOME, usedShare: FULL_SHARE }), undefined);
 });
--- a/packages/spans/src/codec.ts
+++ b/packages/spans/src/codec.ts
@@ -6,40 +6,49 @@
  * as a whole: it must never raise a limit. No state of its own.
  */
 import { type ShardId, shardId } from "@umberfold/ids";
-import { type EntryState, type Span, type SpanEntry, share, sumOfShares, WHOLE } from "./span.js";
+import {
+  type EntryState,
+  FULL_SHARE,
+  type Span,
+  type SpanEntry,
+  share,
+  sumOfShares,
+} from "./span.js";
 
 /** Version of the layout; a record of another one is not read. */
-const FORMAT = 1;
+const LAYOUT_VERSION = 1;
 /** Index is the stored number: append only. */
-const STATES: readonly EntryState[] = ["active", "draining"];
+const STATE_BY_CODE: readonly EntryState[] = ["active", "draining"];
 /** Fields of a stored entry; further ones are ignored. */
-const ENTRY_LENGTH = 5;
+const ENTRY_FIELD_COUNT = 5;
 
 /** The record's value, ready to be written as JSON or CBOR. */
 export const encodeSpan = (span: Span): unknown => ({
-  f: FORMAT,
+  f: LAYOUT_VERSION,
   h: span.home,
   e: span.entries.map(({ shard, state, share, target, weight }) => [
     shard,
-    STATES.indexOf(state),
+    STATE_BY_CODE.indexOf(state),
     share,
     target,
     weight,
   ]),
 });
 
-const isIndex = (value: unknown, below: number): value is number =>
+const isIntegerBelow = (value: unknown, below: number): value is number =>
   typeof value === "number" && Number.isInteger(value) && value >= 0 && value < below;
 
 const parseEntry = (row: unknown, shardCount: number): SpanEntry | undefined => {
-  if (!Array.isArray(row) || row.length < ENTRY_LENGTH) return undefined;
+  if (!Array.isArray(row) || row.length < ENTRY_FIELD_COUNT) return undefined;
   const [shard, state, entryShare, target, weight] = row as readonly unknown[];
-  if (!isIndex(shard, shardCount) || !isIndex(state, STATES.length)) return undefined;
-  if (!isIndex(entryShare, WHOLE + 1) || !isIndex(target, WHOLE + 1)) return undefined;
-  if (!isIndex(weight, WHOLE + 1)) return undefined;
+  if (!isIntegerBelow(shard, shardCount) || !isIntegerBelow(state, STATE_BY_CODE.length))
+    return undefined;
+  if (!isIntegerBelow(entryShare, FULL_SHARE + 1) || !isIntegerBelow(target, FULL_SHARE + 1))
+    return undefined;
+  if (!isIntegerBelow(weight, FULL_SHARE + 1)) return undefined;
   return {
     shard: shardId(shard),
-    state: STATES[state] ?? "draining",
+    state: STATE_BY_CODE[state] ?? "draining",
     share: share(entryShare),
     target: share(target),
     weight: share(weight),
@@ -69,12 +78,12 @@
 export const parseSpan = (value: unknown, shardCount: number): Span | undefined => {
   if (typeof value !== "object" || value === null) return undefined;
   const { f, h, e } = value as Readonly<Record<string, unknown>>;
-  if (f !== FORMAT || !isIndex(h, shardCount) || !Array.isArray(e)) return undefined;
+  if (f !== LAYOUT_VERSION || !isIntegerBelow(h, shardCount) || !Array.isArray(e)) return undefined;
   const entries = parseEntries(e, shardCount);
   if (entries === undefined) return undefined;
   const home = shardId(h);
   if (entries.find((entry) => entry.shard === home)?.state !== "active") return undefined;
-  if (sumOfShares(entries.map((entry) => entry.share)) > WHOLE) return undefined;
-  if (sumOfShares(entries.map((entry) => entry.target)) > WHOLE) return undefined;
+  if (sumOfShares(entries.map((entry) => entry.share)) > FULL_SHARE) return undefined;
+  if (sumOfShares(entries.map((entry) => entry.target)) > FULL_SHARE) return undefined;
   return { home, entries };
 };
--- a/packages/spans/src/index.ts
+++ b/packages/spans/src/index.ts
@@ -2,9 +2,10 @@
  * A team that spans several shards. Its quota (limit and guarantee) is held in escrow: each shard of
  * the span has a share of it, and its owner opens attempts within that share without asking anybody.
  */
-export { encodeSpan as spanValue, parseSpan } from "./codec.js";
+export { encodeSpan, parseSpan } from "./codec.js";
 export {
   type EntryState,
+  FULL_SHARE,
   homeSpan,
   type Share,
   type Span,
@@ -13,7 +14,6 @@
   shareOf,
   sumOfShares,
   usableShare,
-  WHOLE,
 } from "./span.js";
 export {
   type PlannedShare,
--- a/packages/spans/src/span.ts
+++ b/packages/spans/src/span.ts
@@ -18,7 +18,7 @@
  * All of a team's quota. The unit is so fine that rounding a task's part of it costs no task: a
  * third of a limit, three times, is all of it except for less than any task needs.
  */
-export const WHOLE = share(1_000_000_000_000);
+export const FULL_SHARE = share(1_000_000_000_000);
 
 /**
  * `active`: new jobs of the team may be placed in the shard. `draining`: they may not; the shard
@@ -54,7 +54,9 @@
 /** The span of a team that uses its home shard alone. A team without a record has this one. */
 export const homeSpan = (home: ShardId): Span => ({
   home,
-  entries: [{ shard: home, state: "active", share: WHOLE, target: WHOLE, weight: WHOLE }],
+  entries: [
+    { shard: home, state: "active", share: FULL_SHARE, target: FULL_SHARE, weight: FULL_SHARE },
+  ],
 });
 
 /** The shard's entry; undefined if the shard is not in the span. */
--- a/packages/spans/src/step.ts
+++ b/packages/spans/src/step.ts
@@ -9,12 +9,12 @@
 import type { ShardId } from "@umberfold/ids";
 import {
   entryOf,
+  FULL_SHARE,
   type Share,
   type Span,
   type SpanEntry,
   share,
   sumOfShares,
-  WHOLE,
 } from "./span.js";
 
 /** What happens to a span. */
@@ -61,35 +61,40 @@
 
 const refused = (refusal: Refusal): StepResult => ({ ok: false, refusal });
 
-const changed = (span: Span, entries: readonly SpanEntry[]): StepResult => ({
+const accepted = (span: Span, entries: readonly SpanEntry[]): StepResult => ({
   ok: true,
   span: { home: span.home, entries },
 });
 
-const withEntryChanged = (span: Span, shard: ShardId, change: Partial<SpanEntry>): StepResult =>
-  changed(
+const acceptedWithEntryChange = (
+  span: Span,
+  shard: ShardId,
+  change: Partial<SpanEntry>,
+): StepResult =>
+  accepted(
     span,
     span.entries.map((entry) => (entry.shard === shard ? { ...entry, ...change } : entry)),
   );
 
 /** A new entry starts without any share: it gets one by transfers. */
-const withNewEntry = (span: Span, shard: ShardId, state: SpanEntry["state"]): StepResult =>
-  changed(span, [
+const acceptedWithNewEntry = (span: Span, shard: ShardId, state: SpanEntry["state"]): StepResult =>
+  accepted(span, [
     ...span.entries,
     { shard, state, share: share(0), target: share(0), weight: share(0) },
   ]);
 
-const isPart = (value: number): boolean => Number.isInteger(value) && value >= 0 && value <= WHOLE;
+const isValidShare = (value: number): boolean =>
+  Number.isInteger(value) && value >= 0 && value <= FULL_SHARE;
 
 const applyPlan = (span: Span, plan: ReadonlyMap<ShardId, PlannedShare>): StepResult => {
   for (const [shard, { target, weight }] of plan) {
     if (entryOf(span, shard) === undefined) return refused("not in the span");
-    if (!isPart(target) || !isPart(weight)) return refused("not a positive amount");
+    if (!isValidShare(target) || !isValidShare(weight)) return refused("not a positive amount");
   }
   const entries = span.entries.map((entry) => ({ ...entry, ...plan.get(entry.shard) }));
-  if (sumOfShares(entries.map((entry) => entry.target)) > WHOLE)
+  if (sumOfShares(entries.map((entry) => entry.target)) > FULL_SHARE)
     return refused("more than the whole");
-  return changed(span, entries);
+  return accepted(span, entries);
 };
 
 const applyTransfer = (span: Span, event: Extract<SpanEvent, { kind: "transfer" }>): StepResult => {
@@ -104,25 +109,25 @@
     if (entry === receiver) return { ...entry, share: share(entry.share + event.amount) };
     return entry;
   });
-  return changed(span, entries);
+  return accepted(span, entries);
 };
 
 const applyJoin = (span: Span, shard: ShardId): StepResult => {
   const entry = entryOf(span, shard);
-  if (entry === undefined) return withNewEntry(span, shard, "active");
+  if (entry === undefined) return acceptedWithNewEntry(span, shard, "active");
   if (entry.state === "active") return refused("in the span already");
-  return withEntryChanged(span, shard, { state: "active" });
+  return acceptedWithEntryChange(span, shard, { state: "active" });
 };
 
 const applyAdopt = (span: Span, shard: ShardId): StepResult =>
   entryOf(span, shard) === undefined
-    ? withNewEntry(span, shard, "draining")
+    ? acceptedWithNewEntry(span, shard, "draining")
     : refused("in the span already");
 
 const applyDrain = (span: Span, shard: ShardId): StepResult => {
   if (shard === span.home) return refused("home shard");
   if (entryOf(span, shard)?.state !== "active") return refused("not in the span");
-  return withEntryChanged(span, shard, { state: "draining", weight: share(0) });
+  return acceptedWithEntryChange(span, shard, { state: "draining", weight: share(0) });
 };
 
 const applyLeave = (span: Span, shard: ShardId): StepResult => {
@@ -130,7 +135,7 @@
   const entry = entryOf(span, shard);
   if (entry?.state !== "draining") return refused("not in the span");
   if (entry.share > 0) return refused("holds a share");
-  return changed(
+  return accepted(
     span,
     span.entries.filter((other) => other !== entry),
   );
--- a/packages/spans/test/spans.test.ts
+++ b/packages/spans/test/spans.test.ts
@@ -3,16 +3,16 @@
 import test from "node:test";
 import { type ShardId, shardId } from "@umberfold/ids";
 import {
+  encodeSpan,
+  FULL_SHARE,
   homeSpan,
   parseSpan,
   type Span,
   type SpanEvent,
   share,
   shareOf,
-  spanValue,
   stepSpan,
   sumOfShares,
-  WHOLE,
 } from "@umberfold/spans";
 import fc from "fast-check";
 
@@ -21,7 +21,7 @@
 const HOME = shardId(0);
 
 const shards = fc.integer({ min: 0, max: SHARDS - 1 }).map(shardId);
-const parts = fc.integer({ min: -10, max: WHOLE + 10 }).map(share);
+const parts = fc.integer({ min: -10, max: FULL_SHARE + 10 }).map(share);
 
 const events: fc.Arbitrary<SpanEvent> = fc.oneof(
   ...(["join", "adopt", "drain", "leave"] as const).map((kind) =>
@@ -43,8 +43,8 @@
 );
 
 const checkInvariants = (span: Span): void => {
-  assert.equal(sumOfShares(span.entries.map((e) => e.share)), WHOLE);
-  assert.ok(sumOfShares(span.entries.map((e) => e.target)) <= WHOLE);
+  assert.equal(sumOfShares(span.entries.map((e) => e.share)), FULL_SHARE);
+  assert.ok(sumOfShares(span.entries.map((e) => e.target)) <= FULL_SHARE);
   assert.equal(new Set(span.entries.map((e) => e.shard)).size, span.entries.length);
   assert.equal(span.entries.find((e) => e.shard === span.home)?.state, "active");
   for (const entry of span.entries) assert.ok(Number.isInteger(entry.share) && entry.share >= 0);
@@ -58,7 +58,7 @@
         const stepped = stepSpan(span, event);
         if (stepped.ok) span = stepped.span;
         checkInvariants(span);
-        assert.deepEqual(parseSpan(JSON.parse(JSON.stringify(spanValue(span))), SHARDS), span);
+        assert.deepEqual(parseSpan(JSON.parse(JSON.stringify(encodeSpan(span))), SHARDS), span);
       }
     }),
     { seed: SEED, numRuns: 400 },
@@ -149,14 +149,14 @@
   }
 
   #start(shard: ShardId): void {
-    const maxOpen = (LIMIT * shareOf(this.#viewOf(shard).span, shard)) / WHOLE;
+    const maxOpen = (LIMIT * shareOf(this.#viewOf(shard).span, shard)) / FULL_SHARE;
     const next = this.#openIn(shard) + 1;
     if (next <= maxOpen + 1e-6) this.#open.set(shard, next);
   }
 
   #handOn(shard: ShardId): void {
     const view = this.#viewOf(shard);
-    const used = share(Math.ceil((this.#openIn(shard) / LIMIT) * WHOLE));
+    const used = share(Math.ceil((this.#openIn(shard) / LIMIT) * FULL_SHARE));
     const to = view.span.entries.find((entry) => entry.shard !== shard)?.shard;
     const amount = share(shareOf(view.span, shard) - used);
     if (to === undefined) return;
@@ -193,14 +193,14 @@
   );
 });
 
-const valid = spanValue(homeSpan(HOME)) as { f: number; h: number; e: unknown[] };
+const valid = encodeSpan(homeSpan(HOME)) as { f: number; h: number; e: unknown[] };
 const invalid: readonly (readonly [string, unknown])[] = [
   ["nothing", undefined],
   ["a text", "span"],
   ["another version", { ...valid, f: 2 }],
   ["a home that is no shard", { ...valid, h: SHARDS }],
-  ["no home among the entries", { ...valid, e: [[1, 0, WHOLE, WHOLE, 0]] }],
-  ["a home that drains", { ...valid, e: [[0, 1, WHOLE, WHOLE, 0]] }],
+  ["no home among the entries", { ...valid, e: [[1, 0, FULL_SHARE, FULL_SHARE, 0]] }],
+  ["a home that drains", { ...valid, e: [[0, 1, FULL_SHARE, FULL_SHARE, 0]] }],
   ["a shard twice", { ...valid, e: [...valid.e, ...valid.e] }],
   ["a shard beyond the shards", { ...valid, e: [...valid.e, [SHARDS, 0, 0, 0, 0]] }],
   ["more than the whole", { ...valid, e: [...valid.e, [1, 0, 1, 0, 0]] }],
@@ -208,7 +208,7 @@
   ["a negative share", { ...valid, e: [...valid.e, [1, 0, -1, 0, 0]] }],
   ["a broken share", { ...valid, e: [...valid.e, [1, 0, 0.5, 0, 0]] }],
   ["a share that is no number", { ...valid, e: [...valid.e, [1, 0, "1", 0, 0]] }],
-  ["a weight beyond the whole", { ...valid, e: [...valid.e, [1, 0, 0, 0, WHOLE + 1]] }],
+  ["a weight beyond the whole", { ...valid, e: [...valid.e, [1, 0, 0, 0, FULL_SHARE + 1]] }],
   ["an unknown state", { ...valid, e: [...valid.e, [1, 2, 0, 0, 0]] }],
   ["a short entry", { ...valid, e: [...valid.e, [1]] }],
 ];
@@ -239,8 +239,8 @@
       kind: "transfer",
       from: HOME,
       to: shardId(1),
-      amount: share(0.6 * WHOLE),
-      used: share(0.5 * WHOLE),
+      amount: share(0.6 * FULL_SHARE),
+      used: share(0.5 * FULL_SHARE),
     },
     "in use",
   ],
--- a/src/coordination/load-spread/hooks.ts
+++ b/src/coordination/load-spread/hooks.ts
@@ -3,7 +3,7 @@
  * is off.
  */
 import type { ShardId } from "@umberfold/ids";
-import type { FairTurn, FairTurnInput } from "@umberfold/load-spread";
+import type { TaskBatch, TaskBatchInput } from "@umberfold/load-spread";
 import type { JobSpec } from "../../protocol/jobs.js";
 
 /** Decisions of load spreading while it is on. */
@@ -11,5 +11,5 @@
   /** The shard for a new job, or null for its team's home shard. */
   readonly placeJob: (spec: JobSpec) => ShardId | null;
   /** In which order waiting jobs of equal standing have tasks started; absent: as they come. */
-  readonly fairTurns?: (input: FairTurnInput) => readonly FairTurn[];
+  readonly fairTaskBatches?: (input: TaskBatchInput) => readonly TaskBatch[];
 }
--- a/src/coordination/load-spread/load-spread.ts
+++ b/src/coordination/load-spread/load-spread.ts
@@ -7,7 +7,7 @@
  * whole quota.
  */
 import type { JobId, ShardId, TeamName } from "@umberfold/ids";
-import { chooseShard, fairTurns, type LoadSpreadSettings } from "@umberfold/load-spread";
+import { chooseShard, fairTaskBatches, type LoadSpreadSettings } from "@umberfold/load-spread";
 import type { JobSpec } from "../../protocol/jobs.js";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
 import type { ControllerContext } from "../context.js";
@@ -44,7 +44,7 @@
   /** What other parts may ask while it is on. */
   hooks(): LoadSpreadHooks {
     const placeJob = (spec: JobSpec): ShardId | null => this.#placeJob(spec.team, spec.id);
-    return this.settings.fairShares ? { placeJob, fairTurns } : { placeJob };
+    return this.settings.fairShares ? { placeJob, fairTaskBatches } : { placeJob };
   }
 
   /** The leader's part, if this controller leads, and then an owner's part. */
@@ -52,7 +52,7 @@
     if (!this.ctx.isReplicaSynced) return;
     if (this.#spans.writable && this.ctx.replica.teams !== undefined) await this.#leader.lead();
     else this.#leader.stopLeading();
-    await this.#transfers.handOnSurplus();
+    await this.#transfers.transferSurplus();
   }
 
   /** Spans as they are, and counts since the start, for the log event `stats`. */
@@ -67,7 +67,7 @@
     return {
       spans,
       placedJobs: replica.spans.placedJobs,
-      transfers: this.#transfers.written,
+      transfers: this.#transfers.writtenCount,
       machinesMoved: this.#leader.machinesMoved,
       ...this.#spans.counters,
       ...this.#leader.plannerCounters,
--- a/src/coordination/load-spread/machine-balance.ts
+++ b/src/coordination/load-spread/machine-balance.ts
@@ -5,7 +5,7 @@
  * asked for a machine starts nothing more there, and hands it over once it is empty.
  */
 import { type MachineId, type MonotonicMs, monotonicMs, type ShardId } from "@umberfold/ids";
-import { machineShifts, type TeamLoad } from "@umberfold/load-spread";
+import { planCapacityTransfers, type TeamLoad } from "@umberfold/load-spread";
 import type { MachineTransferRequest } from "../../protocol/peer.js";
 import { monotonicNow } from "../../transport/clock.js";
 import type { ControllerContext } from "../context.js";
@@ -15,7 +15,7 @@
 
 interface PendingTransfer {
   readonly to: ShardId;
-  readonly until: MonotonicMs;
+  readonly timeoutAt: MonotonicMs;
 }
 
 /** A machine that could go to another shard. */
@@ -35,16 +35,16 @@
   /** The transfers to ask for now; each counts as under way until it times out. */
   dueTransfers(loads: readonly TeamLoad[]): readonly MachineTransferRequest[] {
     const now = monotonicNow();
-    for (const [id, { until }] of this.#pending) if (until <= now) this.#pending.delete(id);
+    for (const [id, { timeoutAt }] of this.#pending) if (timeoutAt <= now) this.#pending.delete(id);
     const candidates = this.#candidates();
     const cpusByShard = this.#cpusByShard(candidates);
     const requests: MachineTransferRequest[] = [];
-    for (const { from, to, cpus } of machineShifts(loads, cpusByShard)) {
+    for (const { from, to, cpus } of planCapacityTransfers(loads, cpusByShard)) {
       let cpusLeft = cpus;
       for (const candidate of candidates) {
         if (candidate.cpus > cpusLeft) continue;
         if (candidate.shard !== from || this.#pending.has(candidate.id)) continue;
-        this.#pending.set(candidate.id, { to, until: monotonicMs(now + TRANSFER_TIMEOUT_MS) });
+        this.#pending.set(candidate.id, { to, timeoutAt: monotonicMs(now + TRANSFER_TIMEOUT_MS) });
         requests.push({ machine: candidate.id, to, drain: false, whenEmpty: true });
         cpusLeft -= candidate.cpus;
       }
--- a/src/coordination/load-spread/owner-loads.ts
+++ b/src/coordination/load-spread/owner-loads.ts
@@ -6,9 +6,9 @@
 import type { ControllerContext } from "../context.js";
 
 /** Waiting tasks beyond this say nothing more about an owner's load. */
-const MAX_WAITING_UNITS = 1000;
+const MAX_WAITING_TASK_UNITS = 1000;
 
-const machineCounts = (replica: Replica): ReadonlyMap<ShardId, number> => {
+const machineCountByShard = (replica: Replica): ReadonlyMap<ShardId, number> => {
   const counts = new Map<ShardId, number>();
   for (const { shard } of replica.machines.values())
     counts.set(shard, (counts.get(shard) ?? 0) + 1);
@@ -23,12 +23,12 @@
     for (const { count } of counts.values()) open += count;
   let waiting = 0;
   for (const job of index.waiting.values()) waiting += waitingTaskCount(job);
-  return open + Math.min(waiting, MAX_WAITING_UNITS);
+  return open + Math.min(waiting, MAX_WAITING_TASK_UNITS);
 };
 
 /** Machines, open attempts and waiting tasks of each owner's shards; owners without any are left out. */
 export const ownerLoads = ({ replica }: ControllerContext): readonly OwnerLoad[] => {
-  const machines = machineCounts(replica);
+  const machines = machineCountByShard(replica);
   const loads = new Map<ControllerLabel, { owner: string; shards: ShardId[]; loadUnits: number }>();
   for (const label of replica.members.keys())
     loads.set(label, { owner: label, shards: [], loadUnits: 0 });
--- a/src/coordination/load-spread/quota-share.ts
+++ b/src/coordination/load-spread/quota-share.ts
@@ -1,5 +1,5 @@
 /** Amounts of a team's quota, as fractions of it and as the shares that spans divide. Pure. */
-import { type Share, share, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, type Share, share } from "@umberfold/spans";
 import type { Team } from "../../config/settings.js";
 import type { Resources } from "../../protocol/jobs.js";
 
@@ -10,6 +10,6 @@
 export const quotaFraction = (team: Team, resources: Pick<Resources, "cpus" | "gpus">): number =>
   Math.max(fractionOf(resources.cpus, team.cpusMax), fractionOf(resources.gpus, team.gpusMax));
 
-/** A fraction of a quota as a share; what rounding takes away is less than any task needs. */
+/** A fraction of a quota share; what rounding takes away is less than any task needs. */
 export const quotaShare = (fraction: number): Share =>
-  share(Math.round(Math.max(0, fraction) * WHOLE));
+  share(Math.round(Math.max(0, fraction) * FULL_SHARE));
--- a/src/coordination/load-spread/quota-transfers.ts
+++ b/src/coordination/load-spread/quota-transfers.ts
@@ -7,7 +7,7 @@
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { nextTransfer } from "@umberfold/load-spread";
-import { type Share, type Span, spanValue, stepSpan } from "@umberfold/spans";
+import { encodeSpan, type Share, type Span, stepSpan } from "@umberfold/spans";
 import type { Transaction } from "../../protocol/store.js";
 import { keys } from "../../storage/records.js";
 import type { ControllerContext } from "../context.js";
@@ -27,12 +27,12 @@
   ) {}
 
   /** Transfers written since the start. */
-  get written(): number {
+  get writtenCount(): number {
     return this.#written;
   }
 
   /** Writes at most one transfer for each owned shard and team. */
-  async handOnSurplus(): Promise<void> {
+  async transferSurplus(): Promise<void> {
     const { replica } = this.ctx;
     for (const shard of this.membership.ownedShards())
       for (const team of [...replica.spans.records.keys()]) {
@@ -45,7 +45,7 @@
   #transfer(team: TeamName, shard: ShardId): Transaction | undefined {
     const span = this.ctx.replica.spans.records.get(team)?.value;
     if (span === undefined || !this.membership.ownsShard(shard)) return undefined;
-    const event = nextTransfer({ span, from: shard, used: this.#usedShare(team, shard) });
+    const event = nextTransfer({ span, from: shard, usedShare: this.#usedShare(team, shard) });
     const stepped = event === undefined ? undefined : stepSpan(span, event);
     if (event === undefined || stepped?.ok !== true) return undefined;
     this.ctx.log.info("quota handed on", { team, from: shard, to: event.to, amount: event.amount });
@@ -60,7 +60,7 @@
         { key, rev: replica.revisionOf(key) },
         { key: keys.shard(shard), rev: replica.revisionOf(keys.shard(shard)) },
       ],
-      ops: [{ kind: "put", key, value: spanValue(span) }],
+      ops: [{ kind: "put", key, value: encodeSpan(span) }],
     };
   }
 
--- a/src/coordination/load-spread/span-leader.ts
+++ b/src/coordination/load-spread/span-leader.ts
@@ -8,10 +8,10 @@
 import type { TeamName } from "@umberfold/ids";
 import {
   decideSpan,
-  dissolvable,
+  INITIAL_PRESSURE,
+  isDissolvable,
   LoadSpreadPlanner,
   type LoadSpreadSettings,
-  NO_PRESSURE,
   type OwnerLoad,
   type PlannerCounters,
   type Pressure,
@@ -96,7 +96,7 @@
     }
     const now = monotonicNow();
     const pressure = stepPressure(
-      this.#pressures.get(team) ?? NO_PRESSURE,
+      this.#pressures.get(team) ?? INITIAL_PRESSURE,
       teamPressure(load, owners),
       this.settings,
       now,
@@ -105,10 +105,10 @@
     const decision = decideSpan(load, pressure, owners, this.settings, now);
     const span = load.span ?? homeSpan(home);
     if (decision !== undefined) {
-      if (decision.answersPressure) this.#pressures.set(team, { ...pressure, since: now });
+      if (decision.restartsPressureTimer) this.#pressures.set(team, { ...pressure, sinceMs: now });
       return this.spans.apply(team, span, decision.event);
     }
-    if (load.span === undefined || !dissolvable(load.span)) return false;
+    if (load.span === undefined || !isDissolvable(load.span)) return false;
     await this.spans.dissolve(team);
     return true;
   }
--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -8,14 +8,14 @@
 import type { Revision, ShardId, TeamName } from "@umberfold/ids";
 import type { TeamLoad } from "@umberfold/load-spread";
 import {
+  encodeSpan,
+  FULL_SHARE,
   type Span,
   type SpanEvent,
   share,
   shareOf,
-  spanValue,
   stepSpan,
   sumOfShares,
-  WHOLE,
 } from "@umberfold/spans";
 import type { Transaction } from "../../protocol/store.js";
 import { type ControllerId, encodeControllerId, keys } from "../../storage/records.js";
@@ -62,7 +62,7 @@
       this.ctx.log.info("span change refused", { team, change: event.kind, why: stepped.refusal });
       return false;
     }
-    if (!(await this.#write(team, { kind: "put", value: spanValue(stepped.span) }))) return false;
+    if (!(await this.#write(team, { kind: "put", value: encodeSpan(stepped.span) }))) return false;
     this.counters.changes++;
     const shard = event.kind === "plan" || event.kind === "transfer" ? undefined : event.shard;
     const entries = stepped.span.entries.map((entry) => [
@@ -131,7 +131,7 @@
 
   async #replace(load: TeamLoad): Promise<void> {
     const span = spanOfOpenAttempts(load);
-    if (!(await this.#write(load.team, { kind: "put", value: spanValue(span) }))) return;
+    if (!(await this.#write(load.team, { kind: "put", value: encodeSpan(span) }))) return;
     this.counters.repaired++;
     this.ctx.log.info("unreadable span replaced", {
       team: load.team,
@@ -153,12 +153,12 @@
 const spanOfOpenAttempts = (load: TeamLoad): Span => {
   const others = [...load.shards.values()].filter(({ shard }) => shard !== load.home);
   const usedElsewhere = sumOfShares(others.map(({ usedShare }) => usedShare));
-  const atHome = share(Math.max(0, WHOLE - usedElsewhere));
-  const scale = usedElsewhere > WHOLE ? WHOLE / usedElsewhere : 1;
+  const atHome = share(Math.max(0, FULL_SHARE - usedElsewhere));
+  const scale = usedElsewhere > FULL_SHARE ? FULL_SHARE / usedElsewhere : 1;
   return {
     home: load.home,
     entries: [
-      { shard: load.home, state: "active", share: atHome, target: atHome, weight: WHOLE },
+      { shard: load.home, state: "active", share: atHome, target: atHome, weight: FULL_SHARE },
       ...others.map(({ shard, usedShare: used }) => {
         const kept = share(Math.floor(used * scale));
         return { shard, state: "draining" as const, share: kept, target: kept, weight: share(0) };
--- a/src/coordination/load-spread/team-loads.ts
+++ b/src/coordination/load-spread/team-loads.ts
@@ -9,25 +9,25 @@
 
 /** Sums over one team's jobs in one shard; fractions are of the team's quota. */
 interface TeamSums {
-  jobs: number;
-  open: number;
+  jobCount: number;
+  openAttemptCount: number;
   openFraction: number;
-  waiting: number;
+  waitingTaskCount: number;
   waitingFraction: number;
-  largestFraction: number;
-  cpus: number;
-  oldest: number;
+  largestTaskFraction: number;
+  demandCpus: number;
+  oldestAcceptedAt: number;
 }
 
 const newSums = (): TeamSums => ({
-  jobs: 0,
-  open: 0,
+  jobCount: 0,
+  openAttemptCount: 0,
   openFraction: 0,
-  waiting: 0,
+  waitingTaskCount: 0,
   waitingFraction: 0,
-  largestFraction: 0,
-  cpus: 0,
-  oldest: Number.POSITIVE_INFINITY,
+  largestTaskFraction: 0,
+  demandCpus: 0,
+  oldestAcceptedAt: Number.POSITIVE_INFINITY,
 });
 
 /** What each team has in one shard. */
@@ -41,13 +41,13 @@
     sumsByTeam.set(team, sums);
     return sums;
   };
-  for (const [team, jobs] of index.liveJobs()) sumsFor(team).jobs = jobs;
+  for (const [team, jobs] of index.liveJobs()) sumsFor(team).jobCount = jobs;
   for (const [name, counts] of index.openByTeam()) {
     const team = teams.get(name);
     const sums = sumsFor(name);
     for (const { resources, count } of counts.values()) {
-      sums.open += count;
-      sums.cpus += count * resources.cpus;
+      sums.openAttemptCount += count;
+      sums.demandCpus += count * resources.cpus;
       if (team !== undefined) sums.openFraction += count * quotaFraction(team, resources);
     }
   }
@@ -57,29 +57,29 @@
     const sums = sumsFor(job.spec.team);
     const waiting = waitingTaskCount(job);
     const fraction = quotaFraction(team, job.spec.resources);
-    sums.waiting += waiting;
-    sums.cpus += waiting * job.spec.resources.cpus;
+    sums.waitingTaskCount += waiting;
+    sums.demandCpus += waiting * job.spec.resources.cpus;
     sums.waitingFraction += waiting * fraction;
-    sums.largestFraction = Math.max(sums.largestFraction, fraction);
-    sums.oldest = Math.min(sums.oldest, job.acceptedAt);
+    sums.largestTaskFraction = Math.max(sums.largestTaskFraction, fraction);
+    sums.oldestAcceptedAt = Math.min(sums.oldestAcceptedAt, job.acceptedAt);
   }
   return sumsByTeam;
 };
 
 const shardLoad = (shard: ShardId, sums: TeamSums): ShardLoad => ({
   shard,
-  jobCount: sums.jobs,
-  openAttemptCount: sums.open,
-  waitingTaskCount: sums.waiting,
+  jobCount: sums.jobCount,
+  openAttemptCount: sums.openAttemptCount,
+  waitingTaskCount: sums.waitingTaskCount,
   usedShare: quotaShare(sums.openFraction),
   demandShare: quotaShare(sums.openFraction + sums.waitingFraction),
-  largestTaskShare: quotaShare(sums.largestFraction),
-  demandCpus: sums.cpus,
-  oldestAcceptedAt: sums.oldest,
+  largestTaskShare: quotaShare(sums.largestTaskFraction),
+  demandCpus: sums.demandCpus,
+  oldestAcceptedAt: sums.oldestAcceptedAt,
 });
 
 /** What a team wants beyond its limit it can't have: less of it in each shard alike. */
-const withinLimit = (
+const scaledToLimit = (
   loads: ReadonlyMap<ShardId, ShardLoad> | undefined,
   cpusMax: number,
 ): ReadonlyMap<ShardId, ShardLoad> => {
@@ -107,7 +107,7 @@
     const home = replica.teams?.value.get(team);
     if (home === undefined) continue;
     const span = replica.spans.records.get(team)?.value;
-    const shards = withinLimit(shardsByTeam.get(team), cpusMax);
+    const shards = scaledToLimit(shardsByTeam.get(team), cpusMax);
     teamLoadsFound.push({ team, home, span, shards });
   }
   return teamLoadsFound;
--- a/src/coordination/rounds/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -6,7 +6,7 @@
  * guarantee and jobs of higher priority keep their places.
  */
 import type { TeamName } from "@umberfold/ids";
-import type { FairTurn, FairTurnInput } from "@umberfold/load-spread";
+import type { TaskBatch, TaskBatchInput } from "@umberfold/load-spread";
 import { priorityOrder, type Resources } from "../../protocol/jobs.js";
 import type { CandidateMachine } from "../../scheduling/placement.js";
 import type { QueuedJob } from "../../scheduling/queue-order.js";
@@ -27,7 +27,8 @@
  */
 const MIN_QUOTA_FRACTION = 0.01;
 /**
- * Fair turns are computed for at most this many tasks: about as many as one transaction can start.
+ * Fair task batches are computed for at most this many tasks: about as many as one transaction can
+ * start.
  */
 const MAX_FAIR_TURN_TASKS = 256;
 
@@ -64,7 +65,7 @@
   segment.some((queued) => queued.job.spec.team !== segment[0]?.job.spec.team);
 
 /** The function of the load-spread package that divides tasks between teams. */
-type FairTurns = (input: FairTurnInput) => readonly FairTurn[];
+type FairTaskBatches = (input: TaskBatchInput) => readonly TaskBatch[];
 
 /** The dominant shares of the teams, and the capacity to which they relate. */
 interface DominantShares {
@@ -74,22 +75,30 @@
   readonly shares: ReadonlyMap<TeamName, number>;
 }
 
-/** The jobs of one job class in fair order, with the number of tasks left in each turn. */
+/** The jobs of one job class in fair order, with the number of tasks left in each batch. */
 class FairClassQueue {
   readonly #remaining: { readonly queued: QueuedJob; tasks: number }[] = [];
 
-  constructor(segment: readonly QueuedJob[], fairTurns: FairTurns, dominantShares: DominantShares) {
+  constructor(
+    segment: readonly QueuedJob[],
+    fairTaskBatches: FairTaskBatches,
+    dominantShares: DominantShares,
+  ) {
     const { capacity, shares } = dominantShares;
     const byId = new Map(segment.map((queued) => [queued.id, queued]));
     const jobs = segment.map((queued) => ({
       id: queued.id,
       team: queued.job.spec.team,
-      tasks: waitingTaskCount(queued.job),
-      dominant: dominantShare(queued.job.spec.resources, capacity),
+      taskCount: waitingTaskCount(queued.job),
+      taskDominantShare: dominantShare(queued.job.spec.resources, capacity),
     }));
-    for (const { id, tasks } of fairTurns({ jobs, shares, mostTasks: MAX_FAIR_TURN_TASKS })) {
+    for (const { id, taskCount } of fairTaskBatches({
+      jobs,
+      dominantShares: shares,
+      maxTasks: MAX_FAIR_TURN_TASKS,
+    })) {
       const queued = byId.get(id);
-      if (queued !== undefined) this.#remaining.push({ queued, tasks });
+      if (queued !== undefined) this.#remaining.push({ queued, tasks: taskCount });
     }
   }
 
@@ -125,13 +134,13 @@
  */
 function* fairSteps(
   segment: readonly QueuedJob[],
-  fairTurns: FairTurns,
+  fairTaskBatches: FairTaskBatches,
   dominantShares: DominantShares,
 ): Iterable<QueueStep> {
   const classes = new Map<string, FairClassQueue>();
   for (const [jobClass, jobs] of groupByClass(segment))
     if (hasSeveralTeams(jobs))
-      classes.set(jobClass, new FairClassQueue(jobs, fairTurns, dominantShares));
+      classes.set(jobClass, new FairClassQueue(jobs, fairTaskBatches, dominantShares));
   for (const queued of segment) {
     const fairClass = classes.get(queued.job.spec.jobClass);
     if (fairClass === undefined) yield queued;
@@ -146,7 +155,8 @@
  * Reorders the queue so that the capacity beyond guarantees is divided fairly between teams with
  * waiting jobs of the same job class. Jobs of different classes stay in the order of their slack,
  * because classes have different objectives and therefore different costs of waiting. Without
- * `fairTurns` (fair shares are disabled, or the load-spread package is) the queue is unchanged.
+ * `fairTaskBatches` (fair shares are disabled, or the load-spread package is) the queue is
+ * unchanged.
  *
  * @param teamUse the resources that each team's open attempts use in this shard
  * @param quotaFractionOf the fraction of a team's quota that this shard may use, from 0 to 1
@@ -154,12 +164,12 @@
  */
 export const fairQueue = (
   queue: readonly QueuedJob[],
-  fairTurns: FairTurns | undefined,
+  fairTaskBatches: FairTaskBatches | undefined,
   teamUse: ReadonlyMap<TeamName, Resources>,
   quotaFractionOf: (team: TeamName) => number,
   candidates: Iterable<CandidateMachine>,
 ): readonly QueueStep[] => {
-  if (fairTurns === undefined) return queue;
+  if (fairTaskBatches === undefined) return queue;
   let capacity = NO_RESOURCES;
   for (const candidate of candidates) capacity = add(capacity, candidate.capacity);
   const shares = new Map(
@@ -173,7 +183,7 @@
     const [first] = segment;
     if (first === undefined) continue;
     if (first.withinGuarantee || first.overdue) steps.push(...segment);
-    else steps.push(...fairSteps(segment, fairTurns, { capacity, shares }));
+    else steps.push(...fairSteps(segment, fairTaskBatches, { capacity, shares }));
   }
   return steps;
 };
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -62,7 +62,7 @@
     const candidates = this.#candidates.values();
     for (const step of fairQueue(
       queue,
-      loadSpread?.fairTurns,
+      loadSpread?.fairTaskBatches,
       teamUse,
       quotaFractionOf,
       candidates,
--- a/src/coordination/sharding/shard-quotas.ts
+++ b/src/coordination/sharding/shard-quotas.ts
@@ -4,7 +4,7 @@
  * written by the `load-spread` folder.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
-import { usableShare, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, usableShare } from "@umberfold/spans";
 import type { Team } from "../../config/settings.js";
 import type { Resources } from "../../protocol/jobs.js";
 import type { Replica } from "../../storage/replica.js";
@@ -94,6 +94,6 @@
     if (record === undefined) return home === shard ? 1 : 0;
     const span = record.value;
     // A span with another home shard is invalid: it wasn't written for the team's current one.
-    return span === undefined || span.home !== home ? 0 : usableShare(span, shard) / WHOLE;
+    return span === undefined || span.home !== home ? 0 : usableShare(span, shard) / FULL_SHARE;
   }
 }
--- a/test/coordination/load-spread/quota-share.test.ts
+++ b/test/coordination/load-spread/quota-share.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { teamName } from "@umberfold/ids";
-import { share, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, share } from "@umberfold/spans";
 import type { Team } from "../../../src/config/settings.js";
 import { quotaFraction, quotaShare } from "../../../src/coordination/load-spread/quota-share.js";
 
@@ -27,9 +27,9 @@
     assert.equal(quotaFraction(limits, resources), expected));
 
 const shares: readonly (readonly [string, number, number])[] = [
-  ["half", 0.5, WHOLE / 2],
+  ["half", 0.5, FULL_SHARE / 2],
   ["a negative fraction is none", -0.1, 0],
-  ["more than all stays more", 1.5, WHOLE * 1.5],
+  ["more than all stays more", 1.5, FULL_SHARE * 1.5],
 ];
 for (const [name, fraction, expected] of shares)
   test(`share of a quota: ${name}`, () => assert.equal(quotaShare(fraction), share(expected)));
--- a/test/coordination/rounds/fair-queue.test.ts
+++ b/test/coordination/rounds/fair-queue.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { jobId, shardId, teamName, wallClockMs } from "@umberfold/ids";
-import { fairTurns } from "@umberfold/load-spread";
+import { fairTaskBatches } from "@umberfold/load-spread";
 import { fairQueue } from "../../../src/coordination/rounds/fair-queue.js";
 import type { JobSpec } from "../../../src/protocol/jobs.js";
 import type { CandidateMachine } from "../../../src/scheduling/placement.js";
@@ -73,7 +73,7 @@
   test(`fair queue: ${name}`, () => {
     const use = new Map([[teamName("busy"), { cpus: 50, gpus: 0, ramGb: 50 }]]);
     const candidates = [{ capacity: CAPACITY } as unknown as CandidateMachine];
-    const steps = fairQueue(queue, fairTurns, use, () => 1, candidates);
+    const steps = fairQueue(queue, fairTaskBatches, use, () => 1, candidates);
     assert.deepEqual(
       steps.map((s) => (s.maxStarts === undefined ? s.id : `${s.id}:${s.maxStarts}`)),
       expected,
@@ -93,7 +93,7 @@
   const candidates = [{ capacity: CAPACITY } as unknown as CandidateMachine];
   const firstJobWith = (fraction: number): string | undefined => {
     const quotaFractionOf = (team: string): number => (team === "burst" ? fraction : 1);
-    return fairQueue(queue, fairTurns, use, quotaFractionOf, candidates)[0]?.id;
+    return fairQueue(queue, fairTaskBatches, use, quotaFractionOf, candidates)[0]?.id;
   };
   assert.equal(
     firstJobWith(1),
--- a/test/coordination/sharding/shard-quotas.test.ts
+++ b/test/coordination/sharding/shard-quotas.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { revision, shardId, teamName } from "@umberfold/ids";
-import { WHOLE } from "@umberfold/spans";
+import { FULL_SHARE } from "@umberfold/spans";
 import { ShardQuotas } from "../../../src/coordination/sharding/shard-quotas.js";
 import { encodeTeams } from "../../../src/storage/cluster-records.js";
 import { keys } from "../../../src/storage/records.js";
@@ -10,7 +10,7 @@
 
 const TEAM = teamName("ops one");
 const HOME = shardId(0);
-const HALF = WHOLE / 2;
+const HALF = FULL_SHARE / 2;
 const SHARDS = 3;
 const UNLIMITED = Number.POSITIVE_INFINITY;
 
@@ -46,7 +46,7 @@
   },
   {
     name: "a span with another home shard: no quota in any shard",
-    span: { f: 1, h: 1, e: [[1, 0, WHOLE, WHOLE, 0]] },
+    span: { f: 1, h: 1, e: [[1, 0, FULL_SHARE, FULL_SHARE, 0]] },
     limits: [0, 0, 0],
     guarantees: [0, 0, 0],
   },
--- a/test/measure/planner.ts
+++ b/test/measure/planner.ts
@@ -13,7 +13,7 @@
   solvePlan,
   type TeamLoad,
 } from "@umberfold/load-spread";
-import { homeSpan, share, stepSpan, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, homeSpan, share, stepSpan } from "@umberfold/spans";
 import { build } from "hdr-histogram-js";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -42,8 +42,8 @@
     if (stepped.ok) span = stepped.span;
     const openAttemptCount = Math.floor(random() * 50);
     const waitingTaskCount = Math.floor(random() * random() * 500);
-    const largestTaskShare = share(Math.floor(random() * 0.05 * WHOLE));
-    const usedShare = share(Math.floor((random() * WHOLE) / shards));
+    const largestTaskShare = share(Math.floor(random() * 0.05 * FULL_SHARE));
+    const usedShare = share(Math.floor((random() * FULL_SHARE) / shards));
     const demandShare = share(usedShare + waitingTaskCount * largestTaskShare);
     const demandCpus = openAttemptCount + waitingTaskCount;
     const rest = {
--- a/test/scenarios/load-spread.test.ts
+++ b/test/scenarios/load-spread.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from "node:assert/strict";
 import test from "node:test";
-import { parseSpan, type Span, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, parseSpan, type Span } from "@umberfold/spans";
 import { type Burst, scheduleBurst } from "../sim/burst.js";
 import { type FaultScenario, NO_FAULTS, type SimulationScale } from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
@@ -51,7 +51,7 @@
     if (value === null) continue;
     const span = parseSpan(value, SCALE.controllers);
     assert.ok(span !== undefined, "every span that was written keeps the invariants");
-    assert.ok(span.entries.reduce((sum, e) => sum + e.share, 0) <= WHOLE);
+    assert.ok(span.entries.reduce((sum, e) => sum + e.share, 0) <= FULL_SHARE);
   }
 };
 
@@ -217,12 +217,12 @@
       f: 1,
       h: 0,
       e: [
-        [0, 0, WHOLE, WHOLE, WHOLE],
-        [1, 0, WHOLE, 0, 0],
+        [0, 0, FULL_SHARE, FULL_SHARE, FULL_SHARE],
+        [1, 0, FULL_SHARE, 0, 0],
       ],
     },
   ],
-  ["of another home", { f: 1, h: 2, e: [[2, 0, WHOLE, WHOLE, WHOLE]] }],
+  ["of another home", { f: 1, h: 2, e: [[2, 0, FULL_SHARE, FULL_SHARE, FULL_SHARE]] }],
   ["of no shape at all", "none"],
 ];
 for (const [name, value] of foreign)
