--- a/packages/load-spread/src/choose-shard.ts
+++ b/packages/load-spread/src/choose-shard.ts
@@ -1,8 +1,8 @@
 /**
  * Chooses the shard of a new job within its team's span.
  *
- * Weighted rendezvous hashing: the choice depends on the span and the job's id alone, so all
- * controllers choose alike without asking one another. No state.
+ * Uses weighted rendezvous hashing: the choice depends on the span and the job's id alone, so all
+ * controllers choose the same shard without any communication. Holds no state.
  */
 import type { JobId, ShardId } from "@umberfold/ids";
 import type { Span } from "@umberfold/spans";
@@ -11,8 +11,8 @@
 const FNV_PRIME = 0x01000193;
 
 /**
- * A hash of the text (FNV-1a with a final mix), as a number between 0 and 1, never 0. Every
- * controller must compute the same one, so it can't be changed while a cluster runs.
+ * Hashes the text (FNV-1a with a final mix) to a number above 0 and below 1. All controllers of a
+ * cluster must compute the same hash, so the function can't change while a cluster runs.
  */
 const unitHash = (text: string): number => {
   let hash = FNV_OFFSET;
@@ -23,9 +23,9 @@
 };
 
 /**
- * The shard of a new job: each active shard gets the part of the jobs that its weight is of all
- * weights, and a change of the span leaves most choices as they were. The home shard if no active
- * shard has a weight.
+ * Returns the shard of a new job. Each active shard receives a fraction of the jobs that is
+ * proportional to its weight, and a change of the span changes the choice for few jobs. Returns the
+ * home shard if no active shard has a weight above 0.
  */
 export const chooseShard = (span: Span, job: JobId): ShardId => {
   let chosen = span.home;
--- a/packages/load-spread/src/fair-share.ts
+++ b/packages/load-spread/src/fair-share.ts
@@ -1,51 +1,57 @@
 /**
- * Divides what a round may start fairly between the teams whose jobs wait.
+ * Divides the tasks that a round may start fairly between the teams with waiting jobs.
  *
- * Dominant resource fairness by progressive filling: the next tasks are those of the team with the
- * least dominant share, its open attempts included. What a team got in earlier rounds still runs and
- * so counts against it: that carries a deficit over rounds without any state of its own.
+ * Implements dominant resource fairness by progressive filling: the next tasks are taken from the
+ * team with the smallest dominant share. The share includes the team's open attempts, so tasks that
+ * it started in earlier rounds count until they end; no state has to be kept between rounds.
  */
 import type { JobId, TeamName } from "@umberfold/ids";
 
-/** A job with waiting tasks; a list of them is in the order in which the queue serves them. */
+/** A job with waiting tasks. */
 export interface WaitingJob {
   readonly id: JobId;
   readonly team: TeamName;
-  /** Number of waiting tasks. */
+  /** The number of waiting tasks. */
   readonly taskCount: number;
-  /** The dominant share of one task: the part (0 to 1) of all capacity that it takes. */
+  /**
+   * The dominant share of one task, from 0 to 1: the largest fraction of the total capacity that it
+   * uses of any resource.
+   */
   readonly taskDominantShare: number;
 }
 
-/** What fair turns are computed from. */
+/** The input of `fairTaskBatches`. */
 export interface TaskBatchInput {
-  /** Jobs of equal standing (guarantee and priority): only among them is anything reordered. */
+  /**
+   * Jobs in the order of the queue. All are equal in guarantee and priority, because only such jobs
+   * may be reordered.
+   */
   readonly jobs: readonly WaitingJob[];
-  /** Dominant share (0 to 1) of each team's open attempts; a team left out has none. */
+  /** The dominant share, from 0 to 1, of each team's open attempts; 0 for a team not in the map. */
   readonly dominantShares: ReadonlyMap<TeamName, number>;
-  /** For how many tasks turns are computed: a round starts no more. */
+  /** The maximum number of tasks in all batches together: a round starts no more. */
   readonly maxTasks: number;
 }
 
-/** Up to this many tasks of a job are to be placed next. */
+/** A number of tasks of one job, to be placed before those of the next batch. */
 export interface TaskBatch {
   readonly id: JobId;
   readonly taskCount: number;
 }
 
 /**
- * All tasks of a round are divided into about this many turns at least. More, smaller turns would
- * be fairer, but cost a round more.
+ * A round's tasks are divided into at least about this many batches. More and smaller batches would
+ * be fairer but would make a round slower.
  */
 const MIN_BATCHES = 64;
 
-/** The jobs of one team, and how far they have been given turns. */
+/** The jobs of one team, and how many of their tasks have been put into batches. */
 interface TeamQueue {
   readonly jobs: WaitingJob[];
-  /** The team's dominant share, the tasks given turns included. */
+  /** The team's dominant share, including the tasks already put into batches. */
   dominantShare: number;
   nextJobIndex: number;
-  /** Tasks of the next job that have been given turns already. */
+  /** The number of the next job's tasks that have already been put into batches. */
   nextJobBatchedTaskCount: number;
 }
 
@@ -76,35 +82,38 @@
   return least;
 };
 
-const recordBatch = (queue: TeamQueue, job: WaitingJob, tasks: number): void => {
-  queue.dominantShare += tasks * job.taskDominantShare;
-  queue.nextJobBatchedTaskCount += tasks;
+const recordBatch = (queue: TeamQueue, job: WaitingJob, taskCount: number): void => {
+  queue.dominantShare += taskCount * job.taskDominantShare;
+  queue.nextJobBatchedTaskCount += taskCount;
   if (queue.nextJobBatchedTaskCount < job.taskCount) return;
   queue.nextJobIndex++;
   queue.nextJobBatchedTaskCount = 0;
 };
 
-/** The turns in their order. Jobs of one team keep theirs; successive turns of a job are one. */
+/**
+ * Returns the batches in the order in which their tasks should be placed. Jobs of the same team keep
+ * their order, and consecutive batches of one job are merged.
+ */
 export const fairTaskBatches = (input: TaskBatchInput): readonly TaskBatch[] => {
   const queues = teamQueues(input);
-  const tasksPerTurn = Math.max(1, Math.ceil(input.maxTasks / MIN_BATCHES));
-  const turns: TaskBatch[] = [];
+  const tasksPerBatch = Math.max(1, Math.ceil(input.maxTasks / MIN_BATCHES));
+  const batches: TaskBatch[] = [];
   let remaining = input.maxTasks;
   while (remaining > 0) {
     const queue = queueWithLeastShare(queues);
     const job = queue?.jobs[queue.nextJobIndex];
     if (queue === undefined || job === undefined) break;
     const taskCount = Math.min(
-      tasksPerTurn,
+      tasksPerBatch,
       job.taskCount - queue.nextJobBatchedTaskCount,
       remaining,
     );
-    const last = turns.at(-1);
+    const last = batches.at(-1);
     if (last?.id === job.id)
-      turns[turns.length - 1] = { id: job.id, taskCount: last.taskCount + taskCount };
-    else turns.push({ id: job.id, taskCount });
+      batches[batches.length - 1] = { id: job.id, taskCount: last.taskCount + taskCount };
+    else batches.push({ id: job.id, taskCount });
     remaining -= taskCount;
     recordBatch(queue, job, taskCount);
   }
-  return turns;
+  return batches;
 };
--- a/packages/load-spread/src/index.ts
+++ b/packages/load-spread/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * Spreads a busy team over several shards. Pure decisions: what is known and a time come in, changes
- * of spans, shares and turns come out. The service supplies records, transactions and the clock.
+ * Decides how a busy team's work is spread over several shards. All functions are pure: they take
+ * loads, spans and the time, and return changes of spans, transfers and task batches. The service
+ * reads and writes the records and supplies the clock.
  */
 export { chooseShard } from "./choose-shard.js";
 export {
--- a/packages/load-spread/src/load.ts
+++ b/packages/load-spread/src/load.ts
@@ -1,52 +1,52 @@
 /**
- * The load that load spreading decides by: of a team in each shard, and of each owner.
+ * The load on which load spreading bases its decisions: of a team in each shard, and of each owner.
  *
- * Values that the service computes from its replica for each decision; no state.
+ * The service computes these values from its replica before each decision. Holds no state.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import type { Share, Span } from "@umberfold/spans";
 
-/** What one team has in one shard. */
+/** The jobs and tasks of one team in one shard. */
 export interface ShardLoad {
   readonly shard: ShardId;
-  /** Jobs that are neither finished nor cancelled. */
+  /** The number of jobs that are neither finished nor cancelled. */
   readonly jobCount: number;
-  /** Open attempts. */
+  /** The number of open attempts. */
   readonly openAttemptCount: number;
-  /** Tasks that wait for an attempt. */
+  /** The number of tasks that wait for an attempt. */
   readonly waitingTaskCount: number;
-  /** The part of the team's quota that its open attempts take; 0 where the team has no limit. */
+  /** The share of the team's quota that its open attempts use; 0 if the team has no limit. */
   readonly usedShare: Share;
-  /** The part that open attempts and waiting tasks would take together. */
+  /** The share of the quota that open attempts and waiting tasks would use together. */
   readonly demandShare: Share;
-  /** The part that the largest waiting task would take. */
+  /** The share of the quota that the largest waiting task would use. */
   readonly largestTaskShare: Share;
-  /** Processors that open and waiting tasks take, without those beyond the team's limit. */
+  /** The CPUs that open attempts and waiting tasks need, scaled down to the team's limit. */
   readonly demandCpus: number;
-  /** When the oldest job that waits there was accepted; infinity if none waits. */
+  /** When the oldest waiting job was accepted, in milliseconds since 1970; infinity if none waits. */
   readonly oldestAcceptedAt: number;
 }
 
-/** What one team has in all shards. */
+/** The jobs and tasks of one team in all shards. */
 export interface TeamLoad {
   readonly team: TeamName;
   readonly home: ShardId;
-  /** Undefined while the team uses its home shard alone. */
+  /** Undefined while the team uses its home shard alone, or if the record is unreadable. */
   readonly span: Span | undefined;
-  /** Only shards in which the team has anything. */
+  /** Contains only shards in which the team has jobs or open attempts. */
   readonly shards: ReadonlyMap<ShardId, ShardLoad>;
 }
 
-/** How much the owner of shards has to do. */
+/** The load of one controller over all shards that it owns. */
 export interface OwnerLoad {
   /** The controller's label. */
   readonly owner: string;
   readonly shards: readonly ShardId[];
-  /** Its machines, open attempts and waiting tasks together. */
+  /** The sum of its machines, open attempts and waiting tasks. */
   readonly loadUnits: number;
 }
 
-/** A team's open attempts and waiting tasks, over all shards. */
+/** Returns the number of a team's open attempts and waiting tasks over all shards. */
 export const taskCountOf = (load: TeamLoad): number => {
   let tasks = 0;
   for (const { openAttemptCount, waitingTaskCount } of load.shards.values())
@@ -54,7 +54,7 @@
   return tasks;
 };
 
-/** A team's waiting tasks, over all shards. */
+/** Returns the number of a team's waiting tasks over all shards. */
 export const waitingTaskCountOf = (load: TeamLoad): number => {
   let tasks = 0;
   for (const { waitingTaskCount } of load.shards.values()) tasks += waitingTaskCount;
--- a/packages/load-spread/src/machine-balance.ts
+++ b/packages/load-spread/src/machine-balance.ts
@@ -1,71 +1,71 @@
 /**
- * Balances machines between shards, so that a team whose shard is full of another team's burst gets
- * its fair part of all machines.
+ * Balances machines between shards, so that a team gets its fair share of all machines even if
+ * another team's burst occupies its shard.
  *
- * No state. All amounts are in processors.
+ * Holds no state. All amounts are in CPUs.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import type { TeamLoad } from "./load.js";
 
-/** Processors that should go from one shard to another. */
+/** Capacity, in CPUs, that should be transferred from one shard to another. */
 export interface CapacityTransfer {
   readonly from: ShardId;
   readonly to: ShardId;
   readonly cpus: number;
 }
 
-/** A shard is given machines once it lacks this part of its fair need. */
+/** A shard receives machines if it lacks more than this fraction of its fair amount of CPUs. */
 const MIN_DEFICIT_FRACTION = 0.1;
-/** One call shifts no more than this part of all processors. */
+/** One call transfers at most this fraction of all CPUs. */
 const MAX_TRANSFERRED_FRACTION = 0.1;
-/** Guards against division by zero for a team that wants nothing. */
+/** Prevents a division by zero for a team without demand. */
 const MIN_DEMAND_CPUS = 1e-9;
 
-/** What one shard has too much or too little. */
+/** The CPUs that one shard lacks, or has beyond its fair amount. */
 interface ShardImbalance {
   readonly shard: ShardId;
   cpus: number;
 }
 
-/** Max-min fairness: what each team gets of the capacity, never more than it wants. */
+/** Divides the capacity by max-min fairness; no team gets more than its demand. */
 const maxMinFairCpus = (
-  wantedByTeam: ReadonlyMap<TeamName, number>,
+  demandByTeam: ReadonlyMap<TeamName, number>,
   capacity: number,
 ): ReadonlyMap<TeamName, number> => {
-  const parts = new Map<TeamName, number>();
+  const cpusByTeam = new Map<TeamName, number>();
   let remaining = capacity;
-  const ascending = [...wantedByTeam].sort((a, b) => a[1] - b[1]);
-  for (const [i, [team, cpus]] of ascending.entries()) {
-    const part = Math.min(cpus, remaining / (ascending.length - i));
-    parts.set(team, part);
-    remaining -= part;
+  const ascending = [...demandByTeam].sort((a, b) => a[1] - b[1]);
+  for (const [i, [team, demand]] of ascending.entries()) {
+    const cpus = Math.min(demand, remaining / (ascending.length - i));
+    cpusByTeam.set(team, cpus);
+    remaining -= cpus;
   }
-  return parts;
+  return cpusByTeam;
 };
 
 /**
- * What each shard needs so that every team gets its fair part of the capacity, which is divided
- * between the team's shards in proportion to what it wants in them.
+ * Returns the CPUs that each shard needs for every team to get its fair share of the capacity. A
+ * team's fair share is divided between its shards in proportion to its demand in them.
  */
 export const fairCpusByShard = (
   loads: readonly TeamLoad[],
   capacity: number,
 ): ReadonlyMap<ShardId, number> => {
-  const wantedByTeam = new Map<TeamName, number>();
+  const demandByTeam = new Map<TeamName, number>();
   for (const { team, shards } of loads) {
     let cpus = 0;
     for (const row of shards.values()) cpus += row.demandCpus;
-    if (cpus > 0) wantedByTeam.set(team, cpus);
+    if (cpus > 0) demandByTeam.set(team, cpus);
   }
-  const parts = maxMinFairCpus(wantedByTeam, capacity);
-  const needs = new Map<ShardId, number>();
+  const fairCpusByTeam = maxMinFairCpus(demandByTeam, capacity);
+  const fairCpus = new Map<ShardId, number>();
   for (const { team, shards } of loads) {
     const grantedFraction =
-      (parts.get(team) ?? 0) / Math.max(MIN_DEMAND_CPUS, wantedByTeam.get(team) ?? 0);
+      (fairCpusByTeam.get(team) ?? 0) / Math.max(MIN_DEMAND_CPUS, demandByTeam.get(team) ?? 0);
     for (const row of shards.values())
-      needs.set(row.shard, (needs.get(row.shard) ?? 0) + row.demandCpus * grantedFraction);
+      fairCpus.set(row.shard, (fairCpus.get(row.shard) ?? 0) + row.demandCpus * grantedFraction);
   }
-  return needs;
+  return fairCpus;
 };
 
 const shardsWithWaitingTasks = (loads: readonly TeamLoad[]): ReadonlySet<ShardId> =>
@@ -76,37 +76,39 @@
   );
 
 /**
- * Which shards should give machines to which, while none is idle: from those with most beyond their
- * fair need to those that lack most of theirs and have waiting tasks. `capacity`: what each shard
- * has.
+ * Returns how much capacity should be transferred between which shards while no machine is idle.
+ * Shards with the largest surplus over their fair amount give to those with the largest deficit; only
+ * shards with waiting tasks receive.
+ *
+ * @param capacity the CPUs of each shard
  */
 export const planCapacityTransfers = (
   loads: readonly TeamLoad[],
   capacity: ReadonlyMap<ShardId, number>,
 ): readonly CapacityTransfer[] => {
-  const total = [...capacity.values()].reduce((sum, cpus) => sum + cpus, 0);
-  const needs = fairCpusByShard(loads, total);
-  const haveWaiting = shardsWithWaitingTasks(loads);
+  const totalCpus = [...capacity.values()].reduce((sum, cpus) => sum + cpus, 0);
+  const fairCpus = fairCpusByShard(loads, totalCpus);
+  const withWaitingTasks = shardsWithWaitingTasks(loads);
   const receivers: ShardImbalance[] = [];
-  const givers: ShardImbalance[] = [];
+  const donors: ShardImbalance[] = [];
   for (const [shard, cpus] of capacity) {
-    const need = needs.get(shard) ?? 0;
-    if (need - cpus > MIN_DEFICIT_FRACTION * need && haveWaiting.has(shard))
-      receivers.push({ shard, cpus: need - cpus });
-    else if (cpus > need) givers.push({ shard, cpus: cpus - need });
+    const fair = fairCpus.get(shard) ?? 0;
+    if (fair - cpus > MIN_DEFICIT_FRACTION * fair && withWaitingTasks.has(shard))
+      receivers.push({ shard, cpus: fair - cpus });
+    else if (cpus > fair) donors.push({ shard, cpus: cpus - fair });
   }
   receivers.sort((a, b) => b.cpus - a.cpus);
-  givers.sort((a, b) => b.cpus - a.cpus);
-  const shifts: CapacityTransfer[] = [];
-  let remaining = MAX_TRANSFERRED_FRACTION * total;
+  donors.sort((a, b) => b.cpus - a.cpus);
+  const transfers: CapacityTransfer[] = [];
+  let remaining = MAX_TRANSFERRED_FRACTION * totalCpus;
   for (const receiver of receivers)
-    for (const giver of givers) {
-      const cpus = Math.min(receiver.cpus, giver.cpus, remaining);
+    for (const donor of donors) {
+      const cpus = Math.min(receiver.cpus, donor.cpus, remaining);
       if (cpus <= 0) continue;
-      shifts.push({ from: giver.shard, to: receiver.shard, cpus });
+      transfers.push({ from: donor.shard, to: receiver.shard, cpus });
       receiver.cpus -= cpus;
-      giver.cpus -= cpus;
+      donor.cpus -= cpus;
       remaining -= cpus;
     }
-  return shifts;
+  return transfers;
 };
--- a/packages/load-spread/src/minimum-shares.ts
+++ b/packages/load-spread/src/minimum-shares.ts
@@ -1,21 +1,21 @@
 /**
- * Keeps a quota that is divided between shards from being fragmented: no task may wait forever
- * because each shard's share is too small for it while their sum is not.
+ * Prevents fragmentation of a quota that is divided between shards: no task may wait forever because
+ * each shard's share is too small for it although the shares together are large enough.
  *
- * No state. Both functions keep the sum of a span's targets at the whole quota or below.
+ * Holds no state. With both functions the targets of a span add up to at most the full quota.
  */
 import type { ShardId } from "@umberfold/ids";
 import { FULL_SHARE, type Span } from "@umberfold/spans";
 import type { ShardLoad, TeamLoad } from "./load.js";
 
-/** Targets that are short of a whole task by no more than this were only rounded. */
+/** A target that lacks at most this share for one more task is short only because of rounding. */
 const ROUNDING_TOLERANCE_SHARE = FULL_SHARE * 1e-8;
 
-/** The part of a target that is left once as many whole tasks as possible have taken theirs. */
-const remainderAfterWholeTasks = (target: number, task: number): number =>
-  task <= 0
+/** Returns what remains of a target after as many whole tasks as fit; 0 for tasks of size 0. */
+const remainderAfterWholeTasks = (target: number, taskShare: number): number =>
+  taskShare <= 0
     ? 0
-    : Math.max(0, target - task * Math.floor((target + ROUNDING_TOLERANCE_SHARE) / task));
+    : Math.max(0, target - taskShare * Math.floor((target + ROUNDING_TOLERANCE_SHARE) / taskShare));
 
 const waitingOldestFirst = (load: TeamLoad, span: Span): readonly ShardLoad[] =>
   [...load.shards.values()]
@@ -25,10 +25,12 @@
     .sort((a, b) => a.oldestAcceptedAt - b.oldestAcceptedAt);
 
 /**
- * What each shard's target must be at least, as shares. Each shard with waiting tasks, the one that
- * has waited longest first, gets enough for its largest waiting task, which would wait forever
- * otherwise; then each active shard gets `minShare` (0 to 1). What no longer fits into the whole
- * quota is left out.
+ * Returns the minimum target of each shard, in units of `Share`. First each shard with waiting tasks
+ * gets enough for its largest waiting task, which would wait forever otherwise, in the order of the
+ * shards' oldest waiting jobs. Then each active shard gets at least `minShare`. A minimum that no
+ * longer fits into the quota is skipped.
+ *
+ * @param minShare a fraction of the quota, from 0 to 1
  */
 export const minimumShares = (
   load: TeamLoad,
@@ -49,7 +51,10 @@
   return minimums;
 };
 
-/** What of each shard's target it can't use: less than one more task, or more than it demands. */
+/**
+ * Returns the part of each shard's target that it can't use: without waiting tasks, all that its open
+ * attempts don't use; otherwise the remainder that is too small for one more task.
+ */
 const unusableShares = (
   load: TeamLoad,
   targets: ReadonlyMap<ShardId, number>,
@@ -68,8 +73,9 @@
 };
 
 /**
- * Targets in which no part is left unused that a waiting task would fit into: what each shard can't
- * use is collected for one more task of the shard that has waited longest.
+ * Collects the parts of the targets that the shards can't use and gives them to shards with waiting
+ * tasks, oldest waiting job first, if they suffice for one more task there. The sum of the targets
+ * stays the same.
  */
 export const consolidateTargets = (
   load: TeamLoad,
@@ -81,28 +87,28 @@
   const consolidated = new Map(targets);
   const unusable = unusableShares(load, targets);
   let totalUnusable = 0;
-  for (const part of unusable.values()) totalUnusable += part;
+  for (const amount of unusable.values()) totalUnusable += amount;
   for (const { shard, largestTaskShare, demandShare } of waiting) {
-    const own = unusable.get(shard) ?? 0;
-    const lack = largestTaskShare - own;
+    const ownUnusable = unusable.get(shard) ?? 0;
+    const deficit = largestTaskShare - ownUnusable;
     const target = consolidated.get(shard) ?? 0;
     if (
       largestTaskShare === 0 ||
-      lack <= 0 ||
-      totalUnusable - own < lack ||
-      target - own >= demandShare
+      deficit <= 0 ||
+      totalUnusable - ownUnusable < deficit ||
+      target - ownUnusable >= demandShare
     )
       continue;
-    let missing = lack;
-    for (const [other, part] of unusable) {
+    let missing = deficit;
+    for (const [other, amount] of unusable) {
       if (other === shard || missing === 0) continue;
-      const taken = Math.min(part, missing);
-      unusable.set(other, part - taken);
+      const taken = Math.min(amount, missing);
+      unusable.set(other, amount - taken);
       consolidated.set(other, (consolidated.get(other) ?? 0) - taken);
       missing -= taken;
     }
     unusable.set(shard, 0);
-    consolidated.set(shard, target + lack);
+    consolidated.set(shard, target + deficit);
     totalUnusable -= largestTaskShare;
   }
   return consolidated;
--- a/packages/load-spread/src/plan.ts
+++ b/packages/load-spread/src/plan.ts
@@ -1,8 +1,9 @@
 /**
- * A plan for the spans of all teams: what a planner is given, what it returns, what that costs, and
- * whether it is worth a write.
+ * Plans for the spans of all teams: the planners' input and output, the cost of a plan, and whether
+ * a plan differs enough from the current one to be written.
  *
- * No state. Planners compute with parts of a team's quota, 0 to 1; spans hold `Share`s.
+ * Holds no state. Planners compute with fractions of a team's quota, from 0 to 1; spans hold
+ * `Share`s.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { FULL_SHARE, type PlannedShare, type Share, type Span, share } from "@umberfold/spans";
@@ -11,43 +12,46 @@
 import { minimumShares } from "./minimum-shares.js";
 import type { LoadSpreadSettings } from "./settings.js";
 
-/** What each shard of a team's span should have of its quota and of its new jobs. */
+/** The planned target and weight of each shard in a team's span. */
 export type SpanPlan = ReadonlyMap<ShardId, PlannedShare>;
 
-/** One shard of one team as a planner sees it; amounts are parts of the team's quota, 0 to 1. */
+/** A planner's input for one shard of one team. Amounts are fractions, 0 to 1, of the team's quota. */
 export interface ShardPlanInput {
   readonly shard: ShardId;
-  /** The owner's label; empty while the shard has none. */
+  /** The owner's label; empty while the shard has no owner. */
   readonly owner: string;
-  /** Whether new jobs may be placed there. */
+  /** Whether new jobs may be placed in the shard. */
   readonly isActive: boolean;
-  /** The share that it has now. */
+  /** The shard's current share. */
   readonly currentFraction: number;
   readonly demandFraction: number;
   readonly minTargetFraction: number;
-  /** The whole, or for a draining shard what its jobs still need. */
+  /** 1 for an active shard; for a draining one, the larger of its demand and its minimum. */
   readonly maxTargetFraction: number;
 }
 
-/** One team as a planner sees it. */
+/** A planner's input for one team. */
 export interface TeamPlanInput {
   readonly team: TeamName;
-  /** Its open attempts and waiting tasks. */
+  /** The number of its open attempts and waiting tasks. */
   readonly taskCount: number;
   readonly shards: readonly ShardPlanInput[];
 }
 
-/** What a planner is given. */
+/** A planner's input. */
 export interface PlanInput {
   readonly teams: readonly TeamPlanInput[];
-  /** What each owner has to do now, by label; new jobs come in addition. */
+  /** Each owner's current load, by label. A plan's new jobs add to it. */
   readonly loadUnitsByOwner: ReadonlyMap<string, number>;
-  /** The part (0 to 1) of its team's new jobs that each active shard gets at least. */
+  /** The minimum fraction, from 0 to 1, of its team's new jobs that each active shard gets. */
   readonly minWeightFraction: number;
   readonly costs: Pick<LoadSpreadSettings, "loadCost" | "transferCost">;
 }
 
-/** Cost of demand that targets don't cover, for a whole quota: far above all other costs. */
+/**
+ * The cost of a full quota of demand that the targets don't cover: far above all other costs, so that
+ * demand is covered first.
+ */
 export const UNMET_DEMAND_COST = 1000;
 const NO_OWNER = "";
 
@@ -78,7 +82,7 @@
   return { team: load.team, taskCount: taskCountOf(load), shards };
 };
 
-/** The planners' input; teams without a span are left out. */
+/** Returns the planners' input; teams without a span are left out. */
 export const planInput = (
   loads: readonly TeamLoad[],
   owners: readonly OwnerLoad[],
@@ -90,18 +94,18 @@
   costs: settings,
 });
 
-/** The solver's parts are exact within this: parts are rounded to multiples of it. */
+/** Fractions are rounded to multiples of this; the solver's answers are at least as precise. */
 const FRACTION_PRECISION = 1e-9;
 const FRACTION_PRECISION_SHARE = Math.round(FRACTION_PRECISION * FULL_SHARE);
 
-/** Parts (0 to 1) of a whole as shares that add up to no more than the whole. */
-export const toShares = (parts: ReadonlyMap<ShardId, number>): ReadonlyMap<ShardId, Share> => {
+/** Converts fractions from 0 to 1 to shares that add up to at most a full share. */
+export const toShares = (fractions: ReadonlyMap<ShardId, number>): ReadonlyMap<ShardId, Share> => {
   const shares = new Map<ShardId, Share>();
   let remaining: number = FULL_SHARE;
-  for (const [shard, part] of parts) {
+  for (const [shard, fraction] of fractions) {
     const rounded = Math.min(
       remaining,
-      Math.round(part / FRACTION_PRECISION) * FRACTION_PRECISION_SHARE,
+      Math.round(fraction / FRACTION_PRECISION) * FRACTION_PRECISION_SHARE,
     );
     shares.set(shard, share(rounded));
     remaining -= rounded;
@@ -109,7 +113,7 @@
   return shares;
 };
 
-/** A span's plan from targets and weights as parts (0 to 1); a shard without a weight gets none. */
+/** Builds a span's plan from fractions, 0 to 1. A shard that is not in `weights` gets weight 0. */
 export const buildSpanPlan = (
   targets: ReadonlyMap<ShardId, number>,
   weights: ReadonlyMap<ShardId, number>,
@@ -124,12 +128,13 @@
 };
 
 /**
- * What a plan costs, by the same measure for every planner: demand that targets don't cover, the
- * load of the busiest owner once new jobs have come, as a multiple of the mean, and the shares that
- * are transferred. No unit: only comparable with other plans for the same input.
+ * Returns the cost of a plan, so that the plans of different planners can be compared. It is the
+ * weighted sum of the demand that targets don't cover, the load of the busiest owner after new jobs
+ * have been placed, as a multiple of the mean load, and the shares that are transferred. The cost has
+ * no unit: compare it only with that of other plans for the same input.
  */
 export const planCost = (input: PlanInput, plan: ReadonlyMap<TeamName, SpanPlan>): number => {
-  const units = new Map(input.loadUnitsByOwner);
+  const unitsByOwner = new Map(input.loadUnitsByOwner);
   let unmet = 0;
   let transferred = 0;
   for (const team of input.teams) {
@@ -138,26 +143,35 @@
       const { target, weight } = planned?.get(row.shard) ?? { target: 0, weight: 0 };
       unmet += Math.max(0, row.demandFraction - target / FULL_SHARE);
       transferred += Math.max(0, target / FULL_SHARE - row.currentFraction);
-      units.set(row.owner, (units.get(row.owner) ?? 0) + (team.taskCount * weight) / FULL_SHARE);
+      unitsByOwner.set(
+        row.owner,
+        (unitsByOwner.get(row.owner) ?? 0) + (team.taskCount * weight) / FULL_SHARE,
+      );
     }
   }
-  const loads = [...units].filter(([owner]) => owner !== NO_OWNER).map(([, load]) => load);
-  const mean = loads.reduce((sum, load) => sum + load, 0) / Math.max(1, loads.length);
-  const busiest = mean > 0 ? Math.max(0, ...loads) / mean : 0;
+  const units = [...unitsByOwner].filter(([owner]) => owner !== NO_OWNER).map(([, n]) => n);
+  const meanUnits = units.reduce((sum, n) => sum + n, 0) / Math.max(1, units.length);
+  const busiestRatio = meanUnits > 0 ? Math.max(0, ...units) / meanUnits : 0;
   return (
     UNMET_DEMAND_COST * unmet +
-    input.costs.loadCost * busiest +
+    input.costs.loadCost * busiestRatio +
     input.costs.transferCost * transferred
   );
 };
 
-/** Weights follow the owners' loads, which swing: only changes of this many steps are written. */
+/**
+ * A weight is written only if it changes by at least this many steps, because weights follow the
+ * owners' loads, which fluctuate.
+ */
 const MIN_WEIGHT_CHANGE_STEPS = 3;
 
 /**
- * Whether a plan differs enough from the span's present one to be written: by `step` (a part, 0 to
- * 1, of the quota), or because a shard could not run its largest waiting task under the present one,
- * or because a draining shard keeps what it no longer needs. At a steady load nothing is written.
+ * Whether a plan differs enough from the span's current one to be written. It does if a target
+ * changes by at least `step` or a weight by several steps, if a shard can't run its largest waiting
+ * task under the current plan, or if a draining shard keeps a target that it no longer needs. At a
+ * steady load nothing is written.
+ *
+ * @param step a fraction of the quota, from 0 to 1
  */
 export const isWorthWriting = (
   span: Span,
@@ -168,7 +182,7 @@
   span.entries.some((entry) => {
     const { target, weight } = plan.get(entry.shard) ?? { target: 0, weight: 0 };
     if (entry.target < (minimums.get(entry.shard) ?? 0) && target > entry.target) return true;
-    // A draining shard must come to nothing, however little is left.
+    // The target of a draining shard must reach 0, even if the rest is smaller than a step.
     if (entry.state === "draining" && target === 0 && entry.target > 0) return true;
     const weightChanged =
       Math.abs(weight - entry.weight) >= MIN_WEIGHT_CHANGE_STEPS * step * FULL_SHARE;
--- a/packages/load-spread/src/planner.ts
+++ b/packages/load-spread/src/planner.ts
@@ -1,8 +1,9 @@
 /**
- * Plans all spans: by the solver within its bounds of size and time, and greedily otherwise.
+ * Plans all spans: with the solver if the input is small enough, and with the greedy planner
+ * otherwise.
  *
- * State: counters of how the plans came about, for the log. A solver that fails, is late or answers
- * a worse plan never does harm: the greedy plan is used instead, and the case is counted.
+ * Owns counters of which planner was used, for the log. If the solver fails, exceeds its timeout or
+ * returns a plan that costs more than the greedy one, the greedy plan is used and the case counted.
  */
 import type { TeamName } from "@umberfold/ids";
 import { share } from "@umberfold/spans";
@@ -13,10 +14,10 @@
 import type { LoadSpreadSettings } from "./settings.js";
 import { solvePlan } from "./solver-planner.js";
 
-/** How often plans came from the solver (`solved`), or greedily and why (all others). */
+/** How often the solver's plans were used (`solved`), or the greedy ones, by reason (the others). */
 export interface PlannerCounters {
   readonly solved: number;
-  /** The input was beyond `solverCells`. */
+  /** The input was larger than `solverCells`. */
   readonly tooLarge: number;
   /** The solver threw, or found no valid plan. */
   readonly failed: number;
@@ -30,17 +31,20 @@
 
 /** Plans the spans of all teams. */
 export class LoadSpreadPlanner {
-  /** Totals since this planner was made; a `PlannerCounters` that only the planner changes. */
+  /** Totals since this planner was created. Only the planner changes them. */
   readonly counters = { solved: 0, tooLarge: 0, failed: 0, late: 0, noBetter: 0 };
 
-  /** `now`: milliseconds of a monotonic clock. `solver`: another one for tests. */
+  /**
+   * @param now returns milliseconds of a monotonic clock
+   * @param solver replaced in tests
+   */
   constructor(
     private readonly settings: LoadSpreadSettings,
     private readonly now: () => number,
     private readonly solver: PlanSolver = solvePlan,
   ) {}
 
-  /** The plans that are worth a write, by team. */
+  /** Returns the plans that differ enough from the current ones to be written, by team. */
   plan(loads: readonly TeamLoad[], owners: readonly OwnerLoad[]): ReadonlyMap<TeamName, SpanPlan> {
     const input = planInput(loads, owners, this.settings);
     if (input.teams.length === 0) return new Map();
@@ -48,10 +52,10 @@
     const { minShare, shareStep } = this.settings;
     const worthWriting = new Map<TeamName, SpanPlan>();
     for (const load of loads) {
-      const rough = plans.get(load.team);
-      if (load.span === undefined || rough === undefined) continue;
+      const draft = plans.get(load.team);
+      if (load.span === undefined || draft === undefined) continue;
       const minimums = minimumShares(load, load.span, minShare);
-      const plan = consolidatedPlan(rough, load);
+      const plan = consolidatedPlan(draft, load);
       if (isWorthWriting(load.span, plan, minimums, shareStep)) worthWriting.set(load.team, plan);
     }
     return worthWriting;
@@ -69,7 +73,7 @@
     return solved;
   }
 
-  /** The solver's plans; undefined if there are none, which is then counted by its reason. */
+  /** Returns the solver's plans, or undefined and counts the reason if there are none. */
   #solve(input: PlanInput): ReadonlyMap<TeamName, SpanPlan> | undefined {
     const cells = input.teams.reduce((sum, team) => sum + team.shards.length, 0);
     if (cells > this.settings.solverCells) {
@@ -81,7 +85,7 @@
     try {
       solved = this.solver(input, this.settings.solverMs);
     } catch {
-      // A fault in the solver must not stop load spreading: counted as failed below.
+      // An error in the solver must not stop load spreading; it is counted as failed below.
       solved = undefined;
     }
     if (this.now() - startedAt > this.settings.solverMs) {
@@ -93,7 +97,7 @@
   }
 }
 
-/** The plan with targets of which nothing is left unused that a waiting task would fit into. */
+/** Applies `consolidateTargets` to the targets of a plan. */
 const consolidatedPlan = (plan: SpanPlan, load: TeamLoad): SpanPlan => {
   if (load.span === undefined) return plan;
   const targets = new Map([...plan].map(([shard, { target }]) => [shard, target as number]));
--- a/packages/load-spread/src/pressure.ts
+++ b/packages/load-spread/src/pressure.ts
@@ -1,58 +1,61 @@
 /**
- * Whether a team presses on its owners enough for its span to grow, or so little that it may shrink.
+ * Decides whether a team's load on its owners is so high that its span may grow, or so low that the
+ * span may shrink.
  *
- * A state machine without state of its own: `stepPressure` is the one place where a team's pressure
- * changes. Between the bounds of `pressed` and `relaxed` lies a band in which nothing happens, so
- * that a load which swings around one bound doesn't change the span again and again.
+ * A state machine without state of its own: only `stepPressure` changes a team's pressure. Between
+ * the thresholds of `high` and `low` lies a band in which the span doesn't change (hysteresis), so
+ * that a load that fluctuates around one threshold doesn't change the span repeatedly.
  */
 import type { LoadSpreadSettings } from "./settings.js";
 
 /**
- * `pressed`: the team has at least `minTasks` tasks, some of them waiting, and an owner of its span
- * has much more to do than one outside it. `relaxed`: it has less than half of `minTasks`. `calm`:
- * neither.
+ * `high`: the team has at least `minTasks` tasks, some of them waiting, and the load of the busiest
+ * owner in its span exceeds that of the least loaded owner outside it by more than the factor
+ * `imbalance`. `low`: the team has less than half of `minTasks`. `normal`: neither.
  */
-export type PressureState = "calm" | "pressed" | "relaxed";
+export type PressureState = "normal" | "high" | "low";
 
-/** A team's pressure and since when it has been so. */
+/** A team's pressure and when it last changed. */
 export interface Pressure {
   readonly state: PressureState;
-  /** Milliseconds of a monotonic clock. */
+  /** The start of the state, or of its current waiting period, on a monotonic clock. */
   readonly sinceMs: number;
 }
 
-/** The pressure of a team that has not been looked at yet. */
-export const INITIAL_PRESSURE: Pressure = { state: "calm", sinceMs: 0 };
+/** The pressure of a team whose load has not been evaluated yet. */
+export const INITIAL_PRESSURE: Pressure = { state: "normal", sinceMs: 0 };
 
-/** What a team's pressure is judged by. */
+/** The values from which a team's pressure is computed. */
 export interface PressureInput {
-  /** Open attempts and waiting tasks. */
+  /** The number of open attempts and waiting tasks. */
   readonly taskCount: number;
   readonly waitingTaskCount: number;
-  /** Units of the busiest owner within the span. */
+  /** Load units of the busiest owner in the span. */
   readonly maxSpanOwnerUnits: number;
-  /** Units of the idlest owner outside it; infinity if there is none. */
+  /** Load units of the least loaded owner outside the span; infinity if there is none. */
   readonly minOtherOwnerUnits: number;
 }
 
-/** Below this part of `minTasks` a team is relaxed. */
+/** The pressure is low if the team has fewer tasks than this fraction of `minTasks`. */
 const LOW_PRESSURE_FRACTION = 0.5;
 
 const stateOf = (input: PressureInput, settings: LoadSpreadSettings): PressureState => {
-  if (input.taskCount < settings.minTasks * LOW_PRESSURE_FRACTION) return "relaxed";
-  const uneven = input.maxSpanOwnerUnits > input.minOtherOwnerUnits * settings.imbalance;
-  return input.taskCount >= settings.minTasks && input.waitingTaskCount > 0 && uneven
-    ? "pressed"
-    : "calm";
+  if (input.taskCount < settings.minTasks * LOW_PRESSURE_FRACTION) return "low";
+  const isImbalanced = input.maxSpanOwnerUnits > input.minOtherOwnerUnits * settings.imbalance;
+  return input.taskCount >= settings.minTasks && input.waitingTaskCount > 0 && isImbalanced
+    ? "high"
+    : "normal";
 };
 
-/** The pressure at `now` (milliseconds of a monotonic clock); a state that lasts keeps its `since`. */
+/**
+ * Returns the pressure at `nowMs`, on a monotonic clock. If the state is unchanged, `sinceMs` is too.
+ */
 export const stepPressure = (
-  before: Pressure,
+  previous: Pressure,
   input: PressureInput,
   settings: LoadSpreadSettings,
-  now: number,
+  nowMs: number,
 ): Pressure => {
   const state = stateOf(input, settings);
-  return state === before.state ? before : { state, sinceMs: now };
+  return state === previous.state ? previous : { state, sinceMs: nowMs };
 };
--- a/packages/load-spread/src/settings.ts
+++ b/packages/load-spread/src/settings.ts
@@ -1,34 +1,46 @@
-/** What operators may set of load spreading. docs/load-spread.md describes each setting's effect. */
+/** The settings of load spreading. docs/load-spread.md describes the effect of each. */
 
-/** The settings as they are after parsing: complete and within their bounds. */
+/** The parsed settings: complete and within their bounds. */
 export interface LoadSpreadSettings {
   readonly enabled: boolean;
-  /** The most shards that one team may span. */
+  /** The maximum number of active shards in the span of one team. */
   readonly maxSpan: number;
-  /** A team with fewer tasks, open and waiting, is never spread. */
+  /** The span of a team with fewer open attempts and waiting tasks never grows. */
   readonly minTasks: number;
-  /** Seconds that pressure must last before a span grows. */
+  /** Seconds for which a team's pressure must stay high before its span grows. */
   readonly growAfterS: number;
-  /** Seconds that a team must be relaxed before its span shrinks. */
+  /** Seconds for which a team's pressure must stay low before its span shrinks. */
   readonly shrinkAfterS: number;
-  /** How many times as loaded as the idlest owner the owner of a span's shard must be. */
+  /**
+   * A span grows only if the load of its busiest owner exceeds the load of the least loaded owner
+   * outside the span by more than this factor.
+   */
   readonly imbalance: number;
-  /** The part (0 to 1) of a team's quota that each active shard of its span is planned at least. */
+  /**
+   * The minimum fraction, from 0 to 1, of a team's quota and of its new jobs that is planned for each
+   * active shard of its span.
+   */
   readonly minShare: number;
-  /** Changes of a planned share below this part (0 to 1) of the quota are not written. */
+  /** Changes of a planned share below this fraction, from 0 to 1, of the quota are not written. */
   readonly shareStep: number;
-  /** Cost to the planner of the busiest owner's load, as a multiple of the mean. */
+  /** The planner's cost of the busiest owner's load, for each multiple of the mean load. */
   readonly loadCost: number;
-  /** Cost to the planner of transferring a whole quota. */
+  /** The planner's cost of transferring a full quota. */
   readonly transferCost: number;
-  /** The solver's largest input, in teams times shards. */
+  /** The maximum size of the solver's input: the number of shards, added up over all teams. */
   readonly solverCells: number;
-  /** Milliseconds that the solver may take. */
+  /** The solver's timeout in milliseconds. */
   readonly solverMs: number;
-  /** How often the leader looks at the spans, and owners at the shares they have to transfer. */
+  /**
+   * The period, in milliseconds, at which the leader checks all spans and the owners check which
+   * shares to transfer.
+   */
   readonly periodMs: number;
-  /** Whether shards give machines to others that lack their fair part while none is idle. */
+  /**
+   * Whether machines are transferred to shards that have less than their fair amount of capacity
+   * while no machine is idle.
+   */
   readonly balanceMachines: boolean;
-  /** Whether capacity beyond guarantees is divided fairly between the teams that wait. */
+  /** Whether capacity beyond guarantees is divided fairly between teams with waiting jobs. */
   readonly fairShares: boolean;
 }
--- a/packages/load-spread/src/solver-planner.ts
+++ b/packages/load-spread/src/solver-planner.ts
@@ -1,8 +1,8 @@
 /**
- * Plans spans with a linear programme, which weighs unmet demand, the busiest owner's load and the
- * transfer of shares against one another for all teams together.
+ * Plans spans with a linear program that minimizes the weighted sum of unmet demand, the busiest
+ * owner's load and the transferred shares, for all teams together.
  *
- * No state. The solver (yalps) is not trusted: an answer out of bounds counts as none.
+ * Holds no state. The solver (yalps) is not trusted: an answer that is out of bounds is discarded.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { type Constraint, equalTo, greaterEq, inRange, lessEq, type Model, solve } from "yalps";
@@ -14,24 +14,24 @@
   UNMET_DEMAND_COST,
 } from "./plan.js";
 
-/** A solution whose parts are out of their bounds, or add up to other than 1, by more is rejected. */
+/** A solution is rejected if a fraction exceeds its bounds, or their sum differs from 1, by more. */
 const SOLUTION_TOLERANCE = 1e-6;
-/** Coefficients below this are zero to the solver, and its answers are rounded to it. */
+/** The solver treats coefficients below this as 0 and rounds its answers to multiples of it. */
 const SOLVER_PRECISION = 1e-10;
-/** The variable that bounds every owner's load, in multiples of the mean load. */
+/** The variable that is an upper bound of every owner's load, as a multiple of the mean load. */
 const BUSIEST_OWNER_LOAD = "busiest";
 
 type Coefficients = Record<string, number>;
 
-/** The linear programme while it is put together. */
+/** The linear program while it is being built. */
 interface LinearProgram {
   readonly variables: Record<string, Coefficients>;
   readonly constraints: Record<string, Constraint>;
 }
 
 /**
- * For each shard: `target`, its part of the quota; `unmet`, the demand that the target doesn't
- * cover; `gain`, what is transferred to it.
+ * Adds three variables for each shard: `target`, its fraction of the quota; `unmet`, the demand that
+ * the target doesn't cover; `gain`, the fraction that is transferred to it.
  */
 const addTargets = (
   { variables, constraints }: LinearProgram,
@@ -56,7 +56,10 @@
   }
 };
 
-/** For each active shard: `weight`, its part of new jobs, which are taken for as many as now. */
+/**
+ * Adds the variable `weight` for each active shard: its fraction of the team's new jobs. The new jobs
+ * are assumed to have as many tasks as the team has now.
+ */
 const addWeights = (
   { variables, constraints }: LinearProgram,
   team: TeamPlanInput,
@@ -77,55 +80,55 @@
 };
 
 const modelOf = (input: PlanInput): Model => {
-  const programme: LinearProgram = { variables: {}, constraints: {} };
+  const program: LinearProgram = { variables: {}, constraints: {} };
   const tasks = input.teams.reduce((sum, team) => sum + team.taskCount, 0);
   const totalLoad = [...input.loadUnitsByOwner.values()].reduce((sum, units) => sum + units, tasks);
   const meanLoad = Math.max(1, totalLoad / Math.max(1, input.loadUnitsByOwner.size));
   const busiest: Coefficients = { cost: input.costs.loadCost };
   for (const [owner, units] of input.loadUnitsByOwner) {
-    programme.constraints[`load|${owner}`] = lessEq(-units / meanLoad);
+    program.constraints[`load|${owner}`] = lessEq(-units / meanLoad);
     busiest[`load|${owner}`] = -1;
   }
-  programme.variables[BUSIEST_OWNER_LOAD] = busiest;
+  program.variables[BUSIEST_OWNER_LOAD] = busiest;
   for (const [teamIndex, team] of input.teams.entries()) {
-    addTargets(programme, team, teamIndex, input.costs.transferCost);
-    addWeights(programme, team, teamIndex, input, meanLoad);
+    addTargets(program, team, teamIndex, input.costs.transferCost);
+    addWeights(program, team, teamIndex, input, meanLoad);
   }
-  return { direction: "minimize", objective: "cost", ...programme };
+  return { direction: "minimize", objective: "cost", ...program };
 };
 
-/** Between what a solution's part for a shard must lie. */
+/** The bounds of a solution's fraction for one shard. */
 interface FractionBounds {
   readonly shard: ShardId;
   readonly min: number;
   readonly max: number;
 }
 
-/** Parts of a solution that add up to 1, each within its bounds; undefined otherwise. */
+/** Reads a team's fractions of a solution; undefined if one is out of bounds or the sum is not 1. */
 const readFractions = (
   values: ReadonlyMap<string, number>,
   name: "target" | "weight",
   teamIndex: number,
   bounds: readonly FractionBounds[],
 ): ReadonlyMap<ShardId, number> | undefined => {
-  const parts = new Map<ShardId, number>();
+  const fractions = new Map<ShardId, number>();
   let sum = 0;
   for (const { shard, min, max } of bounds) {
-    const part = values.get(`${name}|${teamIndex}|${shard}`) ?? 0;
-    const inBounds = part >= min - SOLUTION_TOLERANCE && part <= max + SOLUTION_TOLERANCE;
-    // Written so that a part which is not a number is out of bounds.
+    const fraction = values.get(`${name}|${teamIndex}|${shard}`) ?? 0;
+    const inBounds = fraction >= min - SOLUTION_TOLERANCE && fraction <= max + SOLUTION_TOLERANCE;
+    // Written so that NaN counts as out of bounds.
     if (!inBounds) return undefined;
-    sum += part;
-    parts.set(shard, part);
+    sum += fraction;
+    fractions.set(shard, fraction);
   }
   if (Math.abs(sum - 1) > SOLUTION_TOLERANCE) return undefined;
-  // What strays within the tolerance must not raise the sum beyond the whole.
-  return new Map([...parts].map(([shard, part]) => [shard, part / Math.max(1, sum)]));
+  // A deviation within the tolerance must not raise the sum above 1.
+  return new Map([...fractions].map(([shard, fraction]) => [shard, fraction / Math.max(1, sum)]));
 };
 
 /**
- * A plan for each team of the input; undefined if the solver finds none within `timeoutMs` or its
- * answer is out of bounds. Throws whatever the solver throws.
+ * Returns a plan for each team of the input; undefined if the solver finds none within `timeoutMs`,
+ * or if its answer is out of bounds. Errors of the solver are not caught.
  */
 export const solvePlan = (
   input: PlanInput,
--- a/packages/load-spread/src/span-policy.ts
+++ b/packages/load-spread/src/span-policy.ts
@@ -1,8 +1,9 @@
 /**
- * Decides whether a team's span grows, shrinks, or loses a shard that is done draining.
+ * Decides whether a team's span grows, shrinks, or loses a shard that has finished draining.
  *
- * No state. At most one change of a span at a time, so that each is judged by what the one before
- * has done. Repairs go first (adopt, leave), then what switching off asks for, then pressure.
+ * Holds no state. Each call returns at most one change, so that the next decision can take its effect
+ * into account. Corrections (adopt, leave) come first, then draining because load spreading is
+ * disabled, then changes because of pressure.
  */
 import type { ShardId } from "@umberfold/ids";
 import type { Span, SpanEvent } from "@umberfold/spans";
@@ -13,7 +14,10 @@
 /** A change of a span. */
 export interface SpanDecision {
   readonly event: Extract<SpanEvent, { kind: "join" | "adopt" | "drain" | "leave" }>;
-  /** The change answers the pressure: it must last anew before the next change. */
+  /**
+   * Whether the change responds to the team's pressure. The pressure must then last for the full
+   * period again before the next such change.
+   */
   readonly restartsPressureTimer: boolean;
 }
 
@@ -25,23 +29,23 @@
     load.home,
   ];
 
-/** Owners of an active shard of the span, and owners of none. */
+/** Separates the owners of the span's active shards from all other owners. */
 const splitOwners = (
   load: TeamLoad,
   owners: readonly OwnerLoad[],
-): { readonly within: readonly OwnerLoad[]; readonly outside: readonly OwnerLoad[] } => {
+): { readonly inside: readonly OwnerLoad[]; readonly outside: readonly OwnerLoad[] } => {
   const active = activeShards(load);
-  const within = owners.filter((owner) => owner.shards.some((shard) => active.includes(shard)));
-  return { within, outside: owners.filter((owner) => !within.includes(owner)) };
+  const inside = owners.filter((owner) => owner.shards.some((shard) => active.includes(shard)));
+  return { inside, outside: owners.filter((owner) => !inside.includes(owner)) };
 };
 
-/** What a team's pressure is judged by. */
+/** Returns the values from which a team's pressure is computed. */
 export const teamPressure = (load: TeamLoad, owners: readonly OwnerLoad[]): PressureInput => {
-  const { within, outside } = splitOwners(load, owners);
+  const { inside, outside } = splitOwners(load, owners);
   return {
     taskCount: taskCountOf(load),
     waitingTaskCount: waitingTaskCountOf(load),
-    maxSpanOwnerUnits: Math.max(0, ...within.map((owner) => owner.loadUnits)),
+    maxSpanOwnerUnits: Math.max(0, ...inside.map((owner) => owner.loadUnits)),
     minOtherOwnerUnits: Math.min(
       Number.POSITIVE_INFINITY,
       ...outside.map((owner) => owner.loadUnits),
@@ -49,14 +53,20 @@
   };
 };
 
-/** The shard that a span grows into: of the idlest owner outside it, a draining one if it has any. */
-const shardOfIdlestOwner = (load: TeamLoad, owners: readonly OwnerLoad[]): ShardId | undefined => {
-  const idlest = [...splitOwners(load, owners).outside].sort(
+/**
+ * Returns a shard of the least loaded owner without an active shard in the span; a draining shard of
+ * the span is preferred if that owner has one.
+ */
+const shardOfLeastLoadedOwner = (
+  load: TeamLoad,
+  owners: readonly OwnerLoad[],
+): ShardId | undefined => {
+  const leastLoaded = [...splitOwners(load, owners).outside].sort(
     (a, b) => a.loadUnits - b.loadUnits,
   )[0];
-  if (idlest === undefined) return undefined;
-  const draining = load.span?.entries.find((entry) => idlest.shards.includes(entry.shard));
-  return draining?.shard ?? idlest.shards[0];
+  if (leastLoaded === undefined) return undefined;
+  const draining = load.span?.entries.find((entry) => leastLoaded.shards.includes(entry.shard));
+  return draining?.shard ?? leastLoaded.shards[0];
 };
 
 const hasWork = (load: TeamLoad, shard: ShardId): boolean => {
@@ -64,7 +74,10 @@
   return row !== undefined && (row.jobCount > 0 || row.openAttemptCount > 0);
 };
 
-/** A shard with jobs of the team that its span lacks: a submission came after the shard had left. */
+/**
+ * Returns a shard with jobs of the team that is not in its span. It occurs if a job was submitted to
+ * the shard after it had left the span.
+ */
 const shardToAdopt = (load: TeamLoad): ShardId | undefined => {
   const known = new Set(load.span?.entries.map((entry) => entry.shard) ?? [load.home]);
   for (const { shard } of load.shards.values())
@@ -72,19 +85,19 @@
   return undefined;
 };
 
-/** A draining shard that has neither work nor a share left. */
+/** Returns a draining shard without jobs, open attempts and share. */
 const shardToLeave = (load: TeamLoad): ShardId | undefined =>
   load.span?.entries.find(
     (entry) => entry.state === "draining" && entry.share === 0 && !hasWork(load, entry.shard),
   )?.shard;
 
-/** The active shard that joined last; never the home shard. */
+/** Returns the active shard that is last in the span, except for the home shard. */
 const shardToDrain = (load: TeamLoad): ShardId | undefined =>
   load.span?.entries
     .filter((entry) => entry.state === "active" && entry.shard !== load.span?.home)
     .at(-1)?.shard;
 
-/** The shard that joins because of pressure; undefined if the span may not grow now. */
+/** Returns the shard that joins because of high pressure; undefined if the span may not grow. */
 const shardToJoin = (
   load: TeamLoad,
   owners: readonly OwnerLoad[],
@@ -92,45 +105,49 @@
 ): ShardId | undefined => {
   const active = activeShards(load);
   if (active.length >= settings.maxSpan) return undefined;
-  // While a shard has no owner a failover is on: an owner that looks busy may only have taken over.
+  // A shard without an owner indicates a failover: the load of an owner may be high only because it
+  // has just taken over shards.
   if (!active.every((shard) => ownerOf(owners, shard) !== undefined)) return undefined;
-  return shardOfIdlestOwner(load, owners);
+  return shardOfLeastLoadedOwner(load, owners);
 };
 
 /**
- * The next change of a team's span, or undefined for none. `now` and the pressure's `since`:
- * milliseconds of one monotonic clock.
+ * Returns the next change of a team's span, or undefined if there is none. `nowMs` and the pressure's
+ * `sinceMs` are times of the same monotonic clock.
  */
 export const decideSpan = (
   load: TeamLoad,
   pressure: Pressure,
   owners: readonly OwnerLoad[],
   settings: LoadSpreadSettings,
-  now: number,
+  nowMs: number,
 ): SpanDecision | undefined => {
-  const adopted = shardToAdopt(load);
-  if (adopted !== undefined)
-    return { event: { kind: "adopt", shard: adopted }, restartsPressureTimer: false };
-  const left = shardToLeave(load);
-  if (left !== undefined)
-    return { event: { kind: "leave", shard: left }, restartsPressureTimer: false };
-  const drained = shardToDrain(load);
-  if (drained !== undefined && !settings.enabled)
-    return { event: { kind: "drain", shard: drained }, restartsPressureTimer: false };
-  const lastedS = (now - pressure.sinceMs) / 1000;
-  if (pressure.state === "relaxed" && drained !== undefined && lastedS >= settings.shrinkAfterS)
-    return { event: { kind: "drain", shard: drained }, restartsPressureTimer: true };
-  if (pressure.state !== "pressed" || !settings.enabled || lastedS < settings.growAfterS)
+  const toAdopt = shardToAdopt(load);
+  if (toAdopt !== undefined)
+    return { event: { kind: "adopt", shard: toAdopt }, restartsPressureTimer: false };
+  const toLeave = shardToLeave(load);
+  if (toLeave !== undefined)
+    return { event: { kind: "leave", shard: toLeave }, restartsPressureTimer: false };
+  const toDrain = shardToDrain(load);
+  if (toDrain !== undefined && !settings.enabled)
+    return { event: { kind: "drain", shard: toDrain }, restartsPressureTimer: false };
+  const pressureDurationS = (nowMs - pressure.sinceMs) / 1000;
+  if (
+    pressure.state === "low" &&
+    toDrain !== undefined &&
+    pressureDurationS >= settings.shrinkAfterS
+  )
+    return { event: { kind: "drain", shard: toDrain }, restartsPressureTimer: true };
+  if (pressure.state !== "high" || !settings.enabled || pressureDurationS < settings.growAfterS)
     return undefined;
-  const joining = shardToJoin(load, owners, settings);
-  return joining === undefined
+  const toJoin = shardToJoin(load, owners, settings);
+  return toJoin === undefined
     ? undefined
-    : { event: { kind: "join", shard: joining }, restartsPressureTimer: true };
+    : { event: { kind: "join", shard: toJoin }, restartsPressureTimer: true };
 };
 
 /**
- * Whether a span's record can be deleted: the home shard is alone in it, which means the same as no
- * record.
+ * Whether a span's record can be deleted: a span of the home shard alone is equivalent to no record.
  */
 export const isDissolvable = (span: Span): boolean =>
   span.entries.length === 1 && span.entries[0]?.shard === span.home;
--- a/packages/load-spread/src/transfers.ts
+++ b/packages/load-spread/src/transfers.ts
@@ -1,40 +1,41 @@
 /**
- * Decides which part of a shard's share its owner transfers to another shard. No state.
+ * Decides how much of a shard's share its owner transfers to another shard. Holds no state.
  *
- * An owner gives only what lies beyond its shard's target and what its open attempts don't use, so
- * the attempts of all shards together stay within the quota.
+ * An owner transfers only what exceeds its shard's target and is not used by open attempts, so the
+ * open attempts of all shards together stay within the quota.
  */
 import type { ShardId } from "@umberfold/ids";
 import { type Share, type Span, type SpanEvent, share } from "@umberfold/spans";
 
-/** What a transfer is decided by. */
+/** The input of `nextTransfer`. */
 export interface TransferInput {
   readonly span: Span;
-  /** The shard whose owner asks. */
+  /** The shard whose owner may transfer a part of its share. */
   readonly from: ShardId;
-  /** What its open attempts take. */
+  /** The share that the shard's open attempts use. */
   readonly usedShare: Share;
 }
 
 /**
- * The transfer that a shard's owner should make now, to the shard that lacks most of its target;
- * undefined if there is nothing to give or nobody lacks anything.
+ * Returns the transfer that a shard's owner should make now, to the shard with the largest deficit
+ * from its target; undefined if the shard has no surplus or no other shard has a deficit.
  */
 export const nextTransfer = ({
   span,
   from,
   usedShare,
 }: TransferInput): Extract<SpanEvent, { kind: "transfer" }> | undefined => {
-  const giver = span.entries.find((entry) => entry.shard === from);
-  if (giver === undefined) return undefined;
-  const spare = Math.min(giver.share - giver.target, giver.share - usedShare);
-  if (spare <= 0) return undefined;
-  let receiver: { readonly shard: ShardId; readonly lack: number } | undefined;
+  const donor = span.entries.find((entry) => entry.shard === from);
+  if (donor === undefined) return undefined;
+  const surplus = Math.min(donor.share - donor.target, donor.share - usedShare);
+  if (surplus <= 0) return undefined;
+  let receiver: { readonly shard: ShardId; readonly deficit: number } | undefined;
   for (const entry of span.entries) {
-    const lack = entry.target - entry.share;
-    if (entry !== giver && lack > (receiver?.lack ?? 0)) receiver = { shard: entry.shard, lack };
+    const deficit = entry.target - entry.share;
+    if (entry !== donor && deficit > (receiver?.deficit ?? 0))
+      receiver = { shard: entry.shard, deficit };
   }
   if (receiver === undefined) return undefined;
-  const amount = share(Math.min(spare, receiver.lack));
+  const amount = share(Math.min(surplus, receiver.deficit));
   return { kind: "transfer", from, to: receiver.shard, amount, used: usedShare };
 };
--- a/packages/spans/src/codec.ts
+++ b/packages/spans/src/codec.ts
@@ -1,9 +1,9 @@
 /**
- * The stored layout of a span's record.
+ * Encodes and parses the stored record of a span.
  *
- * `{ f: format, h: home, e: [[shard, state, share, target, weight], ...] }`; the state is an index
- * into `STATES`. A record of another format, or one that breaks an invariant of `Span`, is rejected
- * as a whole: it must never raise a limit. No state of its own.
+ * The layout is `{ f: version, h: home, e: [[shard, state, share, target, weight], ...] }`; the state
+ * is an index into `STATE_BY_CODE`. A record of another version, or one that violates an invariant of
+ * `Span`, is rejected as a whole, because it must never raise a limit. Holds no state.
  */
 import { type ShardId, shardId } from "@umberfold/ids";
 import {
@@ -15,14 +15,14 @@
   sumOfShares,
 } from "./span.js";
 
-/** Version of the layout; a record of another one is not read. */
+/** The version of the layout. Records of other versions are rejected. */
 const LAYOUT_VERSION = 1;
-/** Index is the stored number: append only. */
+/** The index is stored in records: append new states at the end, never reorder. */
 const STATE_BY_CODE: readonly EntryState[] = ["active", "draining"];
-/** Fields of a stored entry; further ones are ignored. */
+/** The number of fields of a stored entry; additional fields are ignored. */
 const ENTRY_FIELD_COUNT = 5;
 
-/** The record's value, ready to be written as JSON or CBOR. */
+/** Returns the record's value, which can be written as JSON or CBOR. */
 export const encodeSpan = (span: Span): unknown => ({
   f: LAYOUT_VERSION,
   h: span.home,
@@ -35,8 +35,8 @@
   ]),
 });
 
-const isIntegerBelow = (value: unknown, below: number): value is number =>
-  typeof value === "number" && Number.isInteger(value) && value >= 0 && value < below;
+const isIntegerBelow = (value: unknown, limit: number): value is number =>
+  typeof value === "number" && Number.isInteger(value) && value >= 0 && value < limit;
 
 const parseEntry = (row: unknown, shardCount: number): SpanEntry | undefined => {
   if (!Array.isArray(row) || row.length < ENTRY_FIELD_COUNT) return undefined;
@@ -55,7 +55,7 @@
   };
 };
 
-/** All entries of different shards; undefined if one is invalid or a shard appears twice. */
+/** Returns all entries; undefined if one is invalid or a shard appears twice. */
 const parseEntries = (
   rows: readonly unknown[],
   shardCount: number,
@@ -72,8 +72,8 @@
 };
 
 /**
- * The span of a record's value, or undefined if the value is no valid span of a cluster with this
- * many shards.
+ * Parses a record's value. Returns undefined if it is not a valid span of a cluster with this many
+ * shards.
  */
 export const parseSpan = (value: unknown, shardCount: number): Span | undefined => {
   if (typeof value !== "object" || value === null) return undefined;
--- a/packages/spans/src/span.ts
+++ b/packages/spans/src/span.ts
@@ -1,28 +1,28 @@
 /**
  * The span of a team: the shards that it uses, and the shares of its quota that they hold in escrow.
  *
- * Spans are immutable values; `stepSpan` alone makes a changed one. A span's shares never add up to
- * more than the whole quota, so owners that start tasks within their own shard's share never exceed
- * the team's quota together, whatever they know of one another.
+ * Spans are immutable values; only `stepSpan` derives a changed one. A span's shares never add up to
+ * more than the full quota. So owners that start tasks only within their own shards' shares never
+ * exceed the team's quota together, even if they don't know of each other's tasks.
  */
 import type { ShardId } from "@umberfold/ids";
 
 declare const tag: unique symbol;
-/** A part of a team's quota, in trillionths: whole numbers, so that sums are exact. */
+/** A share of a team's quota in trillionths: an integer, so that sums are exact. */
 export type Share = number & { readonly [tag]: "Share" };
 
-/** Takes a whole number of trillionths for a share, unchecked. */
+/** Brands an integer number of trillionths as a share, without a check. */
 export const share = (trillionths: number): Share => trillionths as Share;
 
 /**
- * All of a team's quota. The unit is so fine that rounding a task's part of it costs no task: a
- * third of a limit, three times, is all of it except for less than any task needs.
+ * The full quota of a team. The unit is so small that rounding never keeps a task from fitting: three
+ * times a third of a limit differs from the full limit by less than any task needs.
  */
 export const FULL_SHARE = share(1_000_000_000_000);
 
 /**
  * `active`: new jobs of the team may be placed in the shard. `draining`: they may not; the shard
- * keeps what its jobs still need, and leaves once it has no job and no share.
+ * keeps the share that its jobs still need, and leaves the span once it has no jobs and no share.
  */
 export type EntryState = "active" | "draining";
 
@@ -30,28 +30,28 @@
 export interface SpanEntry {
   readonly shard: ShardId;
   readonly state: EntryState;
-  /** What the shard's owner may use now. Only that owner ever lowers it. */
+  /** The share of the quota that the shard holds now. Only the shard's owner may lower it. */
   readonly share: Share;
   /**
-   * What the leader plans the share to be. An owner whose share is larger starts nothing beyond the
-   * target, and transfers the rest as its attempts end.
+   * The share that the leader plans for the shard. If the current share is larger, the shard's owner
+   * starts no tasks beyond the target and transfers the surplus as its attempts end.
    */
   readonly target: Share;
-  /** The part of the team's new jobs that is to be placed here; 0 while the shard drains. */
+  /** The fraction of the team's new jobs to be placed here, as a `Share`; 0 while draining. */
   readonly weight: Share;
 }
 
 /**
  * Invariants: the home shard is among the entries and active, no shard appears twice, and neither
- * the shares nor the targets add up to more than the whole.
+ * the shares nor the targets add up to more than `FULL_SHARE`.
  */
 export interface Span {
-  /** The shard of the team's jobs whose records name none. */
+  /** The shard of those jobs of the team whose records name no shard. */
   readonly home: ShardId;
   readonly entries: readonly SpanEntry[];
 }
 
-/** The span of a team that uses its home shard alone. A team without a record has this one. */
+/** Returns the span of a team that uses its home shard alone, as every team without a record does. */
 export const homeSpan = (home: ShardId): Span => ({
   home,
   entries: [
@@ -59,23 +59,23 @@
   ],
 });
 
-/** The shard's entry; undefined if the shard is not in the span. */
+/** Returns the shard's entry; undefined if the shard is not in the span. */
 export const entryOf = (span: Span, shard: ShardId): SpanEntry | undefined =>
   span.entries.find((entry) => entry.shard === shard);
 
-/** What a shard holds of the quota; 0 if it is not in the span. */
+/** Returns the shard's current share of the quota; 0 if the shard is not in the span. */
 export const shareOf = (span: Span, shard: ShardId): Share =>
   entryOf(span, shard)?.share ?? share(0);
 
-/** What a shard's owner may start tasks in: its share, but no more than its target. */
+/** Returns the share within which a shard's owner may start tasks: at most the shard's target. */
 export const usableShare = (span: Span, shard: ShardId): Share => {
   const entry = entryOf(span, shard);
   return share(entry === undefined ? 0 : Math.min(entry.share, entry.target));
 };
 
-/** The sum of shares; it may be more than the whole if they belong to no valid span. */
+/** Returns the sum of shares, which exceeds `FULL_SHARE` if they are not those of a valid span. */
 export const sumOfShares = (shares: Iterable<Share>): Share => {
   let sum = 0;
-  for (const part of shares) sum += part;
+  for (const amount of shares) sum += amount;
   return share(sum);
 };
--- a/packages/spans/src/step.ts
+++ b/packages/spans/src/step.ts
@@ -1,10 +1,10 @@
 /**
- * The state machine of a span: `stepSpan` is the one place where a span changes.
+ * The state machine of a span: spans change only in `stepSpan`.
  *
- * A shard's entry goes from absent to active (`join`) or draining (`adopt`), between active and
- * draining (`drain`, `join`), and from draining to absent (`leave`). An event that would break an
- * invariant of `Span` is refused, and changes nothing. Only a `transfer` lowers a share, and never
- * below what is in use. No state of its own.
+ * A shard's entry changes from absent to active (`join`) or draining (`adopt`), between active and
+ * draining (`drain`, `join`), and from draining to absent (`leave`). An event that would violate an
+ * invariant of `Span` is refused and changes nothing. Only a `transfer` lowers a share, and never
+ * below what open attempts use. Holds no state.
  */
 import type { ShardId } from "@umberfold/ids";
 import {
@@ -17,19 +17,19 @@
   sumOfShares,
 } from "./span.js";
 
-/** What happens to a span. */
+/** An event that changes a span. */
 export type SpanEvent =
-  /** New jobs may be placed in the shard: one more shard, or one that was draining. */
+  /** Allows new jobs in the shard, which was absent from the span or draining. */
   | { readonly kind: "join"; readonly shard: ShardId }
-  /** The shard has jobs of the team although it is not in the span. */
+  /** Adds a shard that has jobs of the team although it is not in the span; it starts draining. */
   | { readonly kind: "adopt"; readonly shard: ShardId }
-  /** No new jobs are to be placed in the shard. */
+  /** Stops placing new jobs in the shard. */
   | { readonly kind: "drain"; readonly shard: ShardId }
-  /** The shard has no job of the team left. */
+  /** Removes a draining shard that has no jobs of the team and no share left. */
   | { readonly kind: "leave"; readonly shard: ShardId }
-  /** The leader's plan of the shares, and of where new jobs are to go; shards left out keep theirs. */
+  /** Sets the leader's planned targets and weights; shards that are not in the plan keep theirs. */
   | { readonly kind: "plan"; readonly plan: ReadonlyMap<ShardId, PlannedShare> }
-  /** An owner transfers part of its shard's share; `used` is what its open attempts take. */
+  /** An owner transfers part of its shard's share; `used` is what its open attempts use. */
   | {
       readonly kind: "transfer";
       readonly from: ShardId;
@@ -38,13 +38,17 @@
       readonly used: Share;
     };
 
-/** What a plan sets of one shard's entry. */
+/** The fields of one shard's entry that a plan sets. */
 export interface PlannedShare {
   readonly target: Share;
   readonly weight: Share;
 }
 
-/** Why an event changes nothing. */
+/**
+ * Why an event was refused. `more than the whole`: the targets would exceed the full quota. `not a
+ * positive amount`: a transferred amount is not a positive integer, or a planned target or weight is
+ * not an integer from 0 to `FULL_SHARE`. `in use`: open attempts use a part of the amount.
+ */
 export type Refusal =
   | "in the span already"
   | "not in the span"
@@ -54,7 +58,7 @@
   | "not a positive amount"
   | "in use";
 
-/** The changed span, or why the event was refused. */
+/** The changed span, or the reason why the event was refused. */
 export type StepResult =
   | { readonly ok: true; readonly span: Span }
   | { readonly ok: false; readonly refusal: Refusal };
@@ -76,7 +80,7 @@
     span.entries.map((entry) => (entry.shard === shard ? { ...entry, ...change } : entry)),
   );
 
-/** A new entry starts without any share: it gets one by transfers. */
+/** A new entry has no share; it receives one by transfers. */
 const acceptedWithNewEntry = (span: Span, shard: ShardId, state: SpanEntry["state"]): StepResult =>
   accepted(span, [
     ...span.entries,
@@ -98,14 +102,14 @@
 };
 
 const applyTransfer = (span: Span, event: Extract<SpanEvent, { kind: "transfer" }>): StepResult => {
-  const giver = entryOf(span, event.from);
+  const donor = entryOf(span, event.from);
   const receiver = entryOf(span, event.to);
-  if (giver === undefined || receiver === undefined || giver === receiver)
+  if (donor === undefined || receiver === undefined || donor === receiver)
     return refused("not in the span");
   if (!Number.isInteger(event.amount) || event.amount <= 0) return refused("not a positive amount");
-  if (giver.share - event.amount < event.used) return refused("in use");
+  if (donor.share - event.amount < event.used) return refused("in use");
   const entries = span.entries.map((entry) => {
-    if (entry === giver) return { ...entry, share: share(entry.share - event.amount) };
+    if (entry === donor) return { ...entry, share: share(entry.share - event.amount) };
     if (entry === receiver) return { ...entry, share: share(entry.share + event.amount) };
     return entry;
   });
@@ -141,7 +145,7 @@
   );
 };
 
-/** Applies an event to a span; a refused one leaves it as it is. */
+/** Applies an event to a span, or returns why the event was refused. */
 export const stepSpan = (span: Span, event: SpanEvent): StepResult => {
   switch (event.kind) {
     case "join":
