--- a/packages/load-spread/src/fair-share.ts
+++ b/packages/load-spread/src/fair-share.ts
@@ -91,8 +91,8 @@
 };
 
 /**
- * Returns the batches in the order in which their tasks should be placed. Jobs of the same team keep
- * their order, and consecutive batches of one job are merged.
+ * Returns the batches in the order in which their tasks should be placed. Jobs of the same team
+ * keep their order, and consecutive batches of one job are merged.
  */
 export const fairTaskBatches = (input: TaskBatchInput): readonly TaskBatch[] => {
   const queues = teamQueues(input);
--- a/packages/load-spread/src/greedy-planner.ts
+++ b/packages/load-spread/src/greedy-planner.ts
@@ -2,15 +2,15 @@
  * Plans spans with a greedy method: the fallback if the solver fails, and the baseline that the
  * cost of the solver's plans is compared with.
  *
- * Holds no state. Like the solver's plans, a plan gives every shard at least its minimum target, and
- * its targets add up to the full quota.
+ * Holds no state. Like the solver's plans, a plan gives every shard at least its minimum target,
+ * and its targets add up to the full quota.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { buildSpanPlan, type PlanInput, type SpanPlan, type TeamPlanInput } from "./plan.js";
 
 /**
- * Returns the targets as fractions of the quota. Each shard gets its minimum; the rest is divided in
- * proportion to the demand that the minimums don't cover; what then remains is divided equally
+ * Returns the targets as fractions of the quota. Each shard gets its minimum; the rest is divided
+ * in proportion to the demand that the minimums don't cover; what then remains is divided equally
  * between the active shards.
  */
 const targetsOf = ({ shards }: TeamPlanInput): ReadonlyMap<ShardId, number> => {
--- a/packages/load-spread/src/load.ts
+++ b/packages/load-spread/src/load.ts
@@ -23,7 +23,9 @@
   readonly largestTaskShare: Share;
   /** The CPUs that open attempts and waiting tasks need, scaled down to the team's limit. */
   readonly demandCpus: number;
-  /** When the oldest waiting job was accepted, in milliseconds since 1970; infinity if none waits. */
+  /**
+   * When the oldest waiting job was accepted, in milliseconds since 1970; infinity if none waits.
+   */
   readonly oldestAcceptedAt: number;
 }
 
--- a/packages/load-spread/src/machine-balance.ts
+++ b/packages/load-spread/src/machine-balance.ts
@@ -77,8 +77,8 @@
 
 /**
  * Returns how much capacity should be transferred between which shards while no machine is idle.
- * Shards with the largest surplus over their fair amount give to those with the largest deficit; only
- * shards with waiting tasks receive.
+ * Shards with the largest surplus over their fair amount give to those with the largest deficit;
+ * only shards with waiting tasks receive.
  *
  * @param capacity the CPUs of each shard
  */
--- a/packages/load-spread/src/minimum-shares.ts
+++ b/packages/load-spread/src/minimum-shares.ts
@@ -1,6 +1,6 @@
 /**
- * Prevents fragmentation of a quota that is divided between shards: no task may wait forever because
- * each shard's share is too small for it although the shares together are large enough.
+ * Prevents fragmentation of a quota that is divided between shards: no task may wait forever
+ * because each shard's share is too small for it although the shares together are large enough.
  *
  * Holds no state. With both functions the targets of a span add up to at most the full quota.
  */
@@ -25,10 +25,10 @@
     .sort((a, b) => a.oldestAcceptedAt - b.oldestAcceptedAt);
 
 /**
- * Returns the minimum target of each shard, in units of `Share`. First each shard with waiting tasks
- * gets enough for its largest waiting task, which would wait forever otherwise, in the order of the
- * shards' oldest waiting jobs. Then each active shard gets at least `minShare`. A minimum that no
- * longer fits into the quota is skipped.
+ * Returns the minimum target of each shard, in units of `Share`. First each shard with waiting
+ * tasks gets enough for its largest waiting task, which would wait forever otherwise, in the order
+ * of the shards' oldest waiting jobs. Then each active shard gets at least `minShare`. A minimum
+ * that no longer fits into the quota is skipped.
  *
  * @param minShare a fraction of the quota, from 0 to 1
  */
@@ -52,8 +52,8 @@
 };
 
 /**
- * Returns the part of each shard's target that it can't use: without waiting tasks, all that its open
- * attempts don't use; otherwise the remainder that is too small for one more task.
+ * Returns the part of each shard's target that it can't use: without waiting tasks, all that its
+ * open attempts don't use; otherwise the remainder that is too small for one more task.
  */
 const unusableShares = (
   load: TeamLoad,
--- a/packages/load-spread/src/plan.ts
+++ b/packages/load-spread/src/plan.ts
@@ -15,7 +15,9 @@
 /** The planned target and weight of each shard in a team's span. */
 export type SpanPlan = ReadonlyMap<ShardId, PlannedShare>;
 
-/** A planner's input for one shard of one team. Amounts are fractions, 0 to 1, of the team's quota. */
+/**
+ * A planner's input for one shard of one team. Amounts are fractions, 0 to 1, of the team's quota.
+ */
 export interface ShardPlanInput {
   readonly shard: ShardId;
   /** The owner's label; empty while the shard has no owner. */
@@ -49,8 +51,8 @@
 }
 
 /**
- * The cost of a full quota of demand that the targets don't cover: far above all other costs, so that
- * demand is covered first.
+ * The cost of a full quota of demand that the targets don't cover: far above all other costs, so
+ * that demand is covered first.
  */
 export const UNMET_DEMAND_COST = 1000;
 const NO_OWNER = "";
@@ -130,8 +132,8 @@
 /**
  * Returns the cost of a plan, so that the plans of different planners can be compared. It is the
  * weighted sum of the demand that targets don't cover, the load of the busiest owner after new jobs
- * have been placed, as a multiple of the mean load, and the shares that are transferred. The cost has
- * no unit: compare it only with that of other plans for the same input.
+ * have been placed, as a multiple of the mean load, and the shares that are transferred. The cost
+ * has no unit: compare it only with that of other plans for the same input.
  */
 export const planCost = (input: PlanInput, plan: ReadonlyMap<TeamName, SpanPlan>): number => {
   const unitsByOwner = new Map(input.loadUnitsByOwner);
--- a/packages/load-spread/src/planner.ts
+++ b/packages/load-spread/src/planner.ts
@@ -14,7 +14,9 @@
 import type { LoadSpreadSettings } from "./settings.js";
 import { solvePlan } from "./solver-planner.js";
 
-/** How often the solver's plans were used (`solved`), or the greedy ones, by reason (the others). */
+/**
+ * How often the solver's plans were used (`solved`), or the greedy ones, by reason (the others).
+ */
 export interface PlannerCounters {
   readonly solved: number;
   /** The input was larger than `solverCells`. */
--- a/packages/load-spread/src/pressure.ts
+++ b/packages/load-spread/src/pressure.ts
@@ -48,7 +48,8 @@
 };
 
 /**
- * Returns the pressure at `nowMs`, on a monotonic clock. If the state is unchanged, `sinceMs` is too.
+ * Returns the pressure at `nowMs`, on a monotonic clock. If the state is unchanged, `sinceMs` is
+ * too.
  */
 export const stepPressure = (
   previous: Pressure,
--- a/packages/load-spread/src/settings.ts
+++ b/packages/load-spread/src/settings.ts
@@ -17,8 +17,8 @@
    */
   readonly imbalance: number;
   /**
-   * The minimum fraction, from 0 to 1, of a team's quota and of its new jobs that is planned for each
-   * active shard of its span.
+   * The minimum fraction, from 0 to 1, of a team's quota and of its new jobs that is planned for
+   * each active shard of its span.
    */
   readonly minShare: number;
   /** Changes of a planned share below this fraction, from 0 to 1, of the quota are not written. */
--- a/packages/load-spread/src/solver-planner.ts
+++ b/packages/load-spread/src/solver-planner.ts
@@ -14,7 +14,9 @@
   UNMET_DEMAND_COST,
 } from "./plan.js";
 
-/** A solution is rejected if a fraction exceeds its bounds, or their sum differs from 1, by more. */
+/**
+ * A solution is rejected if a fraction exceeds its bounds, or their sum differs from 1, by more.
+ */
 const SOLUTION_TOLERANCE = 1e-6;
 /** The solver treats coefficients below this as 0 and rounds its answers to multiples of it. */
 const SOLVER_PRECISION = 1e-10;
@@ -30,8 +32,8 @@
 }
 
 /**
- * Adds three variables for each shard: `target`, its fraction of the quota; `unmet`, the demand that
- * the target doesn't cover; `gain`, the fraction that is transferred to it.
+ * Adds three variables for each shard: `target`, its fraction of the quota; `unmet`, the demand
+ * that the target doesn't cover; `gain`, the fraction that is transferred to it.
  */
 const addTargets = (
   { variables, constraints }: LinearProgram,
@@ -57,8 +59,8 @@
 };
 
 /**
- * Adds the variable `weight` for each active shard: its fraction of the team's new jobs. The new jobs
- * are assumed to have as many tasks as the team has now.
+ * Adds the variable `weight` for each active shard: its fraction of the team's new jobs. The new
+ * jobs are assumed to have as many tasks as the team has now.
  */
 const addWeights = (
   { variables, constraints }: LinearProgram,
@@ -104,7 +106,9 @@
   readonly max: number;
 }
 
-/** Reads a team's fractions of a solution; undefined if one is out of bounds or the sum is not 1. */
+/**
+ * Reads a team's fractions of a solution; undefined if one is out of bounds or the sum is not 1.
+ */
 const readFractions = (
   values: ReadonlyMap<string, number>,
   name: "target" | "weight",
--- a/packages/load-spread/src/span-policy.ts
+++ b/packages/load-spread/src/span-policy.ts
@@ -1,9 +1,9 @@
 /**
  * Decides whether a team's span grows, shrinks, or loses a shard that has finished draining.
  *
- * Holds no state. Each call returns at most one change, so that the next decision can take its effect
- * into account. Corrections (adopt, leave) come first, then draining because load spreading is
- * disabled, then changes because of pressure.
+ * Holds no state. Each call returns at most one change, so that the next decision can take its
+ * effect into account. Corrections (adopt, leave) come first, then draining because load spreading
+ * is disabled, then changes because of pressure.
  */
 import type { ShardId } from "@umberfold/ids";
 import type { Span, SpanEvent } from "@umberfold/spans";
@@ -54,8 +54,8 @@
 };
 
 /**
- * Returns a shard of the least loaded owner without an active shard in the span; a draining shard of
- * the span is preferred if that owner has one.
+ * Returns a shard of the least loaded owner without an active shard in the span; a draining shard
+ * of the span is preferred if that owner has one.
  */
 const shardOfLeastLoadedOwner = (
   load: TeamLoad,
@@ -75,8 +75,8 @@
 };
 
 /**
- * Returns a shard with jobs of the team that is not in its span. It occurs if a job was submitted to
- * the shard after it had left the span.
+ * Returns a shard with jobs of the team that is not in its span. It occurs if a job was submitted
+ * to the shard after it had left the span.
  */
 const shardToAdopt = (load: TeamLoad): ShardId | undefined => {
   const known = new Set(load.span?.entries.map((entry) => entry.shard) ?? [load.home]);
@@ -112,8 +112,8 @@
 };
 
 /**
- * Returns the next change of a team's span, or undefined if there is none. `nowMs` and the pressure's
- * `sinceMs` are times of the same monotonic clock.
+ * Returns the next change of a team's span, or undefined if there is none. `nowMs` and the
+ * pressure's `sinceMs` are times of the same monotonic clock.
  */
 export const decideSpan = (
   load: TeamLoad,
@@ -147,7 +147,8 @@
 };
 
 /**
- * Whether a span's record can be deleted: a span of the home shard alone is equivalent to no record.
+ * Whether a span's record can be deleted: a span of the home shard alone is equivalent to no
+ * record.
  */
 export const isDissolvable = (span: Span): boolean =>
   span.entries.length === 1 && span.entries[0]?.shard === span.home;
--- a/packages/spans/src/codec.ts
+++ b/packages/spans/src/codec.ts
@@ -1,9 +1,9 @@
 /**
  * Encodes and parses the stored record of a span.
  *
- * The layout is `{ f: version, h: home, e: [[shard, state, share, target, weight], ...] }`; the state
- * is an index into `STATE_BY_CODE`. A record of another version, or one that violates an invariant of
- * `Span`, is rejected as a whole, because it must never raise a limit. Holds no state.
+ * The layout is `{ f: version, h: home, e: [[shard, state, share, target, weight], ...] }`; the
+ * state is an index into `STATE_BY_CODE`. A record of another version, or one that violates an
+ * invariant of `Span`, is rejected as a whole, because it must never raise a limit. Holds no state.
  */
 import { type ShardId, shardId } from "@umberfold/ids";
 import {
--- a/packages/spans/src/index.ts
+++ b/packages/spans/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The span of a team: the shards that it uses. Its quota (limit and guarantee) is divided into escrow
- * shares: each shard of the span has a share, and the shard's owner opens attempts within that share
- * without coordinating with other controllers.
+ * The span of a team: the shards that it uses. Its quota (limit and guarantee) is divided into
+ * escrow shares: each shard of the span has a share, and the shard's owner opens attempts within
+ * that share without coordinating with other controllers.
  */
 export { encodeSpan, parseSpan } from "./codec.js";
 export {
--- a/packages/spans/src/span.ts
+++ b/packages/spans/src/span.ts
@@ -1,9 +1,10 @@
 /**
- * The span of a team: the shards that it uses, and the shares of its quota that they hold in escrow.
+ * The span of a team: the shards that it uses, and the shares of its quota that they hold in
+ * escrow.
  *
- * Spans are immutable values; only `stepSpan` derives a changed one. A span's shares never add up to
- * more than the full quota. So owners that start tasks only within their own shards' shares never
- * exceed the team's quota together, even if they don't know of each other's tasks.
+ * Spans are immutable values; only `stepSpan` derives a changed one. A span's shares never add up
+ * to more than the full quota. So owners that start tasks only within their own shards' shares
+ * never exceed the team's quota together, even if they don't know of each other's tasks.
  */
 import type { ShardId } from "@umberfold/ids";
 
@@ -15,8 +16,8 @@
 export const share = (trillionths: number): Share => trillionths as Share;
 
 /**
- * The full quota of a team. The unit is so small that rounding never keeps a task from fitting: three
- * times a third of a limit differs from the full limit by less than any task needs.
+ * The full quota of a team. The unit is so small that rounding never keeps a task from fitting:
+ * three times a third of a limit differs from the full limit by less than any task needs.
  */
 export const FULL_SHARE = share(1_000_000_000_000);
 
@@ -33,8 +34,8 @@
   /** The share of the quota that the shard holds now. Only the shard's owner may lower it. */
   readonly share: Share;
   /**
-   * The share that the leader plans for the shard. If the current share is larger, the shard's owner
-   * starts no tasks beyond the target and transfers the surplus as its attempts end.
+   * The share that the leader plans for the shard. If the current share is larger, the shard's
+   * owner starts no tasks beyond the target and transfers the surplus as its attempts end.
    */
   readonly target: Share;
   /** The fraction of the team's new jobs to be placed here, as a `Share`; 0 while draining. */
@@ -51,7 +52,9 @@
   readonly entries: readonly SpanEntry[];
 }
 
-/** Returns the span of a team that uses its home shard alone, as every team without a record does. */
+/**
+ * Returns the span of a team that uses its home shard alone, as every team without a record does.
+ */
 export const homeSpan = (home: ShardId): Span => ({
   home,
   entries: [
--- a/packages/spans/src/step.ts
+++ b/packages/spans/src/step.ts
@@ -46,8 +46,8 @@
 
 /**
  * Why an event was refused. `more than the whole`: the targets would exceed the full quota. `not a
- * positive amount`: a transferred amount is not a positive integer, or a planned target or weight is
- * not an integer from 0 to `FULL_SHARE`. `in use`: open attempts use a part of the amount.
+ * positive amount`: a transferred amount is not a positive integer, or a planned target or weight
+ * is not an integer from 0 to `FULL_SHARE`. `in use`: open attempts use a part of the amount.
  */
 export type Refusal =
   | "in the span already"
--- a/src/coordination/load-spread/load-spread.ts
+++ b/src/coordination/load-spread/load-spread.ts
@@ -1,10 +1,11 @@
 /**
- * Load spreading, wired to the records: the leader changes and plans spans, each owner hands on what
- * its shards have beyond their targets. While it is off, spans of an earlier time are drained home.
- * The facade over the parts in this folder; it is loaded on demand.
+ * Load spreading, connected to the records: the leader changes and plans spans, and each owner
+ * transfers what its shards' shares exceed their targets by. While load spreading is disabled,
+ * existing spans are drained until only the home shard is left. This class is the facade of the
+ * modules in this folder; it is loaded on demand.
  *
- * Owns no state beside its parts. What must hold: the shares of a span never add up to more than the
- * whole quota.
+ * Owns no state except its parts. Invariant: the shares of a span never add up to more than the
+ * full quota.
  */
 import type { JobId, ShardId, TeamName } from "@umberfold/ids";
 import { chooseShard, fairTaskBatches, type LoadSpreadSettings } from "@umberfold/load-spread";
@@ -27,7 +28,7 @@
 
   /**
    * @param owner writes records of the shards owned here
-   * @param transferMachines asks the machines' owners to hand them over once they are empty
+   * @param transferMachines asks the owners of the machines to transfer them once they are empty
    */
   constructor(
     private readonly ctx: ControllerContext,
@@ -41,13 +42,13 @@
     this.#transfers = new QuotaTransfers(ctx, membership, owner);
   }
 
-  /** What other parts may ask while it is on. */
+  /** Returns the decisions that other parts use while load spreading is enabled. */
   hooks(): LoadSpreadHooks {
     const placeJob = (spec: JobSpec): ShardId | null => this.#placeJob(spec.team, spec.id);
     return this.settings.fairShares ? { placeJob, fairTaskBatches } : { placeJob };
   }
 
-  /** The leader's part, if this controller leads, and then an owner's part. */
+  /** Does the leader's work if this controller leads, and then that of a shard owner. */
   async tick(): Promise<void> {
     if (!this.ctx.isReplicaSynced) return;
     if (this.#spans.writable && this.ctx.replica.teams !== undefined) await this.#leader.lead();
@@ -55,7 +56,7 @@
     await this.#transfers.transferSurplus();
   }
 
-  /** Spans as they are, and counts since the start, for the log event `stats`. */
+  /** Returns the current spans, and counts since the start, for the log event `stats`. */
   stats(): Readonly<Record<string, unknown>> {
     const { replica } = this.ctx;
     const spans = Object.fromEntries(
--- a/src/coordination/load-spread/local-shard-writer.ts
+++ b/src/coordination/load-spread/local-shard-writer.ts
@@ -1,14 +1,14 @@
 /**
- * What load spreading needs of the owner of shards on the same controller. `ShardOwner` satisfies
- * it; being structural, it keeps load spreading independent of an owner's rounds.
+ * The interface to the shard owner on the same controller, as far as load spreading needs it.
+ * `ShardOwner` satisfies it structurally, so load spreading does not depend on the code of rounds.
  */
 import type { Transaction } from "../../protocol/store.js";
 
-/** Writes records of the shards owned here. */
+/** Writes records of the shards that this controller owns. */
 export interface LocalShardWriter {
   /**
-   * Writes what `decide` returns while no round is in flight, so that what the records show as open
-   * is all that is. False if it has to wait, or nothing was written.
+   * Writes the transaction that `decide` returns, while no round is in flight, so that the records
+   * show all open attempts. Returns false if a round is in flight or nothing was written.
    */
   writeBetweenRounds(decide: () => Transaction | undefined): Promise<boolean>;
 }
--- a/src/coordination/load-spread/machine-balance.ts
+++ b/src/coordination/load-spread/machine-balance.ts
@@ -1,8 +1,8 @@
 /**
- * Machines that shards should give to others that lack their fair part.
+ * Chooses machines to transfer to shards that have less than their fair amount of capacity.
  *
- * Owns the transfers asked for lately. What must hold: nothing is stopped for them. An owner that is
- * asked for a machine starts nothing more there, and hands it over once it is empty.
+ * Owns the transfers requested recently. Invariant: no attempt is stopped for a transfer. An owner
+ * that is asked for a machine starts no more tasks there and transfers it once it is empty.
  */
 import { type MachineId, type MonotonicMs, monotonicMs, type ShardId } from "@umberfold/ids";
 import { planCapacityTransfers, type TeamLoad } from "@umberfold/load-spread";
@@ -10,7 +10,7 @@
 import { monotonicNow } from "../../transport/clock.js";
 import type { ControllerContext } from "../context.js";
 
-/** How long an owner may take to empty a machine before another is asked for. */
+/** How long a requested machine counts as in transfer before another may be requested instead. */
 const TRANSFER_TIMEOUT_MS = 10_000;
 
 interface PendingTransfer {
@@ -18,7 +18,7 @@
   readonly timeoutAt: MonotonicMs;
 }
 
-/** A machine that could go to another shard. */
+/** A machine that could be transferred to another shard. */
 interface TransferCandidate {
   readonly id: MachineId;
   readonly shard: ShardId;
@@ -26,13 +26,13 @@
   readonly openAttempts: number;
 }
 
-/** Chooses the machines that go to another shard, and remembers those asked for. */
+/** Chooses the machines to transfer to other shards, and remembers the requested ones. */
 export class MachineBalance {
   readonly #pending = new Map<MachineId, PendingTransfer>();
 
   constructor(private readonly ctx: ControllerContext) {}
 
-  /** The transfers to ask for now; each counts as under way until it times out. */
+  /** Returns the transfers to request now. Each counts as pending until it times out. */
   dueTransfers(loads: readonly TeamLoad[]): readonly MachineTransferRequest[] {
     const now = monotonicNow();
     for (const [id, { timeoutAt }] of this.#pending) if (timeoutAt <= now) this.#pending.delete(id);
@@ -52,7 +52,7 @@
     return requests;
   }
 
-  /** Machines that are up, those with least on them first. */
+  /** Returns the machines that are up, those with the fewest open attempts first. */
   #candidates(): readonly TransferCandidate[] {
     const { replica } = this.ctx;
     const cpusOf = new Map(replica.machineTypes?.value.map((t) => [t.name, t.capacity.cpus]));
@@ -65,7 +65,7 @@
     return candidates.sort((a, b) => a.openAttempts - b.openAttempts);
   }
 
-  /** Processors by shard; a machine that was asked for counts where it goes. */
+  /** Returns the CPUs of each shard. A requested machine counts for its destination. */
   #cpusByShard(candidates: readonly TransferCandidate[]): ReadonlyMap<ShardId, number> {
     const cpusByShard = new Map<ShardId, number>();
     for (const shard of this.ctx.replica.shardOwners.keys()) cpusByShard.set(shard, 0);
--- a/src/coordination/load-spread/owner-loads.ts
+++ b/src/coordination/load-spread/owner-loads.ts
@@ -1,11 +1,14 @@
-/** What each owner has to do over all its shards. Pure, read from the replica. */
+/** Computes the load of each owner over all its shards from the replica. Holds no state. */
 import type { ControllerLabel, ShardId } from "@umberfold/ids";
 import type { OwnerLoad } from "@umberfold/load-spread";
 import { waitingTaskCount } from "../../storage/records.js";
 import type { Replica } from "../../storage/replica.js";
 import type { ControllerContext } from "../context.js";
 
-/** Waiting tasks beyond this say nothing more about an owner's load. */
+/**
+ * At most this many waiting tasks of a shard count, because a longer backlog does not mean that its
+ * owner has more load.
+ */
 const MAX_WAITING_TASK_UNITS = 1000;
 
 const machineCountByShard = (replica: Replica): ReadonlyMap<ShardId, number> => {
@@ -15,7 +18,7 @@
   return counts;
 };
 
-/** Open attempts and waiting tasks of one shard, each a unit of work. */
+/** Returns the load units of one shard's tasks: one for each open attempt and each waiting task. */
 const taskUnits = (replica: Replica, shard: ShardId): number => {
   const { index } = replica.shardJobs(shard);
   let open = 0;
@@ -26,7 +29,10 @@
   return open + Math.min(waiting, MAX_WAITING_TASK_UNITS);
 };
 
-/** Machines, open attempts and waiting tasks of each owner's shards; owners without any are left out. */
+/**
+ * Returns the load of each owner: machines, open attempts and waiting tasks of its shards.
+ * Controllers that own no shard are left out.
+ */
 export const ownerLoads = ({ replica }: ControllerContext): readonly OwnerLoad[] => {
   const machines = machineCountByShard(replica);
   const loads = new Map<ControllerLabel, { owner: string; shards: ShardId[]; loadUnits: number }>();
@@ -34,7 +40,7 @@
     loads.set(label, { owner: label, shards: [], loadUnits: 0 });
   for (const [shard, record] of replica.shardOwners) {
     const load = loads.get(record.value.label);
-    // A shard whose owner is no member waits for its failover.
+    // A shard whose owner is no longer a member awaits its failover.
     if (load === undefined) continue;
     load.shards.push(shard);
     load.loadUnits += (machines.get(shard) ?? 0) + taskUnits(replica, shard);
--- a/src/coordination/load-spread/quota-transfers.ts
+++ b/src/coordination/load-spread/quota-transfers.ts
@@ -1,9 +1,9 @@
 /**
- * An owner's part of load spreading: what the shards owned here have of a team's quota beyond their
- * targets goes to the shards that lack it.
+ * The shard owner's part of load spreading: transfers what the shares of the shards owned here
+ * exceed their targets by to shards whose shares are below their targets.
  *
- * Owns a count alone; spans are records. What must hold: only a shard's owner lowers its share, on
- * condition that it still owns the shard, and never below what its open attempts use.
+ * Owns only a count; spans are records. Invariant: only a shard's owner lowers the shard's share,
+ * on condition that it still owns the shard, and never below what the open attempts use.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { nextTransfer } from "@umberfold/load-spread";
@@ -15,18 +15,18 @@
 import type { LocalShardWriter } from "./local-shard-writer.js";
 import { quotaFraction, quotaShare } from "./quota-share.js";
 
-/** Hands quota on between the shards of a span. */
+/** Transfers quota between the shards of a span. */
 export class QuotaTransfers {
   #written = 0;
 
-  /** @param owner writes between its rounds, when the records show all that is open */
+  /** @param owner writes between its rounds, when the records show all open attempts */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     private readonly owner: LocalShardWriter,
   ) {}
 
-  /** Transfers written since the start. */
+  /** The number of transfers written since the start. */
   get writtenCount(): number {
     return this.#written;
   }
@@ -41,7 +41,7 @@
       }
   }
 
-  /** The next transfer out of a shard, decided when it is about to be written. */
+  /** Decides the next transfer from a shard, immediately before it is written. */
   #transfer(team: TeamName, shard: ShardId): Transaction | undefined {
     const span = this.ctx.replica.spans.records.get(team)?.value;
     if (span === undefined || !this.membership.ownsShard(shard)) return undefined;
@@ -64,7 +64,7 @@
     };
   }
 
-  /** What the team's open attempts in a shard take of its quota. */
+  /** Returns the share of the quota that the team's open attempts in a shard use. */
   #usedShare(team: TeamName, shard: ShardId): Share {
     const settings = this.ctx.teams.get(team);
     const used = this.ctx.replica.shardJobs(shard).index.teamUse().get(team);
--- a/src/coordination/load-spread/span-leader.ts
+++ b/src/coordination/load-spread/span-leader.ts
@@ -1,9 +1,9 @@
 /**
- * The leader's part of load spreading: changes and plans the spans of busy teams, and asks for
- * machines where a shard lacks its fair part.
+ * The leader's part of load spreading: changes and plans the spans of busy teams, and requests
+ * machine transfers to shards that have less than their fair amount of capacity.
  *
- * Owns the pressure on each team, which begins anew with each term of leadership. What must hold: a
- * team whose span is changed or can't be read is not planned for in the same look.
+ * Owns the pressure of each team, which is reset when this controller stops leading. Invariant: a
+ * team whose span was just changed or repaired is not planned in the same pass.
  */
 import type { TeamName } from "@umberfold/ids";
 import {
@@ -28,7 +28,7 @@
 import type { SpanRecords } from "./span-records.js";
 import { teamLoads } from "./team-loads.js";
 
-/** Changes and plans spans, on the active leader alone. */
+/** Changes and plans spans. Runs only on the active leader. */
 export class SpanLeader {
   readonly #planner: LoadSpreadPlanner;
   readonly #pressures = new Map<TeamName, Pressure>();
@@ -36,8 +36,8 @@
   #machinesMoved = 0;
 
   /**
-   * @param spans the records of spans
-   * @param transferMachines asks the machines' owners to hand them over once they are empty
+   * @param spans writes the records of spans
+   * @param transferMachines asks the owners of the machines to transfer them once they are empty
    */
   constructor(
     private readonly ctx: ControllerContext,
@@ -49,30 +49,33 @@
     this.#balance = new MachineBalance(ctx);
   }
 
-  /** Machines whose transfer was asked for, since the start. */
+  /** The number of machine transfers requested since the start. */
   get machinesMoved(): number {
     return this.#machinesMoved;
   }
 
-  /** How often each way of planning was used, since the start. */
+  /** How often each planner was used, and why, since the start. */
   get plannerCounters(): PlannerCounters {
     return this.#planner.counters;
   }
 
-  /** One look at all teams: machines, then changes of spans, then plans for the settled ones. */
+  /**
+   * Checks all teams once: requests machine transfers, then changes spans, then plans the spans
+   * that did not change.
+   */
   async lead(): Promise<void> {
     const loads = teamLoads(this.ctx);
     const owners = ownerLoads(this.ctx);
     this.#balanceMachines(loads);
-    const settled: TeamLoad[] = [];
-    for (const load of loads) if (!(await this.#changeSpan(load, owners))) settled.push(load);
+    const unchanged: TeamLoad[] = [];
+    for (const load of loads) if (!(await this.#changeSpan(load, owners))) unchanged.push(load);
     await this.#plan(
-      settled.filter((load) => load.span !== undefined),
+      unchanged.filter((load) => load.span !== undefined),
       owners,
     );
   }
 
-  /** Forgets the pressure on teams, once this controller doesn't lead. */
+  /** Resets the pressure of all teams because this controller doesn't lead. */
   stopLeading(): void {
     this.#pressures.clear();
   }
@@ -86,7 +89,9 @@
     this.transferMachines(transfers);
   }
 
-  /** True if the team's span was changed, or can't be read: nothing is planned for it now. */
+  /**
+   * Returns true if the team's span was changed or is unreadable, so that it must not be planned.
+   */
   async #changeSpan(load: TeamLoad, owners: readonly OwnerLoad[]): Promise<boolean> {
     const { team, home } = load;
     const record = this.ctx.replica.spans.records.get(team);
--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -1,9 +1,9 @@
 /**
  * The leader's writes of spans.
  *
- * Owns counts alone; spans are records. What must hold: none of these writes lowers a share, since
- * that is for the shard's owner alone; the repair of an unreadable record may, and fences the owners
- * off first.
+ * Owns only counts; spans are records. Invariant: none of these writes lowers a share, because only
+ * the shard's owner may do so. The exception is the repair of an unreadable record, which may lower
+ * shares and fences the owners first.
  */
 import type { Revision, ShardId, TeamName } from "@umberfold/ids";
 import type { TeamLoad } from "@umberfold/load-spread";
@@ -24,37 +24,37 @@
 import type { LeaderRecords } from "../fleet/leader-records.js";
 import { teamLoads } from "./team-loads.js";
 
-/** A shard with the record that says who owns it. */
+/** A shard and its ownership record. */
 type OwnedShard = readonly [ShardId, Versioned<ControllerId>];
 
-/** How far the repair of an unreadable span has come, as the shards' records show. */
+/** The progress of the repair of an unreadable span, according to the shards' ownership records. */
 type RepairStage =
-  /** Owners of these shards may act without having seen the unreadable record. */
+  /** Owners of these shards may still act without having seen the unreadable record. */
   | { readonly kind: "unfenced"; readonly shards: readonly OwnedShard[] }
-  /** All are fenced, but the replica isn't synced up to the fence. */
+  /** All owners are fenced, but the replica is not yet synced up to the last fencing write. */
   | { readonly kind: "awaiting_sync" }
-  /** What is open now is all that can be: the record may be replaced. */
+  /** The replica shows all attempts that can be open, so the record may be replaced. */
   | { readonly kind: "fenced" };
 
 type SpanWrite = { readonly kind: "put"; readonly value: unknown } | { readonly kind: "delete" };
 
-/** Writes spans under the leader's term. */
+/** Writes spans on condition that the leader's term still holds. */
 export class SpanRecords {
-  /** Writes of each kind, and changes that the span itself refused, since the start. */
+  /** Counts, since the start, of each kind of write and of changes that `stepSpan` refused. */
   readonly counters = { changes: 0, refused: 0, dissolved: 0, repaired: 0 };
 
-  /** @param records writes under the leader's term */
+  /** @param records writes on condition that the leader's term still holds */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly records: LeaderRecords,
   ) {}
 
-  /** Whether this controller leads, and knows the records. */
+  /** Whether this controller leads and its replica is synced. */
   get writable(): boolean {
     return this.records.writable;
   }
 
-  /** True if the span was changed so. */
+  /** Applies the event to the team's span. Returns true if the changed span was written. */
   async apply(team: TeamName, span: Span, event: SpanEvent): Promise<boolean> {
     const stepped = stepSpan(span, event);
     if (!stepped.ok) {
@@ -76,7 +76,7 @@
     return true;
   }
 
-  /** Deletes the record of a span that has come down to its home shard. */
+  /** Deletes the record of a span that consists of its home shard alone. */
   async dissolve(team: TeamName): Promise<void> {
     if (!(await this.#write(team, { kind: "delete" }))) return;
     this.counters.dissolved++;
@@ -84,49 +84,49 @@
   }
 
   /**
-   * Replaces a record that can't be read, in steps, one a call. First each shard's record is written
-   * anew, with the owner that it has: whoever owns a shard acts on nothing before it has seen that
-   * write, and so the unreadable record, under which nothing of the team is started. What is open
-   * once all that has been seen is all that can be: each shard keeps that much, the home shard gets
-   * the rest.
+   * Replaces an unreadable record; each call does one step. First each shard's ownership record is
+   * rewritten with its current owner. An owner starts nothing until it has seen that write and,
+   * with it, the earlier unreadable record, and under an unreadable record it starts no task of the
+   * team. Once the replica is synced up to these writes, it shows all attempts that can be open.
+   * Then each shard keeps what its open attempts use, and the home shard gets the rest.
    *
-   * @param unreadable the revision of the record that can't be read
+   * @param unreadableRevision the revision of the unreadable record
    */
-  async repair(team: TeamName, unreadable: Revision): Promise<void> {
-    const stage = this.#repairStage(unreadable);
+  async repair(team: TeamName, unreadableRevision: Revision): Promise<void> {
+    const stage = this.#repairStage(unreadableRevision);
     if (stage.kind === "unfenced") {
       await this.#fence(team, stage.shards);
       return;
     }
     if (stage.kind === "awaiting_sync") return;
-    // Added up now: an earlier look may lack what was started before the fence.
-    const load = teamLoads(this.ctx).find((one) => one.team === team);
+    // Computed only now, because earlier loads may lack attempts that were opened before the fence.
+    const load = teamLoads(this.ctx).find((candidate) => candidate.team === team);
     if (load !== undefined) await this.#replace(load);
   }
 
-  #repairStage(unreadable: Revision): RepairStage {
+  #repairStage(unreadableRevision: Revision): RepairStage {
     const { shardOwners, syncedRevision } = this.ctx.replica;
-    const unfenced = [...shardOwners].filter(([, { rev }]) => rev <= unreadable);
+    const unfenced = [...shardOwners].filter(([, { rev }]) => rev <= unreadableRevision);
     if (unfenced.length > 0) return { kind: "unfenced", shards: unfenced };
-    const fencedBy = Math.max(...[...shardOwners.values()].map(({ rev }) => rev));
-    return { kind: syncedRevision < fencedBy ? "awaiting_sync" : "fenced" };
+    const lastFenceRevision = Math.max(...[...shardOwners.values()].map(({ rev }) => rev));
+    return { kind: syncedRevision < lastFenceRevision ? "awaiting_sync" : "fenced" };
   }
 
   async #fence(team: TeamName, shards: readonly OwnedShard[]): Promise<void> {
-    const fencedNow = shards.slice(0, this.ctx.settings.state.txnOps);
+    const batch = shards.slice(0, this.ctx.settings.state.txnOps);
     const span = keys.span(team);
     const written = await this.records.write({
       conditions: [
         { key: span, rev: this.ctx.replica.revisionOf(span) },
-        ...fencedNow.map(([shard, { rev }]) => ({ key: keys.shard(shard), rev })),
+        ...batch.map(([shard, { rev }]) => ({ key: keys.shard(shard), rev })),
       ],
-      ops: fencedNow.map(([shard, { value }]) => ({
+      ops: batch.map(([shard, { value }]) => ({
         kind: "put" as const,
         key: keys.shard(shard),
         value: encodeControllerId(value),
       })),
     });
-    if (written) this.ctx.log.info("unreadable span fenced", { team, shards: fencedNow.length });
+    if (written) this.ctx.log.info("unreadable span fenced", { team, shards: batch.length });
   }
 
   async #replace(load: TeamLoad): Promise<void> {
@@ -149,7 +149,9 @@
   }
 }
 
-/** A span in which each shard keeps what its open attempts use, and the home shard has the rest. */
+/**
+ * Returns a span in which each shard has what its open attempts use; the home shard has the rest.
+ */
 const spanOfOpenAttempts = (load: TeamLoad): Span => {
   const others = [...load.shards.values()].filter(({ shard }) => shard !== load.home);
   const usedElsewhere = sumOfShares(others.map(({ usedShare }) => usedShare));
--- a/src/coordination/load-spread/team-loads.ts
+++ b/src/coordination/load-spread/team-loads.ts
@@ -1,4 +1,4 @@
-/** What each team has in each shard: jobs, open attempts, waiting tasks. Pure, read from the replica. */
+/** Computes each team's jobs, open attempts and waiting tasks in each shard from the replica. */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import type { ShardLoad, TeamLoad } from "@umberfold/load-spread";
 import type { Team } from "../../config/settings.js";
@@ -7,7 +7,7 @@
 import type { ControllerContext } from "../context.js";
 import { quotaFraction, quotaShare } from "./quota-share.js";
 
-/** Sums over one team's jobs in one shard; fractions are of the team's quota. */
+/** Sums over one team's jobs in one shard. Fractions are fractions of the team's quota. */
 interface TeamSums {
   jobCount: number;
   openAttemptCount: number;
@@ -30,7 +30,7 @@
   oldestAcceptedAt: Number.POSITIVE_INFINITY,
 });
 
-/** What each team has in one shard. */
+/** Returns the sums of each team in one shard. */
 const sumsOfShard = (
   index: JobIndex,
   teams: ReadonlyMap<TeamName, Team>,
@@ -78,7 +78,7 @@
   oldestAcceptedAt: sums.oldestAcceptedAt,
 });
 
-/** What a team wants beyond its limit it can't have: less of it in each shard alike. */
+/** Scales a team's CPU demand in all shards down by the same factor if it exceeds the limit. */
 const scaledToLimit = (
   loads: ReadonlyMap<ShardId, ShardLoad> | undefined,
   cpusMax: number,
@@ -93,7 +93,9 @@
   );
 };
 
-/** What each team of the settings has, over all shards; reads the pages of all of them. */
+/**
+ * Returns the load of each configured team over all shards; this reads the job pages of all shards.
+ */
 export const teamLoads = ({ replica, teams }: ControllerContext): readonly TeamLoad[] => {
   const shardsByTeam = new Map<TeamName, Map<ShardId, ShardLoad>>();
   for (const [shard, { index }] of replica.allShardJobs())
@@ -102,13 +104,13 @@
       shardsByTeam.set(team, loads);
       loads.set(shard, shardLoad(shard, sums));
     }
-  const teamLoadsFound: TeamLoad[] = [];
+  const loadsOfTeams: TeamLoad[] = [];
   for (const [team, { cpusMax }] of teams) {
     const home = replica.teams?.value.get(team);
     if (home === undefined) continue;
     const span = replica.spans.records.get(team)?.value;
     const shards = scaledToLimit(shardsByTeam.get(team), cpusMax);
-    teamLoadsFound.push({ team, home, span, shards });
+    loadsOfTeams.push({ team, home, span, shards });
   }
-  return teamLoadsFound;
+  return loadsOfTeams;
 };
