--- a/packages/load-spread/test/fixtures.ts
+++ b/packages/load-spread/test/fixtures.ts
@@ -1,4 +1,4 @@
-/** Teams, spans and loads that the tests of this package share. */
+/** Teams, spans and loads that several tests of this package use. */
 import assert from "node:assert/strict";
 import { type ShardId, shardId, teamName } from "@umberfold/ids";
 import {
@@ -16,7 +16,7 @@
 export const OTHER = shardId(1);
 export const THIRD = shardId(2);
 
-/** Load spreading switched on, with bounds that the tests' loads pass or not. */
+/** Enabled load spreading; the thresholds are chosen to match the loads in the tests. */
 export const SETTINGS: LoadSpreadSettings = {
   enabled: true,
   maxSpan: 3,
@@ -35,13 +35,13 @@
   fairShares: true,
 };
 
-/** Shares are given in millionths of a quota. */
+/** The tests state shares in millionths of a quota. */
 export const MILLIONTH = FULL_SHARE / 1_000_000;
-/** Shares that differ by less were only rounded. */
+/** Differences between shares up to this are rounding errors. */
 export const ROUNDING = FULL_SHARE * 1e-8;
 export const millionths = (count: number): Share => share(count * MILLIONTH);
 
-/** What the team has in a shard: nothing but what is given. */
+/** A team's load in a shard: 0 except for the given values. */
 export const shardLoad = (shard: ShardId, change: Partial<ShardLoad> = {}): ShardLoad => ({
   shard,
   jobCount: 0,
@@ -62,11 +62,11 @@
   shards: new Map(rows.map((row) => [row.shard, row])),
 });
 
-/** Owners `n-0`, `n-1`, ..., each of the shard with its number, and what they have to do. */
+/** Owners `n-0`, `n-1`, ... with these load units; each owns the shard with the same number. */
 export const owners = (...units: readonly number[]): readonly OwnerLoad[] =>
   units.map((ownUnits, i) => ({ owner: `n-${i}`, shards: [shardId(i)], loadUnits: ownUnits }));
 
-/** The home shard and these, all active; the home shard has all of the quota. */
+/** A span of the home shard and these shards, all active. The home shard has the full quota. */
 export const spanOf = (...shards: readonly ShardId[]): Span => {
   let span = homeSpan(HOME);
   for (const shard of shards) {
@@ -77,13 +77,13 @@
   return span;
 };
 
-/** Many waiting tasks in the home shard. */
+/** A load with many waiting tasks in the home shard. */
 export const burst = shardLoad(HOME, { jobCount: 50, openAttemptCount: 20, waitingTaskCount: 100 });
 
-/** A planner's input for one team and owners with these units. */
-export const planned = (load: TeamLoad, ...units: readonly number[]) =>
+/** The planners' input for one team and owners with these load units. */
+export const planInputOf = (load: TeamLoad, ...units: readonly number[]) =>
   planInput([load], owners(...units), SETTINGS);
 
-/** A shard's planned target and weight, in millionths. */
+/** An entry of a plan: a shard's target and weight in millionths. */
 export const plan = (shard: ShardId, target: number, weight: number) =>
   [shard, { target: millionths(target), weight: millionths(weight) }] as const;
--- a/packages/load-spread/test/minimum-shares.test.ts
+++ b/packages/load-spread/test/minimum-shares.test.ts
@@ -1,13 +1,13 @@
-/** `consolidateTargets`: no part of a quota is left that a waiting task would fit into. */
+/** `consolidateTargets`: unusable parts of targets are collected for a waiting task. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { consolidateTargets, type ShardLoad } from "@umberfold/load-spread";
 import { FULL_SHARE } from "@umberfold/spans";
 import { HOME, MILLIONTH, millionths, OTHER, shardLoad, spanOf, teamLoad } from "./fixtures.js";
 
-const fragments: readonly (readonly [string, readonly ShardLoad[], readonly number[]])[] = [
+const cases: readonly (readonly [string, readonly ShardLoad[], readonly number[]])[] = [
   [
-    "what neither shard can use alone lets the one that waits longer start one more",
+    "unusable parts of both shards let the shard with the oldest job start one more task",
     [
       shardLoad(HOME, {
         waitingTaskCount: 5,
@@ -25,7 +25,7 @@
     [334_000, 666_000],
   ],
   [
-    "an idle shard's minimum share is lent to a task that waits",
+    "the unused target of an idle shard is given to a waiting task of another shard",
     [
       shardLoad(HOME, {
         waitingTaskCount: 1,
@@ -38,8 +38,8 @@
     [800_000, 200_000],
   ],
 ];
-for (const [name, rows, expected] of fragments)
-  test(`fragments of a quota: ${name}`, () => {
+for (const [name, rows, expected] of cases)
+  test(`consolidated targets: ${name}`, () => {
     const targets = new Map([
       [HOME, 500_000 * MILLIONTH],
       [OTHER, 500_000 * MILLIONTH],
--- a/packages/load-spread/test/planner.test.ts
+++ b/packages/load-spread/test/planner.test.ts
@@ -1,4 +1,4 @@
-/** Solver and greedy planner, and the fallback from one to the other. */
+/** The solver planner, the greedy planner, and the fallback from the first to the second. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { shardId, type TeamName } from "@umberfold/ids";
@@ -22,7 +22,7 @@
   OTHER,
   owners,
   plan,
-  planned,
+  planInputOf,
   ROUNDING,
   SEED,
   SETTINGS,
@@ -33,7 +33,7 @@
   teamLoad,
 } from "./fixtures.js";
 
-/** Asserts that a plan keeps every minimum and divides the whole. */
+/** Asserts that targets and weights keep their minimums and add up to a full share each. */
 const checkPlan = (load: TeamLoad, spanPlan: SpanPlan | undefined): void => {
   assert.ok(spanPlan !== undefined && load.span !== undefined);
   let targets = 0;
@@ -78,10 +78,10 @@
     ),
   );
 
-test("solver and greedy keep all bounds, and the solver's plan costs no more", () => {
+test("both planners keep all bounds, and the solver's plan costs at most the greedy one's", () => {
   fc.assert(
     fc.property(randomLoad, (load) => {
-      const input = planned(load, 100, 50, 10);
+      const input = planInputOf(load, 100, 50, 10);
       const greedy = greedyPlan(input);
       const solved = solvePlan(input, 1000);
       checkPlan(load, greedy.get(TEAM));
@@ -93,7 +93,7 @@
   );
 });
 
-test("two shards that each wait with a task too large for half: the older is served first", () => {
+test("if two shards wait with tasks over half the quota, the older job gets its share", () => {
   const rows = [HOME, OTHER].map((shard, i) =>
     shardLoad(shard, {
       jobCount: 1,
@@ -104,12 +104,15 @@
     }),
   );
   const load = teamLoad(spanOf(OTHER), rows);
-  for (const plans of [greedyPlan(planned(load, 1, 1)), solvePlan(planned(load, 1, 1), 1000)])
+  for (const plans of [
+    greedyPlan(planInputOf(load, 1, 1)),
+    solvePlan(planInputOf(load, 1, 1), 1000),
+  ])
     assert.ok((plans?.get(TEAM)?.get(HOME)?.target ?? 0) >= 600_000 * MILLIONTH);
 });
 
 const solvers: readonly (readonly [string, () => undefined | never, string])[] = [
-  ["answers nothing", () => undefined, "failed"],
+  ["returns no plan", () => undefined, "failed"],
   [
     "throws",
     () => {
@@ -119,15 +122,15 @@
   ],
 ];
 for (const [name, solver, counter] of solvers)
-  test(`a solver that ${name} is a counted fallback`, () => {
+  test(`the greedy plan is used and counted if the solver ${name}`, () => {
     const planner = new LoadSpreadPlanner(SETTINGS, () => 0, solver);
     const load = teamLoad(spanOf(OTHER), [burst]);
     const targets = planner.plan([load], owners(100, 10)).get(TEAM);
-    assert.deepEqual(targets, greedyPlan(planned(load, 100, 10)).get(TEAM));
+    assert.deepEqual(targets, greedyPlan(planInputOf(load, 100, 10)).get(TEAM));
     assert.equal(planner.counters[counter as "failed"], 1);
   });
 
-test("a solver that is late is a counted fallback", () => {
+test("the fallback is counted if the solver exceeds its timeout", () => {
   let now = 0;
   const late = (): ReadonlyMap<TeamName, SpanPlan> => {
     now += SETTINGS.solverMs + 1;
@@ -138,13 +141,13 @@
   assert.equal(planner.counters.late, 1);
 });
 
-test("an input beyond the solver's size is a counted fallback", () => {
+test("the fallback is counted if the input is too large for the solver", () => {
   const planner = new LoadSpreadPlanner({ ...SETTINGS, solverCells: 1 }, () => 0);
   planner.plan([teamLoad(spanOf(OTHER), [burst])], owners(100, 10));
   assert.equal(planner.counters.tooLarge, 1);
 });
 
-test("at a steady load nothing is written", () => {
+test("at a steady load plans stop being written", () => {
   const planner = new LoadSpreadPlanner(SETTINGS, () => 0);
   let span = spanOf(OTHER);
   const load = (): TeamLoad =>
@@ -176,7 +179,7 @@
   assert.ok(writes <= 2, `${writes} writes`);
 });
 
-test("new jobs go to the owner with the least to do, quota to where the waiting jobs are", () => {
+test("new jobs go to the least loaded owner, and quota to the shard with waiting jobs", () => {
   const load = teamLoad(spanOf(OTHER), [
     shardLoad(HOME, {
       jobCount: 50,
@@ -187,17 +190,20 @@
     }),
   ]);
   for (const plans of [
-    greedyPlan(planned(load, 150, 10)),
-    solvePlan(planned(load, 150, 10), 1000),
+    greedyPlan(planInputOf(load, 150, 10)),
+    solvePlan(planInputOf(load, 150, 10), 1000),
   ]) {
     const home = plans?.get(TEAM)?.get(HOME);
-    assert.ok((home?.target ?? 0) > 800_000 * MILLIONTH, "quota stays with what waits");
-    assert.ok((home?.weight ?? FULL_SHARE) < 300_000 * MILLIONTH, "new jobs don't");
+    assert.ok(
+      (home?.target ?? 0) > 800_000 * MILLIONTH,
+      "the quota stays in the shard with waiting jobs",
+    );
+    assert.ok((home?.weight ?? FULL_SHARE) < 300_000 * MILLIONTH, "new jobs go elsewhere");
   }
 });
 
-/** A shard kept one task's share forever, because that was less than a step. */
-test("a draining shard without jobs gives up its last share, however small", () => {
+/** Regression: a shard kept the share of one task forever, because it was smaller than a step. */
+test("the target of a draining shard without jobs becomes 0, even from less than a step", () => {
   const drained = stepSpan(spanOf(OTHER), { kind: "drain", shard: OTHER });
   assert.ok(drained.ok);
   const small = stepSpan(drained.span, {
--- a/packages/load-spread/test/span-policy.test.ts
+++ b/packages/load-spread/test/span-policy.test.ts
@@ -1,4 +1,4 @@
-/** Pressure and `decideSpan`: when a span grows, drains or loses a shard. */
+/** `stepPressure` and `decideSpan`: when a shard joins a span, drains or leaves it. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
@@ -33,28 +33,28 @@
   readonly expected: string | undefined;
 }[] = [
   {
-    name: "pressure that lasts grows the span to the idlest owner's shard",
+    name: "after lasting high pressure the shard of the least loaded owner joins",
     load: teamLoad(undefined, [burst]),
     owners: owners(200, 50, 20),
     pressure: { state: "high", sinceMs: 0 },
     expected: "join 2",
   },
   {
-    name: "pressure that has not lasted does nothing",
+    name: "high pressure that has not lasted long enough changes nothing",
     load: teamLoad(undefined, [burst]),
     owners: owners(200, 50, 20),
     pressure: { state: "high", sinceMs: 8000 },
     expected: undefined,
   },
   {
-    name: "a span of as many shards as it may have grows no further",
+    name: "a span with the maximum number of shards does not grow",
     load: teamLoad(spanOf(OTHER, THIRD), [burst]),
     owners: owners(200, 50, 20, 1),
     pressure: { state: "high", sinceMs: 0 },
     expected: undefined,
   },
   {
-    name: "nothing grows while a failover is on",
+    name: "no span grows while a failover is in progress",
     load: teamLoad(spanOf(OTHER), [burst]),
     owners: [
       { owner: "n-0", shards: [HOME], loadUnits: 200 },
@@ -64,14 +64,14 @@
     expected: undefined,
   },
   {
-    name: "a team that stays relaxed has the shard that joined last drained",
+    name: "after lasting low pressure the shard that joined last drains",
     load: teamLoad(spanOf(OTHER, THIRD), []),
     owners: owners(20, 20, 20),
     pressure: { state: "low", sinceMs: -30_000 },
     expected: "drain 2",
   },
   {
-    name: "switched off, a span drains at once",
+    name: "if load spreading is disabled, the span drains at once",
     load: teamLoad(spanOf(OTHER), [burst]),
     owners: owners(200, 20),
     pressure: { state: "high", sinceMs: 0 },
@@ -79,7 +79,7 @@
     expected: "drain 1",
   },
   {
-    name: "a job in a shard that the span lacks has that shard adopted",
+    name: "a shard with a job that is not in the span is adopted",
     load: teamLoad(undefined, [shardLoad(THIRD, { jobCount: 1, waitingTaskCount: 1 })]),
     owners: owners(1, 1, 1),
     pressure: INITIAL_PRESSURE,
@@ -94,12 +94,12 @@
     assert.equal(event === undefined ? undefined : `${event.kind} ${event.shard}`, expected);
   });
 
-test("at a load that sits on a threshold a span changes a bounded number of times", () => {
+test("a load that fluctuates around a threshold changes the span a bounded number of times", () => {
   let span: Span | undefined;
   let pressure = INITIAL_PRESSURE;
   let changes = 0;
   for (let second = 0; second < 1200; second++) {
-    // Swings by a task around the number of tasks from which a team is spread.
+    // The number of tasks fluctuates by one around `minTasks`.
     const waitingTaskCount = SETTINGS.minTasks - 20 + (second % 2 === 0 ? 1 : -1);
     const load = teamLoad(span, [
       shardLoad(HOME, { jobCount: 5, openAttemptCount: 20, waitingTaskCount }),
--- a/packages/load-spread/test/transfers.test.ts
+++ b/packages/load-spread/test/transfers.test.ts
@@ -1,11 +1,11 @@
-/** `nextTransfer`: what an owner transfers. */
+/** `nextTransfer`: how much an owner transfers, and to which shard. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { nextTransfer } from "@umberfold/load-spread";
 import { FULL_SHARE, share, stepSpan } from "@umberfold/spans";
 import { HOME, millionths, OTHER, plan, spanOf, THIRD } from "./fixtures.js";
 
-test("an owner transfers what is beyond its target and unused, to the shard that lacks most", () => {
+test("an owner transfers its unused surplus to the shard with the largest deficit", () => {
   const stepped = stepSpan(spanOf(OTHER, THIRD), {
     kind: "plan",
     plan: new Map([plan(HOME, 300_000, 0), plan(OTHER, 600_000, 0), plan(THIRD, 100_000, 0)]),
--- a/packages/spans/src/step.ts
+++ b/packages/spans/src/step.ts
@@ -44,18 +44,21 @@
   readonly weight: Share;
 }
 
-/**
- * Why an event was refused. `more than the whole`: the targets would exceed the full quota. `not a
- * positive amount`: a transferred amount is not a positive integer, or a planned target or weight
- * is not an integer from 0 to `FULL_SHARE`. `in use`: open attempts use a part of the amount.
- */
+/** Why an event was refused. */
 export type Refusal =
   | "in the span already"
   | "not in the span"
   | "home shard"
+  /** The shard can't leave, because its share is not 0. */
   | "holds a share"
+  /** The planned targets would add up to more than `FULL_SHARE`. */
   | "more than the whole"
+  /**
+   * The transferred amount is not a positive integer, or a planned target or weight is not an
+   * integer from 0 to `FULL_SHARE`.
+   */
   | "not a positive amount"
+  /** Open attempts use a part of the amount to be transferred. */
   | "in use";
 
 /** The changed span, or the reason why the event was refused. */
--- a/packages/spans/test/spans.test.ts
+++ b/packages/spans/test/spans.test.ts
@@ -1,4 +1,4 @@
-/** The invariants of spans under random events, and the rejection of invalid records. */
+/** The invariants of spans under random events, and the rejection of invalid records and events. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { type ShardId, shardId } from "@umberfold/ids";
@@ -21,7 +21,7 @@
 const HOME = shardId(0);
 
 const shards = fc.integer({ min: 0, max: SHARDS - 1 }).map(shardId);
-const parts = fc.integer({ min: -10, max: FULL_SHARE + 10 }).map(share);
+const shareAmounts = fc.integer({ min: -10, max: FULL_SHARE + 10 }).map(share);
 
 const events: fc.Arbitrary<SpanEvent> = fc.oneof(
   ...(["join", "adopt", "drain", "leave"] as const).map((kind) =>
@@ -30,15 +30,17 @@
   fc.record({
     kind: fc.constant("plan" as const),
     plan: fc
-      .array(fc.tuple(shards, fc.record({ target: parts, weight: parts })), { maxLength: SHARDS })
+      .array(fc.tuple(shards, fc.record({ target: shareAmounts, weight: shareAmounts })), {
+        maxLength: SHARDS,
+      })
       .map((rows) => new Map(rows)),
   }),
   fc.record({
     kind: fc.constant("transfer" as const),
     from: shards,
     to: shards,
-    amount: parts,
-    used: parts.map((part) => share(Math.max(0, part))),
+    amount: shareAmounts,
+    used: shareAmounts.map((amount) => share(Math.max(0, amount))),
   }),
 );
 
@@ -50,7 +52,7 @@
   for (const entry of span.entries) assert.ok(Number.isInteger(entry.share) && entry.share >= 0);
 };
 
-test("no order of events breaks an invariant, and what is written is read back alike", () => {
+test("no sequence of events violates an invariant, and stored spans are read back equal", () => {
   fc.assert(
     fc.property(fc.array(events, { maxLength: 60 }), (list) => {
       let span = homeSpan(HOME);
@@ -65,7 +67,7 @@
   );
 });
 
-test("only a transfer lowers a share, and never below what is in use", () => {
+test("only a transfer lowers a share, and never below the used share", () => {
   fc.assert(
     fc.property(fc.array(events, { maxLength: 60 }), (list) => {
       let span = homeSpan(HOME);
@@ -85,8 +87,8 @@
   );
 });
 
-/** A record with revisions, as the state store keeps it: a write names the one it was read at. */
-class Register {
+/** A record as in the state store: a write fails unless it names the record's current revision. */
+class StoredSpan {
   span = homeSpan(HOME);
   rev = 1;
 
@@ -98,42 +100,45 @@
   }
 }
 
-const OWNER_STEPS = ["start", "end", "hand", "look"] as const;
+const OWNER_STEPS = ["start", "end", "transfer", "sync"] as const;
 type Step =
   | { readonly kind: (typeof OWNER_STEPS)[number]; readonly shard: ShardId }
-  | { readonly kind: "lead"; readonly event: SpanEvent }
-  | { readonly kind: "late"; readonly which: number };
+  | { readonly kind: "leader_write"; readonly event: SpanEvent }
+  | { readonly kind: "delayed_write"; readonly index: number };
 
 const steps: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ kind: fc.constantFrom(...OWNER_STEPS), shard: shards }),
   fc.record({
-    kind: fc.constant("lead" as const),
+    kind: fc.constant("leader_write" as const),
     event: events.filter((e) => e.kind !== "transfer"),
   }),
-  fc.record({ kind: fc.constant("late" as const), which: fc.nat(50) }),
+  fc.record({ kind: fc.constant("delayed_write" as const), index: fc.nat(50) }),
 );
 
-const LIMIT = 20;
+const MAX_OPEN_ATTEMPTS = 20;
 
-/** Owners that see others' writes of the record late, and writes that are applied late, or twice. */
+/**
+ * Owners that see other writes of the record with a delay, and writes that are applied late or
+ * twice.
+ */
 class SpanModel {
-  readonly #register = new Register();
+  readonly #stored = new StoredSpan();
   readonly #open = new Map<ShardId, number>();
   readonly #seen = new Map<ShardId, { readonly span: Span; readonly rev: number }>();
   readonly #writes: { readonly rev: number; readonly span: Span }[] = [];
 
-  get openInAll(): number {
+  get totalOpen(): number {
     return [...this.#open.values()].reduce((sum, n) => sum + n, 0);
   }
 
   apply(step: Step): void {
-    if (step.kind === "lead") this.#lead(step.event);
-    else if (step.kind === "late") this.#applyLateWrite(step.which);
-    else if (step.kind === "look") this.#look(step.shard);
+    if (step.kind === "leader_write") this.#leaderWrite(step.event);
+    else if (step.kind === "delayed_write") this.#applyDelayedWrite(step.index);
+    else if (step.kind === "sync") this.#sync(step.shard);
     else if (step.kind === "start") this.#start(step.shard);
     else if (step.kind === "end")
       this.#open.set(step.shard, Math.max(0, this.#openIn(step.shard) - 1));
-    else this.#handOn(step.shard);
+    else this.#transfer(step.shard);
   }
 
   #openIn(shard: ShardId): number {
@@ -144,49 +149,49 @@
     return this.#seen.get(shard) ?? { span: homeSpan(HOME), rev: 1 };
   }
 
-  #look(shard: ShardId): void {
-    this.#seen.set(shard, { span: this.#register.span, rev: this.#register.rev });
+  #sync(shard: ShardId): void {
+    this.#seen.set(shard, { span: this.#stored.span, rev: this.#stored.rev });
   }
 
   #start(shard: ShardId): void {
-    const maxOpen = (LIMIT * shareOf(this.#viewOf(shard).span, shard)) / FULL_SHARE;
+    const maxOpen = (MAX_OPEN_ATTEMPTS * shareOf(this.#viewOf(shard).span, shard)) / FULL_SHARE;
     const next = this.#openIn(shard) + 1;
     if (next <= maxOpen + 1e-6) this.#open.set(shard, next);
   }
 
-  #handOn(shard: ShardId): void {
+  #transfer(shard: ShardId): void {
     const view = this.#viewOf(shard);
-    const used = share(Math.ceil((this.#openIn(shard) / LIMIT) * FULL_SHARE));
+    const used = share(Math.ceil((this.#openIn(shard) / MAX_OPEN_ATTEMPTS) * FULL_SHARE));
     const to = view.span.entries.find((entry) => entry.shard !== shard)?.shard;
     const amount = share(shareOf(view.span, shard) - used);
     if (to === undefined) return;
     const stepped = stepSpan(view.span, { kind: "transfer", from: shard, to, amount, used });
     if (!stepped.ok) return;
     this.#writes.push({ rev: view.rev, span: stepped.span });
-    // An owner decides nothing more before it knows what became of its write.
-    if (this.#register.write(view.rev, stepped.span)) this.#look(shard);
+    // An owner makes no further decision until it knows the result of its write.
+    if (this.#stored.write(view.rev, stepped.span)) this.#sync(shard);
   }
 
-  #lead(event: SpanEvent): void {
-    const stepped = stepSpan(this.#register.span, event);
+  #leaderWrite(event: SpanEvent): void {
+    const stepped = stepSpan(this.#stored.span, event);
     if (!stepped.ok) return;
-    this.#writes.push({ rev: this.#register.rev, span: stepped.span });
-    this.#register.write(this.#register.rev, stepped.span);
+    this.#writes.push({ rev: this.#stored.rev, span: stepped.span });
+    this.#stored.write(this.#stored.rev, stepped.span);
   }
 
-  #applyLateWrite(which: number): void {
-    const late = this.#writes[which];
-    if (late !== undefined) this.#register.write(late.rev, late.span);
+  #applyDelayedWrite(index: number): void {
+    const delayed = this.#writes[index];
+    if (delayed !== undefined) this.#stored.write(delayed.rev, delayed.span);
   }
 }
 
-test("open attempts of all shards together never pass the limit", () => {
+test("the open attempts of all shards together never exceed the limit", () => {
   fc.assert(
     fc.property(fc.array(steps, { maxLength: 200 }), (list) => {
       const model = new SpanModel();
       for (const step of list) {
         model.apply(step);
-        assert.ok(model.openInAll <= LIMIT, `${model.openInAll} open`);
+        assert.ok(model.totalOpen <= MAX_OPEN_ATTEMPTS, `${model.totalOpen} open`);
       }
     }),
     { seed: SEED, numRuns: 1500 },
@@ -195,20 +200,20 @@
 
 const valid = encodeSpan(homeSpan(HOME)) as { f: number; h: number; e: unknown[] };
 const invalid: readonly (readonly [string, unknown])[] = [
-  ["nothing", undefined],
-  ["a text", "span"],
+  ["undefined", undefined],
+  ["a string", "span"],
   ["another version", { ...valid, f: 2 }],
-  ["a home that is no shard", { ...valid, h: SHARDS }],
-  ["no home among the entries", { ...valid, e: [[1, 0, FULL_SHARE, FULL_SHARE, 0]] }],
-  ["a home that drains", { ...valid, e: [[0, 1, FULL_SHARE, FULL_SHARE, 0]] }],
-  ["a shard twice", { ...valid, e: [...valid.e, ...valid.e] }],
-  ["a shard beyond the shards", { ...valid, e: [...valid.e, [SHARDS, 0, 0, 0, 0]] }],
-  ["more than the whole", { ...valid, e: [...valid.e, [1, 0, 1, 0, 0]] }],
-  ["targets beyond the whole", { ...valid, e: [...valid.e, [1, 0, 0, 1, 0]] }],
+  ["a home shard beyond the shard count", { ...valid, h: SHARDS }],
+  ["no entry of the home shard", { ...valid, e: [[1, 0, FULL_SHARE, FULL_SHARE, 0]] }],
+  ["a draining home shard", { ...valid, e: [[0, 1, FULL_SHARE, FULL_SHARE, 0]] }],
+  ["a shard with two entries", { ...valid, e: [...valid.e, ...valid.e] }],
+  ["a shard beyond the shard count", { ...valid, e: [...valid.e, [SHARDS, 0, 0, 0, 0]] }],
+  ["shares beyond a full share", { ...valid, e: [...valid.e, [1, 0, 1, 0, 0]] }],
+  ["targets beyond a full share", { ...valid, e: [...valid.e, [1, 0, 0, 1, 0]] }],
   ["a negative share", { ...valid, e: [...valid.e, [1, 0, -1, 0, 0]] }],
-  ["a broken share", { ...valid, e: [...valid.e, [1, 0, 0.5, 0, 0]] }],
-  ["a share that is no number", { ...valid, e: [...valid.e, [1, 0, "1", 0, 0]] }],
-  ["a weight beyond the whole", { ...valid, e: [...valid.e, [1, 0, 0, 0, FULL_SHARE + 1]] }],
+  ["a fractional share", { ...valid, e: [...valid.e, [1, 0, 0.5, 0, 0]] }],
+  ["a share that is a string", { ...valid, e: [...valid.e, [1, 0, "1", 0, 0]] }],
+  ["a weight beyond a full share", { ...valid, e: [...valid.e, [1, 0, 0, 0, FULL_SHARE + 1]] }],
   ["an unknown state", { ...valid, e: [...valid.e, [1, 2, 0, 0, 0]] }],
   ["a short entry", { ...valid, e: [...valid.e, [1]] }],
 ];
@@ -218,10 +223,10 @@
   });
 
 const refusals: readonly (readonly [string, SpanEvent, string])[] = [
-  ["a join twice", { kind: "join", shard: HOME }, "in the span already"],
-  ["adopting what is there", { kind: "adopt", shard: HOME }, "in the span already"],
-  ["draining home", { kind: "drain", shard: HOME }, "home shard"],
-  ["leaving home", { kind: "leave", shard: HOME }, "home shard"],
+  ["joining an active shard", { kind: "join", shard: HOME }, "in the span already"],
+  ["adopting a shard in the span", { kind: "adopt", shard: HOME }, "in the span already"],
+  ["draining the home shard", { kind: "drain", shard: HOME }, "home shard"],
+  ["removing the home shard", { kind: "leave", shard: HOME }, "home shard"],
   ["draining a shard outside the span", { kind: "drain", shard: shardId(3) }, "not in the span"],
   [
     "a plan for a shard outside the span",
@@ -234,7 +239,7 @@
     "not in the span",
   ],
   [
-    "a transfer of what is in use",
+    "a transfer of a share in use",
     {
       kind: "transfer",
       from: HOME,
@@ -252,7 +257,7 @@
     assert.deepEqual(stepSpan(joined.span, event), { ok: false, refusal });
   });
 
-test("a shard leaves only while it drains and has no share", () => {
+test("a shard leaves only if it is draining and has no share", () => {
   const one = shardId(1);
   const joined = stepSpan(homeSpan(HOME), { kind: "join", shard: one });
   assert.ok(joined.ok);
--- a/test/coordination/load-spread/machine-balance.test.ts
+++ b/test/coordination/load-spread/machine-balance.test.ts
@@ -1,4 +1,4 @@
-/** `MachineBalance`: which machines a shard that lacks its fair part is given. */
+/** `MachineBalance`: which machines are transferred to a shard with less than its fair capacity. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
@@ -26,8 +26,8 @@
 
 const BUSY = shardId(0);
 const QUIET = shardId(1);
-const CPUS = 8;
-const MACHINES = 10;
+const CPUS_PER_MACHINE = 8;
+const MACHINE_COUNT = 10;
 
 const replicaWith = (phase: MachineRecord["phase"]): Replica => {
   const replica = new Replica(2);
@@ -36,7 +36,7 @@
     replica.apply({ kind: "put", key, value, rev: revision(++rev) });
   const type = {
     name: "w",
-    capacity: { cpus: CPUS, gpus: 0, ramGb: 32 },
+    capacity: { cpus: CPUS_PER_MACHINE, gpus: 0, ramGb: 32 },
     ...{ cacheGb: 10, fetchGbPerS: 1, price: 1, spotPrice: 1, bootS: 1, zones: ["a"] },
   };
   put(keys.types, encodeMachineTypes([type]));
@@ -51,10 +51,10 @@
     phase,
   } as const;
   const record = { ...row, rentedAt: wallClockMs(0), tokenFloor: revision(0) };
-  const page = Array.from({ length: MACHINES }, (_, i): readonly [MachineId, MachineRecord] => [
-    machineId(`m-${i}`),
-    record,
-  ]);
+  const page = Array.from(
+    { length: MACHINE_COUNT },
+    (_, i): readonly [MachineId, MachineRecord] => [machineId(`m-${i}`), record],
+  );
   put(keys.fleet(BUSY, "1"), encodeMachinePage(page));
   return replica;
 };
@@ -74,15 +74,15 @@
   return { team: teamName(team), home: shard, span: undefined, shards: new Map([[shard, row]]) };
 };
 
-const LOADS = [load("burst", BUSY, 1000), load("quiet", QUIET, 2 * CPUS)];
+const LOADS = [load("burst", BUSY, 1000), load("quiet", QUIET, 2 * CPUS_PER_MACHINE)];
 
 const cases: readonly (readonly [string, MachineRecord["phase"], number])[] = [
-  // A tenth of all machines at a time.
+  // One call transfers at most a tenth of all machines.
   ["the machines that are up", "up", 1],
   ["the machines being decommissioned", "retiring", 0],
 ];
 for (const [name, phase, expected] of cases)
-  test(`the shard that lacks its fair part is given ${expected} of ${name}`, () => {
+  test(`the shard with too little capacity receives ${expected} of ${name}`, () => {
     const clock = new SimulatedClock(1);
     const balance = new MachineBalance({
       replica: replicaWith(phase),
@@ -94,16 +94,16 @@
         { ...request, machine: "" },
         { machine: "", to: QUIET, drain: false, whenEmpty: true },
       );
-    // One that was asked for counts where it goes, and isn't asked for again before it times out.
+    // A requested machine counts for its destination and is not requested again before the timeout.
     const second = balance.dueTransfers(LOADS);
     assert.equal(second.length, expected);
     assert.ok(second.every((later) => first.every((earlier) => earlier.machine !== later.machine)));
-    assert.equal(balance.dueTransfers(LOADS).length, 0, "by now it has what it needs");
+    assert.equal(balance.dueTransfers(LOADS).length, 0, "pending transfers already cover the need");
     clock.now = 60_000;
-    assert.equal(balance.dueTransfers(LOADS).length, expected, "asked anew where nothing came");
+    assert.equal(balance.dueTransfers(LOADS).length, expected, "requested again after the timeout");
   });
 
-test("a transfer request for a machine once it is empty reaches its owner as such", () => {
+test("a transfer request keeps `whenEmpty` when it is encoded and decoded", () => {
   const request = { machine: machineId("m-1"), to: QUIET, drain: false, whenEmpty: true };
   const message = { ...EMPTY_PEER_MESSAGE, from: "n-0", moves: [request] };
   assert.deepEqual(decodePeerMessage(encodePeerMessage(message)).moves, [request]);
--- a/test/coordination/load-spread/quota-share.test.ts
+++ b/test/coordination/load-spread/quota-share.test.ts
@@ -1,4 +1,4 @@
-/** `quotaFraction` and `quotaShare`: amounts of a quota as fractions and shares. */
+/** `quotaFraction` and `quotaShare`: resources as fractions and shares of a quota. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { teamName } from "@umberfold/ids";
@@ -16,11 +16,11 @@
 });
 
 const fractions: readonly (readonly [string, Team, { cpus: number; gpus: number }, number])[] = [
-  ["the larger fraction counts: processors", team(40, 8), { cpus: 20, gpus: 1 }, 0.5],
-  ["the larger fraction counts: devices", team(40, 8), { cpus: 4, gpus: 6 }, 0.75],
-  ["no limit: nothing", team(UNLIMITED, UNLIMITED), { cpus: 400, gpus: 8 }, 0],
-  ["a limit of none: nothing", team(0, 0), { cpus: 4, gpus: 0 }, 0],
-  ["beyond the limit: more than all", team(40, 8), { cpus: 60, gpus: 0 }, 1.5],
+  ["the larger fraction counts: CPUs", team(40, 8), { cpus: 20, gpus: 1 }, 0.5],
+  ["the larger fraction counts: GPUs", team(40, 8), { cpus: 4, gpus: 6 }, 0.75],
+  ["an infinite limit counts as 0", team(UNLIMITED, UNLIMITED), { cpus: 400, gpus: 8 }, 0],
+  ["a limit of 0 counts as 0", team(0, 0), { cpus: 4, gpus: 0 }, 0],
+  ["use beyond the limit is more than 1", team(40, 8), { cpus: 60, gpus: 0 }, 1.5],
 ];
 for (const [name, limits, resources, expected] of fractions)
   test(`fraction of a quota: ${name}`, () =>
@@ -28,8 +28,8 @@
 
 const shares: readonly (readonly [string, number, number])[] = [
   ["half", 0.5, FULL_SHARE / 2],
-  ["a negative fraction is none", -0.1, 0],
-  ["more than all stays more", 1.5, FULL_SHARE * 1.5],
+  ["a negative fraction becomes 0", -0.1, 0],
+  ["a fraction above 1 becomes more than a full share", 1.5, FULL_SHARE * 1.5],
 ];
 for (const [name, fraction, expected] of shares)
   test(`share of a quota: ${name}`, () => assert.equal(quotaShare(fraction), share(expected)));
