--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -51,7 +51,7 @@
 
   /** Whether this controller leads and its replica is synced. */
   get writable(): boolean {
-    return this.records.writable;
+    return this.records.canWrite;
   }
 
   /** Applies the event to the team's span. Returns true if the changed span was written. */
