--- a/packages/load-spread/test/minimum-shares.test.ts
+++ b/packages/load-spread/test/minimum-shares.test.ts
@@ -1,35 +1,45 @@
-/** `consolidateTargets`: no part of a quota is left that a waiting task would fit into. */
+/** `consolidateTargets`: unusable parts of targets are collected for a waiting task. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { consolidateTargets, type ShardLoad } from "@umberfold/load-spread";
-import { WHOLE } from "@umberfold/spans";
+import { FULL_SHARE } from "@umberfold/spans";
 import { HOME, MILLIONTH, millionths, OTHER, shardLoad, spanOf, teamLoad } from "./fixtures.js";
 
-const fragments: readonly (readonly [string, readonly ShardLoad[], readonly number[]])[] = [
+const cases: readonly (readonly [string, readonly ShardLoad[], readonly number[]])[] = [
   [
-    "what neither shard can use alone lets the one that waits longer start one more",
+    "unusable parts of both shards let the shard with the oldest job start one more task",
     [
-      shardLoad(HOME, { waiting: 5, largest: millionths(333_000), demand: WHOLE, oldest: 2 }),
-      shardLoad(OTHER, { waiting: 5, largest: millionths(333_000), demand: WHOLE, oldest: 1 }),
+      shardLoad(HOME, {
+        waitingTaskCount: 5,
+        largestTaskShare: millionths(333_000),
+        demandShare: FULL_SHARE,
+        oldestAcceptedAt: 2,
+      }),
+      shardLoad(OTHER, {
+        waitingTaskCount: 5,
+        largestTaskShare: millionths(333_000),
+        demandShare: FULL_SHARE,
+        oldestAcceptedAt: 1,
+      }),
     ],
     [334_000, 666_000],
   ],
   [
-    "an idle shard's minimum share is lent to a task that waits",
+    "the unused target of an idle shard is given to a waiting task of another shard",
     [
       shardLoad(HOME, {
-        waiting: 1,
-        used: millionths(400_000),
-        largest: millionths(400_000),
-        demand: millionths(800_000),
-        oldest: 1,
+        waitingTaskCount: 1,
+        usedShare: millionths(400_000),
+        largestTaskShare: millionths(400_000),
+        demandShare: millionths(800_000),
+        oldestAcceptedAt: 1,
       }),
     ],
     [800_000, 200_000],
   ],
 ];
-for (const [name, rows, expected] of fragments)
-  test(`fragments of a quota: ${name}`, () => {
+for (const [name, rows, expected] of cases)
+  test(`consolidated targets: ${name}`, () => {
     const targets = new Map([
       [HOME, 500_000 * MILLIONTH],
       [OTHER, 500_000 * MILLIONTH],
--- a/src/coordination/fleet/fleet-demand.ts
+++ b/src/coordination/fleet/fleet-demand.ts
@@ -51,16 +51,16 @@
       teams,
       withinGuarantee: this.jobsWithinGuarantee(),
       objectives: settings.objectives,
-      runS: (job) => this.owner.state.expectedRunS(job.spec),
+      expectedRunS: (job) => this.owner.state.expectedRunS(job.spec),
       types,
-      bootS: Math.min(...types.map((type) => type.bootS)),
-      headroom: operators.urgentHeadroomFraction,
-      patience: operators.maxWaitFraction,
-      lastPatience: operators.maxWaitFractionIfCostly,
-      riseS: operators.forecastRiseS,
-      fallS: operators.forecastFallS,
-      margin: operators.demandMarginFactor,
-      dtS: elapsedS,
+      fastestBootS: Math.min(...types.map((type) => type.bootS)),
+      headroomFraction: operators.urgentHeadroomFraction,
+      desiredSlackFraction: operators.maxWaitFraction,
+      requiredSlackFraction: operators.maxWaitFractionIfCostly,
+      riseTimeConstantS: operators.forecastRiseS,
+      fallTimeConstantS: operators.forecastFallS,
+      capacityFactor: operators.demandMarginFactor,
+      elapsedS,
       now: wallClockNow(),
       levels: this.#smoothedLevels,
     });
@@ -73,8 +73,9 @@
     const { replica, quotas } = this.ctx;
     const jobs = new Set<JobId>();
     for (const [shard, { index }] of replica.allShardJobs())
-      for (const id of index.withinGuarantee(quotas.teamsForShard(shard).values(), (job, spec) =>
-        this.failingJobs.desiredTaskCount(job, spec),
+      for (const id of index.jobsWithinGuarantee(
+        quotas.teamsForShard(shard).values(),
+        (job, spec) => this.failingJobs.desiredTaskCount(job, spec),
       ))
         jobs.add(id);
     return jobs;
@@ -84,7 +85,7 @@
   hasUnplacedTasks(): boolean {
     const now = wallClockNow();
     for (const [, { index }] of this.ctx.replica.allShardJobs())
-      for (const job of index.waiting.values())
+      for (const job of index.waitingJobs.values())
         if (now - job.acceptedAt > OWNER_PLACEMENT_DELAY_MS) return true;
     return false;
   }
--- a/src/coordination/fleet/rentals.ts
+++ b/src/coordination/fleet/rentals.ts
@@ -59,7 +59,7 @@
   /** Writes rental intents, unless earlier ones are pending. Any later leader can execute them. */
   async writeIntents(rentals: readonly PlannedRental[]): Promise<void> {
     const { replica, settings, log } = this.ctx;
-    if (rentals.length === 0 || replica.rentals.size > 0) return;
+    if (rentals.length === 0 || replica.rentalIntents.size > 0) return;
     const maxIntents = Math.min(settings.state.txnOps, MAX_INTENTS_PER_WRITE);
     const intents = rentals
       .flatMap(splitIntoCalls)
@@ -78,7 +78,9 @@
 
   /** Executes the written intents that have no call in flight. */
   async executeIntents(): Promise<void> {
-    const pending = [...this.ctx.replica.rentals].filter(([name]) => !this.#inFlight.has(name));
+    const pending = [...this.ctx.replica.rentalIntents].filter(
+      ([name]) => !this.#inFlight.has(name),
+    );
     await Promise.all(pending.map(([name, intent]) => this.#executeIntent(name, intent)));
   }
 
--- a/src/coordination/load-spread/quota-transfers.ts
+++ b/src/coordination/load-spread/quota-transfers.ts
@@ -1,13 +1,13 @@
 /**
- * An owner's part of load spreading: what the shards owned here have of a team's quota beyond their
- * targets goes to the shards that lack it.
+ * The shard owner's part of load spreading: transfers what the shares of the shards owned here
+ * exceed their targets by to shards whose shares are below their targets.
  *
- * Owns a count alone; spans are records. What must hold: only a shard's owner lowers its share, on
- * condition that it still owns the shard, and never below what its open attempts use.
+ * Owns only a count; spans are records. Invariant: only a shard's owner lowers the shard's share,
+ * on condition that it still owns the shard, and never below what the open attempts use.
  */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import { nextTransfer } from "@umberfold/load-spread";
-import { type Share, type Span, spanValue, stepSpan } from "@umberfold/spans";
+import { encodeSpan, type Share, type Span, stepSpan } from "@umberfold/spans";
 import type { Transaction } from "../../protocol/store.js";
 import { keys } from "../../storage/records.js";
 import type { ControllerContext } from "../context.js";
@@ -15,24 +15,24 @@
 import type { LocalShardWriter } from "./local-shard-writer.js";
 import { quotaFraction, quotaShare } from "./quota-share.js";
 
-/** Hands quota on between the shards of a span. */
+/** Transfers quota between the shards of a span. */
 export class QuotaTransfers {
   #written = 0;
 
-  /** @param owner writes between its rounds, when the records show all that is open */
+  /** @param owner writes between its rounds, when the records show all open attempts */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     private readonly owner: LocalShardWriter,
   ) {}
 
-  /** Transfers written since the start. */
-  get written(): number {
+  /** The number of transfers written since the start. */
+  get writtenCount(): number {
     return this.#written;
   }
 
   /** Writes at most one transfer for each owned shard and team. */
-  async handOnSurplus(): Promise<void> {
+  async transferSurplus(): Promise<void> {
     const { replica } = this.ctx;
     for (const shard of this.membership.ownedShards())
       for (const team of [...replica.spans.records.keys()]) {
@@ -41,11 +41,11 @@
       }
   }
 
-  /** The next transfer out of a shard, decided when it is about to be written. */
+  /** Decides the next transfer from a shard, immediately before it is written. */
   #transfer(team: TeamName, shard: ShardId): Transaction | undefined {
     const span = this.ctx.replica.spans.records.get(team)?.value;
     if (span === undefined || !this.membership.ownsShard(shard)) return undefined;
-    const event = nextTransfer({ span, from: shard, used: this.#usedShare(team, shard) });
+    const event = nextTransfer({ span, from: shard, usedShare: this.#usedShare(team, shard) });
     const stepped = event === undefined ? undefined : stepSpan(span, event);
     if (event === undefined || stepped?.ok !== true) return undefined;
     this.ctx.log.info("quota handed on", { team, from: shard, to: event.to, amount: event.amount });
@@ -60,14 +60,14 @@
         { key, rev: replica.revisionOf(key) },
         { key: keys.shard(shard), rev: replica.revisionOf(keys.shard(shard)) },
       ],
-      ops: [{ kind: "put", key, value: spanValue(span) }],
+      ops: [{ kind: "put", key, value: encodeSpan(span) }],
     };
   }
 
-  /** What the team's open attempts in a shard take of its quota. */
+  /** Returns the share of the quota that the team's open attempts in a shard use. */
   #usedShare(team: TeamName, shard: ShardId): Share {
     const settings = this.ctx.teams.get(team);
-    const used = this.ctx.replica.shardJobs(shard).index.teamUse().get(team);
+    const used = this.ctx.replica.shardJobs(shard).index.usedResourcesByTeam().get(team);
     return quotaShare(
       settings === undefined || used === undefined ? 0 : quotaFraction(settings, used),
     );
--- a/src/service/job-cancellation.ts
+++ b/src/service/job-cancellation.ts
@@ -41,12 +41,12 @@
       if (result.kind === "applied") {
         applyCommitted(ctx.replica, operations, result.rev);
         wake();
-        const askedAt = monotonicNow();
+        const asOf = monotonicNow();
         return answers.answerCancelled(id, {
           kind: "live",
           job: cancelled,
           rev: result.rev,
-          askedAt,
+          asOf,
         });
       }
       // A conflict: the record changed between the read and the write. Read it again.
@@ -57,9 +57,9 @@
 
   /** A live job from the replica; another controller may have changed its record since. */
   #fromReplica(id: JobId): JobLookup | undefined {
-    const accepted = this.dependencies.ctx.replica.accepted.get(id);
+    const accepted = this.dependencies.ctx.replica.acceptedJobs.get(id);
     if (accepted === undefined) return undefined;
     const { value: job, rev } = accepted;
-    return { kind: "live", job, rev, askedAt: monotonicNow() };
+    return { kind: "live", job, rev, asOf: monotonicNow() };
   }
 }
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -57,7 +57,7 @@
     const { ctx, jobs, answers } = this.dependencies;
     // Known jobs are looked up before the checks below, which an accepted job may fail by now: the
     // settings or machine types may have changed.
-    if (jobs.finalOf(spec.id) !== undefined || ctx.replica.accepted.has(spec.id)) {
+    if (jobs.cachedFinalJob(spec.id) !== undefined || ctx.replica.acceptedJobs.has(spec.id)) {
       const found = await jobs.read(spec.id);
       if (found.kind !== "none") return answers.answer(spec.id, found);
     }
--- a/src/service/user-api.ts
+++ b/src/service/user-api.ts
@@ -67,8 +67,7 @@
     const found = await this.#jobs.read(jobId(id));
     // The read may date from before a process pause; another controller may have reported more
     // progress to the user since.
-    if (found.kind === "live" && monotonicNow() - found.askedAt > STALE_READ_MS)
-      return tryAgain(503);
+    if (found.kind === "live" && monotonicNow() - found.asOf > STALE_READ_MS) return tryAgain(503);
     return this.#answers.answer(jobId(id), found);
   }
 
