--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,8 +1,9 @@
 /**
- * The platform's file, in TOML: who this controller is, where the others are, and what the protocol
- * and the machine allow. It is read once, at the start, and doesn't change while a process lives.
+ * The platform's settings file, in TOML: this controller's label and addresses, those of the other
+ * controllers, and the limits of the protocol and of this process. It is read once, at the start.
  *
- * Unknown fields are ignored, since the platform may add some. Wire names are mapped here, each once.
+ * Unknown fields are ignored, since the platform may add some. The names in the file are mapped to
+ * names in the code only here.
  */
 import { type ControllerLabel, controllerLabel, type TeamName, teamName } from "@umberfold/ids";
 import { parse } from "smol-toml";
@@ -14,52 +15,52 @@
 
 const UNLIMITED = Number.POSITIVE_INFINITY;
 
-/** A team's quota: what it is guaranteed, and what it may use at most. */
+/** A team's quota: its guaranteed resources and its limits. */
 export interface Team {
   readonly name: TeamName;
   readonly cpus: number;
   readonly gpus: number;
-  /** 0 in the file means none; here that is infinity. */
+  /** The limit; 0 in the file means no limit, which is infinity here. */
   readonly cpusMax: number;
-  /** The same for devices. */
+  /** The limit on GPUs, likewise. */
   readonly gpusMax: number;
 }
 
-/** A service-level objective: what the settings ask of a job class. */
+/** A service-level objective for a job class. */
 export interface Objective {
   readonly kind: string;
-  /** Null: of all classes. */
+  /** Null: all job classes. */
   readonly jobClass: string | null;
   readonly withinS: number | null;
-  /** The part of the jobs for which it should hold. */
+  /** The fraction of the jobs for which the objective should hold. */
   readonly share: number | null;
-  /** For deadlines: how many times as long as a job's own. */
+  /** For deadline objectives: factor on the job's own deadline. */
   readonly times: number | null;
 }
 
-/** Kinds of objectives that are known; not all of them can be scheduled for. */
+/** The known kinds of objectives; the scheduler uses only some of them. */
 const OBJECTIVE_KINDS: readonly string[] = [
   ...["wait", "finished", "deadline", "guarantee", "makespan"],
   ...["submit", "useful", "price", "rules", "node_restarts"],
 ];
 
-/** One that can't be read is no reason not to start: it is ignored, and logged. */
+/** An invalid objective doesn't prevent the start: its fault is added to `ignored` and logged. */
 const readObjective = (row: FieldReader, ignored: string[]): Objective | undefined => {
   const faults: string[] = [];
   const fields = row.withFaults(faults);
-  const kind = fields.text("kind");
+  const kind = fields.string("kind");
   if (faults.length === 0 && !OBJECTIVE_KINDS.includes(kind))
     faults.push(
-      `${row.where}.kind: must be one of ${OBJECTIVE_KINDS.join(", ")}, not ${describeValue(kind)}`,
+      `${row.path}.kind: must be one of ${OBJECTIVE_KINDS.join(", ")}, not ${describeValue(kind)}`,
     );
-  // The first fault is enough to find the row: what follows it isn't read.
+  // One fault is enough to find the invalid table: no more fields are read after it.
   const optional = <Value>(name: string, read: () => Value): Value | null =>
     faults.length === 0 && fields.has(name) ? read() : null;
   const optionalNumber = (name: string): number | null =>
     optional(name, () => fields.number(name, 0, UNLIMITED));
   const objective: Objective = {
     kind,
-    jobClass: optional("class", () => fields.text("class")),
+    jobClass: optional("class", () => fields.string("class")),
     withinS: optionalNumber("within_s"),
     share: optionalNumber("share"),
     times: optionalNumber("times"),
@@ -75,52 +76,55 @@
   readonly address: string;
 }
 
-/** What the protocol prescribes for workers. */
+/** The times that the protocol prescribes for workers. */
 export interface WorkerSettings {
   /** Seconds between two heartbeats. */
-  readonly reportS: number;
-  /** Seconds after its last answered heartbeat at which a worker ends all tasks. */
+  readonly heartbeatPeriodS: number;
+  /**
+   * Duration of a worker lease: a worker ends all tasks this long after its last answered
+   * heartbeat.
+   */
   readonly leaseS: number;
-  /** Seconds within which a cancelled job's tasks must be gone. */
-  readonly cancelS: number;
+  /** Seconds within which all tasks of a cancelled job must have ended. */
+  readonly cancellationTimeoutS: number;
 }
 
-/** What the state store allows. */
+/** The limits of the state store. */
 export interface StateSettings {
-  /** Requests a second, of all controllers together; renewals of leases and watches count. */
+  /** Requests per second of all controllers together, including lease renewals and watches. */
   readonly rps: number;
-  /** Puts and deletes a second, of all controllers together; those of refused transactions count. */
+  /** Puts and deletes per second of all controllers together; refused transactions count too. */
   readonly writeRps: number;
-  /** The largest value, in KiB. */
+  /** Maximum size of a value in KiB. */
   readonly valueKb: number;
-  /** The most puts and deletes of one transaction. */
+  /** Maximum number of puts and deletes in one transaction. */
   readonly txnOps: number;
 }
 
-/** What the cloud allows. */
+/** The limits of the cloud's API. */
 export interface CloudSettings {
-  /** Requests a second; all go through the leader but for forced returns. */
+  /** Requests per second. Only the leader calls the cloud, except for forced returns. */
   readonly rps: number;
-  /** Seconds by which its list of machines is behind; at times up to twice as many. */
+  /** Seconds by which the cloud's list of machines may be stale; occasionally twice as many. */
   readonly listLagS: number;
 }
 
-/** What this process may use of its machine. */
+/** The resources that this process may use. */
 export interface ProcessResources {
-  /** The part of a core. */
-  readonly cpuShare: number;
+  /** The fraction of a processor core. */
+  readonly cpuFraction: number;
   readonly ramMb: number;
   readonly maxSockets: number;
 }
 
-/** The file that the platform hands over. */
+/** The validated settings of the platform. */
 export interface Settings {
   readonly label: ControllerLabel;
   /** The zone that this controller runs in. */
   readonly zone: string;
-  /** Where users, workers and the load balancer reach it. */
+  /** Host and port for users, workers and the load balancer. */
   readonly frontAddress: string;
-  /** Where the other controllers reach it. */
+  /** Host and port for the other controllers. */
   readonly internalAddress: string;
   /** The other controllers. */
   readonly seeds: readonly Seed[];
@@ -129,11 +133,11 @@
   readonly shardCount: number;
   /** All zones of the cloud. */
   readonly zones: readonly string[];
-  /** How far the wall clocks of two hosts may differ. */
+  /** Maximum difference between the wall clocks of two hosts. */
   readonly skewMs: number;
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
-  /** Objectives that could not be read, a line each. */
+  /** One line for each objective that was ignored because it is invalid. */
   readonly ignoredObjectives: readonly string[];
   readonly workers: WorkerSettings;
   readonly state: StateSettings;
@@ -141,18 +145,21 @@
   readonly resources: ProcessResources;
 }
 
-/** What a process takes before it has read anything, and room to read it. */
+/** Memory that a process needs at the start, and to read the state store's records. */
 const MIN_RAM_MB = 80;
 const DEFAULT_RAM_MB = 512;
 const MAX_SOCKETS = 10_000_000;
 const DEFAULT_MAX_SOCKETS = 1024;
 const MAX_SHARDS = 1000;
-/** A batch never needs more than a completion, its record and a condition's worth of room. */
+/**
+ * The minimum for finishing a job in one transaction: one operation each on its live and its final
+ * record, which also leaves room for the conditions.
+ */
 const MIN_TXN_OPS = 2;
 const MAX_TXN_OPS = 100_000;
 
 const readSeed = (row: FieldReader): Seed => ({
-  label: controllerLabel(row.text("label")),
+  label: controllerLabel(row.string("label")),
   address: row.address("address"),
 });
 
@@ -162,7 +169,7 @@
 };
 
 const readTeam = (row: FieldReader): Team => ({
-  name: teamName(row.text("name")),
+  name: teamName(row.string("name")),
   cpus: row.number("cpus", 0, UNLIMITED, 0),
   gpus: row.number("gpus", 0, UNLIMITED, 0),
   cpusMax: readLimit(row, "cpus_max"),
@@ -170,16 +177,16 @@
 });
 
 const readWorkers = (section: FieldReader): WorkerSettings => ({
-  reportS: section.number("report_s", 0.01, UNLIMITED),
+  heartbeatPeriodS: section.number("report_s", 0.01, UNLIMITED),
   leaseS: section.number("lease_s", 0.1, UNLIMITED),
-  cancelS: section.number("cancel_s", 0.1, UNLIMITED),
+  cancellationTimeoutS: section.number("cancel_s", 0.1, UNLIMITED),
 });
 
 const readState = (section: FieldReader): StateSettings => ({
   rps: section.number("rps", 1, UNLIMITED),
   writeRps: section.number("write_rps", 1, UNLIMITED),
   valueKb: section.number("value_kb", 1, UNLIMITED),
-  txnOps: section.whole("txn_ops", MIN_TXN_OPS, MAX_TXN_OPS),
+  txnOps: section.integer("txn_ops", MIN_TXN_OPS, MAX_TXN_OPS),
 });
 
 const readCloud = (section: FieldReader): CloudSettings => ({
@@ -187,13 +194,18 @@
   listLagS: section.number("list_lag_s", 0, UNLIMITED, 0),
 });
 
-const readResources = (section: FieldReader, members: number): ProcessResources => ({
-  cpuShare: section.number("cpu_share", 0.001, UNLIMITED, 1),
+const readResources = (section: FieldReader, controllerCount: number): ProcessResources => ({
+  cpuFraction: section.number("cpu_share", 0.001, UNLIMITED, 1),
   ramMb: section.number("ram_mb", MIN_RAM_MB, UNLIMITED, DEFAULT_RAM_MB),
-  maxSockets: section.whole("max_sockets", minSockets(members), MAX_SOCKETS, DEFAULT_MAX_SOCKETS),
+  maxSockets: section.integer(
+    "max_sockets",
+    minSockets(controllerCount),
+    MAX_SOCKETS,
+    DEFAULT_MAX_SOCKETS,
+  ),
 });
 
-/** In the order of the file, which is the order in which faults are reported. */
+/** Reads the fields in the order of the file, in which the faults are then reported. */
 const readSettings = (top: FieldReader): Settings => {
   const services = top.section("services");
   const params = top.section("params");
@@ -201,22 +213,22 @@
   const state = params.section("state");
   const cloud = params.section("cloud");
   const resources = params.section("resources");
-  const seeds = top.rows("seeds");
+  const seeds = top.tables("seeds");
   const ignoredObjectives: string[] = [];
   return {
-    label: controllerLabel(top.text("label")),
-    zone: top.text("area"),
+    label: controllerLabel(top.string("label")),
+    zone: top.string("area"),
     frontAddress: top.address("front"),
     internalAddress: top.address("internal_addr"),
     seeds: seeds.map(readSeed),
     cloudAddress: services.address("cloud"),
     stateAddress: services.address("state"),
-    shardCount: params.whole("size", 1, MAX_SHARDS),
-    zones: params.texts("zones"),
+    shardCount: params.integer("size", 1, MAX_SHARDS),
+    zones: params.strings("zones"),
     skewMs: params.number("skew_ms", 0, UNLIMITED, 0),
-    teams: params.rows("teams").map(readTeam),
+    teams: params.tables("teams").map(readTeam),
     objectives: params
-      .rows("objectives")
+      .tables("objectives")
       .flatMap((row) => readObjective(row, ignoredObjectives) ?? []),
     ignoredObjectives,
     workers: readWorkers(workers),
@@ -226,11 +238,11 @@
   };
 };
 
-/** The first value that stands twice. */
-const repeated = (values: readonly string[]): string | undefined =>
+/** The first value that appears more than once. */
+const findDuplicate = (values: readonly string[]): string | undefined =>
   values.find((value, index) => values.indexOf(value) < index);
 
-/** The file's settings, or a line for each fault. */
+/** Parses and validates the file; returns the settings, or a line for each fault. */
 export const parseSettings = (source: string): Checked<Settings> => {
   let raw: unknown;
   try {
@@ -241,9 +253,9 @@
   }
   const faults: string[] = [];
   const settings = readSettings(new FieldReader({ ...(raw as object) }, "", faults));
-  const team = repeated(settings.teams.map(({ name }) => name));
+  const team = findDuplicate(settings.teams.map(({ name }) => name));
   if (team !== undefined) faults.push(`params.teams: a name appears twice: ${describeValue(team)}`);
-  const label = repeated([settings.label, ...settings.seeds.map((seed) => seed.label)]);
+  const label = findDuplicate([settings.label, ...settings.seeds.map((seed) => seed.label)]);
   if (label !== undefined) faults.push(`seeds: a label appears twice: ${describeValue(label)}`);
   return checked(settings, faults);
 };
--- a/src/coordination/fleet/fleet-planner.ts
+++ b/src/coordination/fleet/fleet-planner.ts
@@ -59,7 +59,7 @@
       refusedOffers: this.rentals.refusedOffers(now),
       idleTimeoutS: operators.idleReturnS,
       maxRentals: MAX_RENTALS_PER_CALL * Math.max(1, Math.floor(settings.cloud.rps)),
-      meanMachineLifetimeS: operators.lifeS,
+      meanMachineLifetimeS: operators.expectedMachineLifeS,
       shardCount: settings.shardCount,
       overloaded: this.#overloadedShards(),
     });
@@ -98,6 +98,6 @@
   }
 
   #overloadedShards(): ReadonlySet<ShardId> {
-    return overloadedShards(this.ctx.replica, this.ctx.settings.workers.reportS);
+    return overloadedShards(this.ctx.replica, this.ctx.settings.workers.heartbeatPeriodS);
   }
 }
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -121,7 +121,10 @@
     if (!hasDemand) machines.push(toSwarmMachine(state, shard, candidate, candidates, now));
   }
   const moves = planSwarmMoves(machines, random, {
-    maxMoves: Math.max(operators.swarmMoves, Math.floor(machines.length * operators.swarmPart)),
+    maxMoves: Math.max(
+      operators.maxSwarmMoves,
+      Math.floor(machines.length * operators.maxSwarmMovesFraction),
+    ),
     maxLostWorkS: operators.swarmMaxLossS,
   });
   applyMoves(state, shard, moves);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,9 +1,9 @@
 /**
- * The composition root: which parts make one controller, and what each of them is given.
+ * The composition root: constructs the components of one controller and connects them.
  *
- * Nothing runs here. All parts live as long as the controller; whoever makes one starts its tasks
- * and servers, and calls `stop` when they have ended. The order of construction is kept, since parts
- * read the clock and the settings as they are made.
+ * Nothing is started here. All components live as long as the controller; the caller starts the
+ * tasks and servers, and calls `stop` after they have ended. The order of construction matters,
+ * since components read the clock and the settings in their constructors.
  */
 import type { Incarnation } from "@umberfold/ids";
 import type { Operators } from "../config/operators.js";
@@ -34,7 +34,7 @@
 import { frontHandler, peerHandler } from "./routes.js";
 import { UserApi } from "./user-api.js";
 
-/** What a controller reaches other hosts through, by the kind of host. Whoever opens them closes them. */
+/** HTTP clients by kind of host. The caller that opens them closes them. */
 export interface Connections {
   readonly state: HttpClient;
   readonly cloud: HttpClient;
@@ -42,19 +42,19 @@
   readonly peers: HttpClient;
 }
 
-/** A controller that is put together, and does nothing yet. */
+/** A constructed controller that has not been started. */
 export interface Controller {
-  /** Answers users, workers and the load balancer. */
-  readonly front: RequestHandler;
-  /** Answers the other controllers. */
-  readonly peer: RequestHandler;
-  /** To be started in this order. */
+  /** Handles requests from users, workers and the load balancer. */
+  readonly frontHandler: RequestHandler;
+  /** Handles requests from the other controllers. */
+  readonly peerHandler: RequestHandler;
+  /** Must be started in this order. */
   readonly tasks: readonly PeriodicTask[];
-  /** Has its parts begin nothing more; the connections are closed by whoever opened them. */
+  /** Makes the components start no further work. Doesn't close the connections. */
   readonly stop: () => void;
 }
 
-/** What one controller is made of. */
+/** The inputs from which one controller is constructed. */
 interface ControllerInputs {
   readonly settings: Settings;
   readonly operators: Operators;
@@ -66,7 +66,7 @@
 
 const makeContext = (inputs: ControllerInputs): ControllerContext => {
   const { settings, operators, log, connections, incarnation, random } = inputs;
-  const members = settings.seeds.length + 1;
+  const controllerCount = settings.seeds.length + 1;
   const replica = new Replica(settings.shardCount);
   const teams = new Map(settings.teams.map((team) => [team.name, team]));
   return {
@@ -74,13 +74,19 @@
     teams,
     quotas: new ShardQuotas(replica, teams),
     operators,
-    store: new StateStore(settings.stateAddress, settings.state, connections.state, members),
+    store: new StateStore(
+      settings.stateAddress,
+      settings.state,
+      connections.state,
+      controllerCount,
+    ),
     replica,
     self: { label: settings.label, incarnation },
     log,
     random,
     metrics: new Metrics(),
-    // Half of its lease: after a longer pause it may have expired, and others own its shards.
+    // Half of the member lease: after a longer pause the lease may have expired, and then other
+    // controllers own the shards.
     pauseDetector: new PauseDetector(monotonicNow(), operators.memberLeaseMs / 2),
     eventLoopLag: new EventLoopLag(),
     isReplicaSynced: false,
@@ -88,7 +94,7 @@
   };
 };
 
-/** All parts of one controller, put together; whoever calls this runs the tasks and the servers. */
+/** Constructs all components of one controller; the caller runs the tasks and the servers. */
 export const makeController = (
   settings: Settings,
   operators: Operators,
@@ -101,24 +107,24 @@
   const { cloud, peers, workers } = connections;
   const ctx = makeContext({ settings, operators, log, connections, incarnation, random });
 
-  const rounds = new RoundLoop(operators.roundMs);
+  const rounds = new RoundLoop(operators.maxRoundPauseMs);
   const wake = (): void => rounds.wake();
   const membership: Membership = new Membership(ctx, () => owner.channel.canReachMachines());
   const owner: ShardOwner = new ShardOwner(ctx, membership, workers, wake);
   const leader = new Leader(ctx, membership, owner, cloud, peers, workers);
-  const cancels = new Cancellations(ctx, membership, owner, cloud, peers, workers);
-  const users = new UserApi(ctx, membership, wake, (notice) => cancels.confirm(notice));
+  const cancellations = new Cancellations(ctx, membership, owner, cloud, peers, workers);
+  const users = new UserApi(ctx, membership, wake, (notice) => cancellations.confirm(notice));
   const loadSpread = new LoadSpreadLoader(ctx, membership, owner, packages.loadSpread, leader);
   const sync = new ReplicaSync(ctx, membership, wake);
   const eventLoopWatch = new EventLoopWatch(ctx, owner);
   const availability = new AvailabilityMonitor(ctx, membership, owner, peers);
 
-  const parts = { ctx, membership, owner, leader, cancels, users, wake };
+  const components = { ctx, membership, owner, leader, cancellations, users, wake };
   return {
-    front: frontHandler(parts),
-    peer: peerHandler(parts),
+    frontHandler: frontHandler(components),
+    peerHandler: peerHandler(components),
     tasks: controllerTasks({
-      ...parts,
+      ...components,
       ...{ operators, packages, loadSpread, eventLoopWatch, availability, sync, rounds },
     }),
     stop: () => {
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -1,9 +1,9 @@
 /**
- * Accepting jobs: checks a submission, writes its record and answers.
+ * Accepts jobs: validates a submission, writes the job's record and responds.
  *
- * It owns the count of submissions that are being written. Invariant: a job that was accepted once
- * is answered as known ever after, whatever a repetition of its submission says; that is read from
- * the state store or secured by the conditions of the write.
+ * Its state is the number of submissions in flight. Invariant: submission is idempotent by job id.
+ * A repeated submission of an accepted job gets that job's status, even if its other fields differ
+ * or are invalid. This is ensured by reading the state store or by the conditions of the write.
  */
 import { type JobId, KEY_ABSENT } from "@umberfold/ids";
 import { applyCommitted } from "../coordination/context.js";
@@ -12,27 +12,28 @@
 import { encodeAcceptedJob, keys, newJob } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
 import { decodeBody, type HttpResponse } from "../transport/server.js";
-import type { JobWriteParts } from "./job-write-parts.js";
+import type { JobWriteDependencies } from "./job-write-parts.js";
 import { malformed, NOT_CBOR, neverRuns, tryAgain } from "./user-responses.js";
 
-const MIN_PENDING = 4;
+/** Lower bound of the limit on submissions in flight. */
+const MIN_PENDING_LIMIT = 4;
 
-/** Whether a task of a job could run on some machine and within its team's limit. */
+/** Whether a task of a job fits some machine type and its team's limit. */
 type Runnability =
   | { readonly kind: "runnable" }
   | { readonly kind: "never_runs"; readonly reason: string };
 
-const never = (reason: string): Runnability => ({ kind: "never_runs", reason });
+const notRunnable = (reason: string): Runnability => ({ kind: "never_runs", reason });
 
-/** Accepts the jobs that users submit. */
+/** Handles the users' submissions. */
 export class JobSubmission {
-  #pending = 0;
+  #pendingCount = 0;
 
-  constructor(private readonly parts: JobWriteParts) {}
+  constructor(private readonly dependencies: JobWriteDependencies) {}
 
   /**
-   * Answers a submission, of which only the bytes are known. Not async itself: one more Promise
-   * would be several turns of the queue for each submission.
+   * Decodes and handles a submission. Not an async function: another Promise would cost each
+   * submission several turns of the microtask queue.
    */
   submit(bytes: Buffer): Promise<HttpResponse> {
     const decoded = decodeBody(bytes);
@@ -43,56 +44,59 @@
       : this.#refuse(submissionId(decoded.value), parsed.reason);
   }
 
-  /** A known job is answered before any check of what else a repetition says. */
+  /** Rejects an invalid submission, unless its id is that of a known job. */
   async #refuse(id: JobId | undefined, reason: string): Promise<HttpResponse> {
-    const { jobs, answers } = this.parts;
+    const { jobs, answers } = this.dependencies;
     const found = id === undefined ? undefined : await jobs.read(id);
     if (id !== undefined && found !== undefined && found.kind !== "none")
-      return answers.about(id, found);
+      return answers.answer(id, found);
     return malformed(reason);
   }
 
   async #submitParsed(spec: JobSpec): Promise<HttpResponse> {
-    const { ctx, jobs, answers } = this.parts;
-    // Known jobs come first: settings or types may have changed since they were accepted.
+    const { ctx, jobs, answers } = this.dependencies;
+    // Known jobs are looked up before the checks below, which an accepted job may fail by now: the
+    // settings or machine types may have changed.
     if (jobs.cachedFinalJob(spec.id) !== undefined || ctx.replica.acceptedJobs.has(spec.id)) {
       const found = await jobs.read(spec.id);
-      if (found.kind !== "none") return answers.about(spec.id, found);
+      if (found.kind !== "none") return answers.answer(spec.id, found);
     }
     if (!this.#knowsMachineTypes()) return tryAgain(503);
     const runnability = this.#runnability(spec);
     if (runnability.kind === "never_runs") {
       const found = await jobs.read(spec.id);
-      if (found.kind !== "none") return answers.about(spec.id, found);
+      if (found.kind !== "none") return answers.answer(spec.id, found);
       return neverRuns(runnability.reason);
     }
-    if (this.#pending >= this.#maxPending() || !ctx.store.mayWriteNow(1)) return tryAgain(429);
-    this.#pending++;
+    if (this.#pendingCount >= this.#maxPending() || !ctx.store.mayWriteNow(1)) return tryAgain(429);
+    this.#pendingCount++;
     const startedAt = monotonicNow();
     try {
       return await this.#accept(spec);
     } finally {
       ctx.metrics.record("accept", monotonicNow() - startedAt);
-      this.#pending--;
+      this.#pendingCount--;
     }
   }
 
-  /** Without them it can't be told whether a job could ever run. */
+  /** Without the machine types it is unknown whether a job could ever run. */
   #knowsMachineTypes(): boolean {
-    const { replica, isReplicaSynced } = this.parts.ctx;
+    const { replica, isReplicaSynced } = this.dependencies.ctx;
     const types = replica.machineTypes?.value;
     return isReplicaSynced && types !== undefined && types.length > 0;
   }
 
-  /** About what the state store lets us write in a second; more would only wait its turn. */
+  /**
+   * About the number of writes per second that the state store allows; more would only queue up.
+   */
   #maxPending(): number {
-    return Math.max(MIN_PENDING, Math.ceil(this.parts.ctx.settings.state.writeRps));
+    return Math.max(MIN_PENDING_LIMIT, Math.ceil(this.dependencies.ctx.settings.state.writeRps));
   }
 
   #runnability(spec: JobSpec): Runnability {
-    const { replica, teams } = this.parts.ctx;
+    const { replica, teams } = this.dependencies.ctx;
     const team = teams.get(spec.team);
-    if (team === undefined) return never("unknown team");
+    if (team === undefined) return notRunnable("unknown team");
     const types = replica.machineTypes?.value ?? [];
     const fitsSomeType = types.some(
       (type) =>
@@ -100,14 +104,14 @@
         (spec.zone === null || type.zones.includes(spec.zone)) &&
         fits(spec.resources, type.capacity),
     );
-    if (!fitsSomeType) return never("a task fits no allowed machine type");
+    if (!fitsSomeType) return notRunnable("a task fits no allowed machine type");
     if (spec.resources.cpus > team.cpusMax || spec.resources.gpus > team.gpusMax)
-      return never("a task needs more than the team's limit");
+      return notRunnable("a task needs more than the team's limit");
     return { kind: "runnable" };
   }
 
   async #accept(spec: JobSpec): Promise<HttpResponse> {
-    const { ctx, jobs, writes, answers, wake } = this.parts;
+    const { ctx, jobs, writes, answers, wake } = this.dependencies;
     const key = keys.live(spec.id);
     const shard = ctx.loadSpread?.placeJob(spec) ?? null;
     const value = encodeAcceptedJob(newJob(spec, wallClockNow(), shard));
@@ -124,8 +128,9 @@
       wake();
       return { status: 201, body: acceptedBody(spec.id) };
     }
-    // A conflict means it is known already. No answer means it may be: the user asks again.
-    if (result.kind === "conflict") return answers.about(spec.id, await jobs.read(spec.id));
+    // A conflict means that the job exists already. Without a result from the store the write may
+    // or may not have been applied, so the user is asked to retry.
+    if (result.kind === "conflict") return answers.answer(spec.id, await jobs.read(spec.id));
     return tryAgain(503);
   }
 }
--- a/src/service/replica-sync.ts
+++ b/src/service/replica-sync.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the replica in step with the state store: a scan at the start and whenever the watch has
- * fallen too far behind, and the watch in between. Sets `isReplicaSynced` of the context, and
- * nothing else.
+ * Keeps the replica in sync with the state store: scans all records at the start and whenever the
+ * watch has fallen too far behind, and otherwise applies the changes that the watch returns. Sets
+ * `isReplicaSynced` of the context after the first scan.
  */
 import type { ControllerContext } from "../coordination/context.js";
 import type { Membership } from "../coordination/membership/membership.js";
@@ -9,41 +9,41 @@
 import { CURRENT_PREFIX, classifyKey } from "../storage/records.js";
 import { sleep } from "../transport/clock.js";
 
-/** How long the state store may hold a watch open until there is a change. */
-const WATCH_WAIT_MS = 10_000;
-/** How long to wait after a scan or a watch that came to nothing. */
-const RETRY_MS = 200;
+/** How long the state store may keep a watch request open if nothing changes. */
+const WATCH_TIMEOUT_MS = 10_000;
+/** Delay after a failed scan or watch. */
+const RETRY_DELAY_MS = 200;
 
-/** The watch of this controller; `follow` is run again and again as a periodic task. */
+/** Watches the state store for this controller; `syncOnce` is run as a periodic task. */
 export class ReplicaSync {
-  /** `wakeRounds` has a scheduling round run soon. */
+  /** `wakeRounds` makes a scheduling round run soon. */
   constructor(
     private readonly ctx: ControllerContext,
     private readonly membership: Membership,
     private readonly wakeRounds: () => void,
   ) {}
 
-  /** One watch, answered or timed out; before the first, the scan. */
-  async follow(): Promise<void> {
+  /** Performs one watch request, and before the first of them a scan. */
+  async syncOnce(): Promise<void> {
     const { store, replica } = this.ctx;
-    if (!this.ctx.isReplicaSynced && !(await this.#startSync())) return sleep(RETRY_MS);
-    const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_WAIT_MS);
-    if (watched.kind === "unavailable") return sleep(RETRY_MS);
+    if (!this.ctx.isReplicaSynced && !(await this.#startSync())) return sleep(RETRY_DELAY_MS);
+    const watched = await store.watch(CURRENT_PREFIX, replica.syncedRevision, WATCH_TIMEOUT_MS);
+    if (watched.kind === "unavailable") return sleep(RETRY_DELAY_MS);
     if (watched.kind === "too_old") {
       await this.#scan();
       return;
     }
-    let foreignWrites = 0;
+    let peerWrites = 0;
     for (const change of watched.changes) {
-      // A change that is not known yet is foreign: own ones were applied when they were answered.
-      // (While own deletes counted as foreign writes, an owner throttled itself when many jobs
-      // finished at once.)
+      // A change that the replica doesn't have yet was made by another controller: own changes are
+      // applied when their transaction succeeds. Own deletes must not be counted as peer writes: an
+      // owner would throttle its own writes when many jobs finish at once.
       if (replica.isApplied(change)) continue;
-      // Finishing a job also writes its final record, which no watch shows.
-      foreignWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
+      // Finishing a job also writes its final record, which this watch doesn't return.
+      peerWrites += change.kind === "delete" && classifyKey(change.key).kind === "live" ? 2 : 1;
       replica.apply(change);
     }
-    this.membership.recordPeerWrites(foreignWrites);
+    this.membership.recordPeerWrites(peerWrites);
     replica.advanceTo(watched.rev);
     if (watched.changes.length > 0) this.#reconcileSoon();
   }
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** Not awaited: the watch must go on while membership waits for the state store. */
+  /** Doesn't wait for membership: the watch must continue while that waits for the state store. */
   #reconcileSoon(): void {
     this.wakeRounds();
     this.membership.reconcile().catch((error) => {
--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -1,9 +1,9 @@
 /**
- * Runs one controller as a process: connections, servers and timers around the parts.
+ * Runs one controller as a process: opens its connections and servers and starts its timers.
  *
- * All of these belong to one scope, which closes them in the reverse order of their opening: first
- * no more tasks start, then no more requests are let in, then the parts stop, and last the
- * connections are closed.
+ * All of these belong to one scope, which closes them in the reverse order of opening: first the
+ * periodic tasks stop, then the servers accept no more requests, then the components stop, and last
+ * the connections are closed.
  */
 import { randomUUID } from "node:crypto";
 import type http from "node:http";
@@ -24,7 +24,7 @@
 import { type Connections, type Controller, makeController } from "./controller.js";
 import { type PeriodicTask, startPeriodic } from "./periodic-task.js";
 
-/** A server could not listen: the address is taken, or isn't this host's. */
+/** A server could not listen: its address is in use, or isn't an address of this host. */
 export class ListenError extends Data.TaggedError("ListenError")<{
   /** Host and port, as in the settings. */
   readonly address: string;
@@ -34,17 +34,17 @@
   readonly cause: Error;
 }> {}
 
-/** Connections to one host of the kinds of which there are several. */
-const MAX_PER_HOST = 2;
+/** Connections per host, for other controllers and workers. */
+const MAX_CONNECTIONS_PER_HOST = 2;
 
 const openConnections = (parts: SocketParts): Connections => ({
   state: new PooledHttpClient(parts.state, parts.state),
   cloud: new PooledHttpClient(parts.cloud, parts.cloud),
-  peers: new PooledHttpClient(MAX_PER_HOST, parts.peers),
-  workers: new PooledHttpClient(MAX_PER_HOST, parts.workers, parts.idleWorkers),
+  peers: new PooledHttpClient(MAX_CONNECTIONS_PER_HOST, parts.peers),
+  workers: new PooledHttpClient(MAX_CONNECTIONS_PER_HOST, parts.workers, parts.idleWorkers),
 });
 
-/** Each kind of host has its part of the sockets, so that none can take them all. */
+/** Each kind of host has its own limit on sockets, so that none can use up all of them. */
 const scopedConnections = (parts: SocketParts): Effect.Effect<Connections, never, Scope.Scope> =>
   Effect.acquireRelease(
     Effect.sync(() => openConnections(parts)),
@@ -76,7 +76,7 @@
     (listening) => Effect.sync(() => listening.close()),
   );
 
-/** Starts the tasks in their order. A failure of one is logged, and the task runs again. */
+/** Starts the tasks in the given order. A failed run is logged, and the task continues. */
 const scopedTasks = (
   tasks: readonly PeriodicTask[],
   log: Logger,
@@ -95,7 +95,7 @@
       }),
   );
 
-/** One whole controller over HTTP; runs until its scope closes. */
+/** Runs one controller over HTTP until its scope closes. */
 export const runController = (
   settings: Settings,
   operators: Operators,
@@ -103,9 +103,9 @@
   log: Logger,
 ): Effect.Effect<never, ListenError, Scope.Scope> =>
   Effect.gen(function* () {
-    const members = settings.seeds.length + 1;
-    const parts = socketParts(settings.resources.maxSockets, members);
-    // The incarnation is new at each start, and seeds the random draws.
+    const controllerCount = settings.seeds.length + 1;
+    const parts = socketParts(settings.resources.maxSockets, controllerCount);
+    // Each start has a new incarnation, which also seeds the random number generator.
     const uuid = randomUUID();
     const generator = xoroshiro128plus(Number.parseInt(uuid.slice(0, 8), 16));
     const random = (): number => uniformFloat64(generator);
@@ -113,9 +113,9 @@
     const controller = yield* scopedController(() =>
       makeController(settings, operators, packages, log, connections, incarnation(uuid), random),
     );
-    const front = makeServer(controller.front, parts.front, log);
+    const front = makeServer(controller.frontHandler, parts.front, log);
     yield* scopedListening(front, settings.frontAddress, parts.frontBacklog);
-    const internal = makeServer(controller.peer, parts.inner, log);
+    const internal = makeServer(controller.peerHandler, parts.inner, log);
     yield* scopedListening(internal, settings.internalAddress, parts.inner);
     yield* scopedTasks(controller.tasks, log);
     return yield* Effect.never;
