--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -13,7 +13,7 @@
 import { commandsBody, parseWorkerStatus } from "../../protocol/workers.js";
 import type { CallResult, HttpClient } from "../../transport/client.js";
 import { monotonicNow } from "../../transport/clock.js";
-import { socketParts } from "../../transport/sockets.js";
+import { divideSockets } from "../../transport/sockets.js";
 import type { MachineSoftState } from "../ownership/machine-soft-state.js";
 import { reconcileCommands, startedAttemptKeys } from "../ownership/reconciliation.js";
 import type { ShardState } from "../ownership/shard-state.js";
@@ -53,7 +53,7 @@
  * evidence against the machine.
  */
 const isLocalFailure = (result: CallResult): boolean =>
-  result.kind === "unsent" && result.own === true;
+  result.kind === "unsent" && result.isLocal === true;
 
 const answerBody = (result: CallResult): unknown =>
   result.kind === "answer" ? result.body : undefined;
@@ -86,7 +86,7 @@
   ) {
     const { settings } = state.ctx;
     const controllerCount = settings.seeds.length + 1;
-    this.#maxInFlight = socketParts(settings.resources.maxSockets, controllerCount).workers;
+    this.#maxInFlight = divideSockets(settings.resources.maxSockets, controllerCount).workerCalls;
   }
 
   /**
--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -20,7 +20,7 @@
 import type { Logger } from "../observability/log.js";
 import { PooledHttpClient } from "../transport/client.js";
 import { makeServer } from "../transport/server.js";
-import { type SocketParts, socketParts } from "../transport/sockets.js";
+import { divideSockets, type SocketBudget } from "../transport/sockets.js";
 import { type Connections, type Controller, makeController } from "./controller.js";
 import { type PeriodicTask, startPeriodic } from "./periodic-task.js";
 
@@ -37,15 +37,15 @@
 /** Connections to one host of the kinds of which there are several. */
 const MAX_PER_HOST = 2;
 
-const openConnections = (parts: SocketParts): Connections => ({
-  state: new PooledHttpClient(parts.state, parts.state),
+const openConnections = (parts: SocketBudget): Connections => ({
+  state: new PooledHttpClient(parts.stateStore, parts.stateStore),
   cloud: new PooledHttpClient(parts.cloud, parts.cloud),
   peers: new PooledHttpClient(MAX_PER_HOST, parts.peers),
-  workers: new PooledHttpClient(MAX_PER_HOST, parts.workers, parts.idleWorkers),
+  workers: new PooledHttpClient(MAX_PER_HOST, parts.workerCalls, parts.idleWorkerConnections),
 });
 
 /** Each kind of host has its part of the sockets, so that none can take them all. */
-const scopedConnections = (parts: SocketParts): Effect.Effect<Connections, never, Scope.Scope> =>
+const scopedConnections = (parts: SocketBudget): Effect.Effect<Connections, never, Scope.Scope> =>
   Effect.acquireRelease(
     Effect.sync(() => openConnections(parts)),
     (connections) =>
@@ -104,7 +104,7 @@
 ): Effect.Effect<never, ListenError, Scope.Scope> =>
   Effect.gen(function* () {
     const members = settings.seeds.length + 1;
-    const parts = socketParts(settings.resources.maxSockets, members);
+    const parts = divideSockets(settings.resources.maxSockets, members);
     // The incarnation is new at each start, and seeds the random draws.
     const uuid = randomUUID();
     const generator = xoroshiro128plus(Number.parseInt(uuid.slice(0, 8), 16));
@@ -115,8 +115,8 @@
     );
     const front = makeServer(controller.front, parts.front, log);
     yield* scopedListening(front, settings.frontAddress, parts.frontBacklog);
-    const internal = makeServer(controller.peer, parts.inner, log);
-    yield* scopedListening(internal, settings.internalAddress, parts.inner);
+    const internal = makeServer(controller.peer, parts.internal, log);
+    yield* scopedListening(internal, settings.internalAddress, parts.internal);
     yield* scopedTasks(controller.tasks, log);
     return yield* Effect.never;
   });
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -124,7 +124,7 @@
   #recordEvidence(outcome: CallResult): void {
     if (outcome.kind !== "answer") {
       // For want of a socket or of processor time here: that says nothing of the store.
-      if (outcome.kind !== "unsent" || outcome.own !== true) this.unansweredAt = monotonicNow();
+      if (outcome.kind !== "unsent" || outcome.isLocal !== true) this.unansweredAt = monotonicNow();
       return;
     }
     if (outcome.status === 429) {
--- a/src/transport/body-request.ts
+++ b/src/transport/body-request.ts
@@ -1,30 +1,30 @@
 /**
- * A request of Node's HTTP server whose body is gathered as the parser delivers it. The stream that
- * Node would put between costs three more turns of the queue for each heartbeat.
+ * A request of Node's HTTP server that collects its body directly from the HTTP parser. Reading the
+ * body through Node's stream would take three more turns of the callback queue for each heartbeat.
  *
- * Invariant: `onBody` is called at most once, and nothing is ever left in a stream.
+ * Invariant: `onBody` is called at most once, and the stream's buffer stays empty.
  */
 import http from "node:http";
 
-/** The protocol's bound on a request body. */
+/** The largest request body that the protocol allows. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
-/** Stands in for Node's own class: see `IncomingMessage` in the options of `http.createServer`. */
+/** Replaces Node's class through the option `IncomingMessage` of `http.createServer`. */
 export class BodyRequest extends http.IncomingMessage {
   #chunks: Buffer[] = [];
-  #size = 0;
-  /** Called once with the whole body, or with undefined once it is over `MAX_BODY_BYTES`. */
+  #receivedBytes = 0;
+  /** Called once: with the complete body, or with undefined if it exceeds `MAX_BODY_BYTES`. */
   onBody: ((bytes: Buffer | undefined) => void) | undefined;
 
-  /** Called by Node's parser with each piece of the body, and with null at its end. */
+  /** Called by Node's parser with each chunk of the body, and with null at its end. */
   override push(chunk: Buffer | null): boolean {
     if (chunk === null) {
       const [first] = this.#chunks;
       this.#deliver(this.#chunks.length === 1 ? first : Buffer.concat(this.#chunks));
       return false;
     }
-    this.#size += chunk.length;
-    if (this.#size > MAX_BODY_BYTES) this.#deliver(undefined);
+    this.#receivedBytes += chunk.length;
+    if (this.#receivedBytes > MAX_BODY_BYTES) this.#deliver(undefined);
     else this.#chunks.push(chunk);
     return true;
   }
@@ -37,7 +37,7 @@
   }
 }
 
-/** What Node's server asks of a request before it lets go of it: nothing is left in a stream. */
+/** Node's server reads these before it releases a request: its stream holds no unread data. */
 Object.defineProperties(BodyRequest.prototype, {
   readableEnded: {
     get(this: BodyRequest): boolean {
--- a/src/transport/bounded-agent.ts
+++ b/src/transport/bounded-agent.ts
@@ -1,56 +1,58 @@
 /**
- * Node's connection pool with a bound on idle connections over all hosts.
+ * Node's connection pool with a limit on idle connections over all hosts.
  *
- * Node's own bound is for each host. Machines come and go by the hundred, and those gone never close
- * their connections, which took up all the sockets of their kind: calls to new machines never went
- * out. Invariant: `#idle` holds just the connections that are kept without a request on them.
+ * Node only limits them per host. Machines come and go by the hundred, and machines that are gone
+ * never close their connections. Without this limit, such connections used up all sockets for
+ * workers, and calls to new machines were never sent.
+ *
+ * Invariant: `#idleConnections` holds exactly the kept connections that have no request in flight.
  */
 import http from "node:http";
 import type { Duplex } from "node:stream";
 
-/** Keeps connections alive; past the bound the one that was idle for longest is closed. */
+/** Keeps connections alive; above the limit it closes the one that has been idle longest. */
 export class BoundedAgent extends http.Agent {
   /** In the order in which they became idle. */
-  readonly #idle = new Set<Duplex>();
-  /** Those whose closing is already listened to. */
-  readonly #watched = new WeakSet<Duplex>();
+  readonly #idleConnections = new Set<Duplex>();
+  /** Connections that already have a listener for their `close` event. */
+  readonly #withCloseListener = new WeakSet<Duplex>();
 
   constructor(
-    maxPerHost: number,
-    private readonly maxIdle: number,
+    maxConnectionsPerHost: number,
+    private readonly maxIdleConnections: number,
   ) {
-    super({ keepAlive: true, maxSockets: maxPerHost, scheduling: "lifo" });
+    super({ keepAlive: true, maxSockets: maxConnectionsPerHost, scheduling: "lifo" });
   }
 
-  /** How many connections are kept idle. */
-  get idle(): number {
-    return this.#idle.size;
+  /** The number of idle keep-alive connections. */
+  get idleConnectionCount(): number {
+    return this.#idleConnections.size;
   }
 
-  /** Called by Node when a request has ended: whether to keep its connection. */
+  /** Called by Node when a request has ended; returns whether to keep its connection open. */
   override keepSocketAlive(socket: Duplex): boolean {
-    // The declared result is nothing; it is what tells the agent whether to keep the socket.
+    // Typed as void, but Node's agent returns a boolean: whether to keep the socket.
     const keep = super.keepSocketAlive(socket) as unknown as boolean;
     if (!keep) return false;
-    if (!this.#watched.has(socket)) {
-      this.#watched.add(socket);
-      socket.once("close", () => this.#idle.delete(socket));
+    if (!this.#withCloseListener.has(socket)) {
+      this.#withCloseListener.add(socket);
+      socket.once("close", () => this.#idleConnections.delete(socket));
     }
-    this.#idle.add(socket);
-    if (this.#idle.size > this.maxIdle) this.#closeOldest();
+    this.#idleConnections.add(socket);
+    if (this.#idleConnections.size > this.maxIdleConnections) this.#closeLongestIdle();
     return true;
   }
 
-  /** Called by Node when an idle connection gets a request. */
+  /** Called by Node when it assigns a request to an idle connection. */
   override reuseSocket(socket: Duplex, request: http.ClientRequest): void {
-    this.#idle.delete(socket);
+    this.#idleConnections.delete(socket);
     super.reuseSocket(socket, request);
   }
 
-  #closeOldest(): void {
-    const [oldest] = this.#idle;
+  #closeLongestIdle(): void {
+    const [oldest] = this.#idleConnections;
     if (oldest === undefined) return;
-    this.#idle.delete(oldest);
+    this.#idleConnections.delete(oldest);
     oldest.destroy();
   }
 }
--- a/src/transport/call-result.ts
+++ b/src/transport/call-result.ts
@@ -1,31 +1,34 @@
 /**
- * What a call of another host came to, in three kinds that differ in what they prove.
+ * The result of a call to another host, in three kinds by what is known about the request.
  *
- * Nothing here has state. Whoever sends a call that must not be repeated has to tell `unsent`, which
- * may be tried again at once, from `lost`, which may have been carried out.
+ * Stateless. A caller whose request is not idempotent must distinguish `unsent`, which can be
+ * retried immediately, from `lost`, where the request may have been executed.
  */
 
-/** The other side answered; whatever the status says, the request arrived. */
+/** The other host answered. Whatever the status, it received the request. */
 export interface AnsweredCall {
   readonly kind: "answer";
   readonly status: number;
-  /** Decoded by `call`, bytes from `callRaw`; undefined if the answer has no body. */
+  /** A decoded value from `call`, bytes from `callRaw`; undefined if the answer has no body. */
   readonly body: unknown;
-  /** Seconds after which the other side wants to be asked again. */
+  /** The delay in seconds that the `retry-after` header of the answer requests. */
   readonly retryAfterS?: number;
 }
 
-/** Certainly not carried out: no byte of it was sent. */
+/** The request was certainly not executed: no byte of it was sent. */
 export interface UnsentCall {
   readonly kind: "unsent";
-  /** For want of a socket or a turn here, which says nothing about the other side. */
-  readonly own?: boolean;
+  /**
+   * Whether the cause is in this process: no free socket or port, or no free slot in the client
+   * before the timeout. Such a result is no evidence about the other host.
+   */
+  readonly isLocal?: boolean;
 }
 
-/** No answer that could be read: it may have been carried out, or may yet be. */
+/** No readable answer arrived: the request may have been executed, or may still be executed. */
 export interface LostCall {
   readonly kind: "lost";
 }
 
-/** What became of a call. A call never rejects. */
+/** The result of a call. The Promise of a call never rejects. */
 export type CallResult = AnsweredCall | UnsentCall | LostCall;
--- a/src/transport/client.ts
+++ b/src/transport/client.ts
@@ -1,9 +1,9 @@
 /**
- * Calls of other hosts: the interface that all parts use, and its implementation over HTTP.
+ * Calls to other hosts: the interface that all modules use, and its implementation over HTTP.
  *
- * A client serves one kind of host (state store, cloud, workers, peers). It owns that kind's
- * connections and the queue of calls that wait for one. Invariant: never more calls are on their way
- * than `maxBusy`, and a call that waits has sent nothing.
+ * A client serves one kind of host (state store, cloud, workers, peers). It owns the connections to
+ * these hosts and the queue of calls that wait for a free slot. Invariants: at most `maxInFlight`
+ * calls are in flight, and no byte of a queued call has been sent.
  */
 import { decode, encode } from "../protocol/cbor.js";
 import { BoundedAgent } from "./bounded-agent.js";
@@ -12,9 +12,9 @@
 
 export type { CallResult } from "./call-result.js";
 
-/** Calls of other hosts, over HTTP or, in tests, over a simulated network. No call rejects. */
+/** Calls to other hosts, over HTTP or, in tests, over a simulated network. No call rejects. */
 export interface HttpClient {
-  /** Encodes the body and decodes the answer's; an answer that can't be decoded counts as lost. */
+  /** Encodes the body and decodes that of the answer; if decoding fails, the result is `lost`. */
   readonly call: (
     address: string,
     method: string,
@@ -22,7 +22,7 @@
     body: unknown,
     timeoutMs: number,
   ) => Promise<CallResult>;
-  /** Sends bytes as they are, and gives the answer's body as bytes. */
+  /** Sends the payload unchanged and returns the body of the answer as bytes. */
   readonly callRaw: (
     address: string,
     method: string,
@@ -30,11 +30,11 @@
     payload: Uint8Array | undefined,
     timeoutMs: number,
   ) => Promise<CallResult>;
-  /** Closes all connections; calls on their way end as lost. */
+  /** Closes all connections; calls in flight end as `lost`. */
   readonly close: () => void;
 }
 
-/** A call that waits until another has ended. */
+/** A queued call, started when another call ends. */
 interface WaitingCall {
   start: () => void;
 }
@@ -44,29 +44,29 @@
   try {
     return { ...result, body: decode(result.body as Buffer) };
   } catch {
-    // An unreadable answer proves nothing about what the other side did.
+    // An unreadable answer doesn't show whether the other host executed the request.
     return { kind: "lost" };
   }
 };
 
-/** Keep-alive calls to one kind of host, capped so that no kind takes all sockets. */
+/** Keep-alive calls to one kind of host, limited so that no kind uses up all sockets. */
 export class PooledHttpClient implements HttpClient {
   readonly #agent: BoundedAgent;
-  /** In the order of the calls. */
-  readonly #waiting = new Set<WaitingCall>();
-  #busy = 0;
+  /** In first-in, first-out order. */
+  readonly #waitingCalls = new Set<WaitingCall>();
+  #inFlightCount = 0;
 
   constructor(
-    maxPerHost: number,
-    private readonly maxBusy: number,
-    maxIdle = maxBusy,
+    maxConnectionsPerHost: number,
+    private readonly maxInFlight: number,
+    maxIdleConnections = maxInFlight,
   ) {
-    this.#agent = new BoundedAgent(maxPerHost, maxIdle);
+    this.#agent = new BoundedAgent(maxConnectionsPerHost, maxIdleConnections);
   }
 
-  /** How many connections are kept without a call on them. */
-  get idle(): number {
-    return this.#agent.idle;
+  /** The number of idle keep-alive connections. */
+  get idleConnectionCount(): number {
+    return this.#agent.idleConnectionCount;
   }
 
   /** See `HttpClient`. */
@@ -81,7 +81,7 @@
     return this.callRaw(address, method, path, payload, timeoutMs).then(decodedAnswer);
   }
 
-  /** See `HttpClient`. A call that gets no turn within the timeout ends as `unsent`, by our own fault. */
+  /** See `HttpClient`. A call still queued after the timeout ends as `unsent`, with `isLocal`. */
   callRaw(
     address: string,
     method: string,
@@ -91,7 +91,7 @@
   ): Promise<CallResult> {
     const request = { address, method, path, payload, timeoutMs };
     return new Promise((resolve) => {
-      if (this.#busy < this.maxBusy) this.#send(request, resolve);
+      if (this.#inFlightCount < this.maxInFlight) this.#send(request, resolve);
       else this.#enqueue(request, resolve);
     });
   }
@@ -102,33 +102,33 @@
   }
 
   #send(request: OutgoingRequest, resolve: (result: CallResult) => void): void {
-    this.#busy++;
-    // Never rejects: an exchange that fails is a result.
+    this.#inFlightCount++;
+    // No rejection handler: a failed exchange is reported as a result.
     exchange(this.#agent, request).then((result) => {
-      this.#busy--;
+      this.#inFlightCount--;
       resolve(result);
       this.#startNext();
     });
   }
 
-  /** Its timeout runs anew once it has its turn; nothing of it is on its way before. */
+  /** Queues a call for at most its timeout. Once it is sent, the full timeout applies again. */
   #enqueue(request: OutgoingRequest, resolve: (result: CallResult) => void): void {
     const waiting: WaitingCall = { start: () => undefined };
     const timer = setTimeout(() => {
-      this.#waiting.delete(waiting);
-      resolve({ kind: "unsent", own: true });
+      this.#waitingCalls.delete(waiting);
+      resolve({ kind: "unsent", isLocal: true });
     }, request.timeoutMs);
     waiting.start = () => {
       clearTimeout(timer);
       this.#send(request, resolve);
     };
-    this.#waiting.add(waiting);
+    this.#waitingCalls.add(waiting);
   }
 
   #startNext(): void {
-    const [next] = this.#waiting;
+    const [next] = this.#waitingCalls;
     if (next === undefined) return;
-    this.#waiting.delete(next);
+    this.#waitingCalls.delete(next);
     next.start();
   }
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,33 +1,34 @@
 /**
- * The process's clocks, and the one place where they are replaced by simulated ones.
+ * The clocks of the process, and the only place where the simulation replaces them.
  *
- * Durations are measured on the monotonic clock alone; the wall clock is for records and for people.
+ * Durations are measured only with the monotonic clock; the wall clock is for stored records,
+ * messages to other hosts and logs.
  */
 import { type MonotonicMs, monotonicMs, type WallClockMs, wallClockMs } from "@umberfold/ids";
 
-/** Where time comes from; all in milliseconds. */
+/** A source of time, in milliseconds. */
 export interface Clock {
-  /** Never goes back; it starts anywhere. */
-  readonly steady: () => number;
-  /** Since 1970; may go back, and differs between hosts. */
-  readonly wall: () => number;
+  /** Never decreases; its zero point is arbitrary. */
+  readonly monotonicNowMs: () => number;
+  /** Unix time; may go back, and differs between hosts. */
+  readonly wallClockNowMs: () => number;
   readonly sleep: (ms: number) => Promise<void>;
 }
 
 let current: Clock = {
-  steady: () => performance.now(),
-  wall: () => Date.now(),
+  monotonicNowMs: () => performance.now(),
+  wallClockNowMs: () => Date.now(),
   sleep: (ms) => new Promise((resolve) => setTimeout(resolve, ms)),
 };
 
-/** Puts another clock in place of the process's own, for the simulation. */
+/** Replaces the clock of the process, for the simulation. */
 export const setClock = (clock: Clock): void => {
   current = clock;
 };
 
-/** Now, to measure durations with. */
-export const monotonicNow = (): MonotonicMs => monotonicMs(current.steady());
-/** Now, as other hosts and people know it. */
-export const wallClockNow = (): WallClockMs => wallClockMs(current.wall());
-/** Resolves after so many milliseconds. */
+/** The current time on the monotonic clock, for measuring durations. */
+export const monotonicNow = (): MonotonicMs => monotonicMs(current.monotonicNowMs());
+/** The current Unix time in milliseconds, comparable with that of other hosts. */
+export const wallClockNow = (): WallClockMs => wallClockMs(current.wallClockNowMs());
+/** Resolves after the given number of milliseconds. */
 export const sleep = (ms: number): Promise<void> => current.sleep(ms);
--- a/src/transport/exchange.ts
+++ b/src/transport/exchange.ts
@@ -1,13 +1,13 @@
 /**
- * One request over HTTP and what became of it.
+ * Sends one HTTP request and returns its result.
  *
  * Each exchange settles once: by its answer, by an error or by its timeout, whichever comes first.
- * The kinds of results are kept apart by what is certain: `unsent` only where no connection was made.
+ * A failure is `unsent` only if no connection was established, and `lost` otherwise.
  */
 import http from "node:http";
 import type { CallResult } from "./call-result.js";
 
-/** A request to be sent. The timeout runs from the moment at which it is handed to a connection. */
+/** A request to be sent. Its timeout starts when it is handed to the connection pool. */
 export interface OutgoingRequest {
   /** Host and port. */
   readonly address: string;
@@ -18,13 +18,18 @@
   readonly timeoutMs: number;
 }
 
-/** Errors for want of a socket or a port here: no connection was made, and the fault is ours. */
-const OWN_ERRORS: ReadonlySet<string> = new Set(["EMFILE", "ENFILE", "ENOBUFS", "EADDRNOTAVAIL"]);
+/** This process has no free socket, port or buffer: no connection was made, for a local cause. */
+const LOCAL_ERROR_CODES: ReadonlySet<string> = new Set([
+  "EMFILE",
+  "ENFILE",
+  "ENOBUFS",
+  "EADDRNOTAVAIL",
+]);
 
-const LOST: CallResult = { kind: "lost" };
+const LOST_CALL: CallResult = { kind: "lost" };
 
-/** Throws on an address that can't be one. */
-const openRequest = (agent: http.Agent, request: OutgoingRequest): http.ClientRequest => {
+/** Throws on an invalid address. */
+const createRequest = (agent: http.Agent, request: OutgoingRequest): http.ClientRequest => {
   const { address, method, path, payload } = request;
   const colon = address.lastIndexOf(":");
   return http.request({
@@ -40,13 +45,13 @@
   });
 };
 
-/** Only where no connection was made it is certain that nothing was sent. */
+/** Only without a connection is it certain that nothing was sent. */
 const resultOfError = ({ code = "" }: NodeJS.ErrnoException): CallResult => {
-  if (OWN_ERRORS.has(code)) return { kind: "unsent", own: true };
-  return code === "ECONNREFUSED" ? { kind: "unsent" } : LOST;
+  if (LOCAL_ERROR_CODES.has(code)) return { kind: "unsent", isLocal: true };
+  return code === "ECONNREFUSED" ? { kind: "unsent" } : LOST_CALL;
 };
 
-const answerOf = (response: http.IncomingMessage, chunks: readonly Buffer[]): CallResult => {
+const answeredCall = (response: http.IncomingMessage, chunks: readonly Buffer[]): CallResult => {
   const retryAfterS = Number(response.headers["retry-after"]);
   const bytes = chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
   return {
@@ -63,12 +68,12 @@
 ): void => {
   const chunks: Buffer[] = [];
   response.on("data", (chunk: Buffer) => chunks.push(chunk));
-  response.on("error", () => settle(LOST));
-  response.on("aborted", () => settle(LOST));
-  response.on("end", () => settle(answerOf(response, chunks)));
+  response.on("error", () => settle(LOST_CALL));
+  response.on("aborted", () => settle(LOST_CALL));
+  response.on("end", () => settle(answeredCall(response, chunks)));
 };
 
-/** Sends a request; the body of an answer is its bytes. Never rejects. */
+/** Sends a request. The body of its answer is not decoded. Never rejects. */
 export const exchange = (agent: http.Agent, request: OutgoingRequest): Promise<CallResult> =>
   new Promise((resolve) => {
     let settled = false;
@@ -80,19 +85,19 @@
     };
     let outgoing: http.ClientRequest;
     try {
-      outgoing = openRequest(agent, request);
+      outgoing = createRequest(agent, request);
     } catch {
-      // An address that can't be one, out of a worker's status perhaps.
+      // The address is invalid; it may come from a worker's status.
       resolve({ kind: "unsent" });
       return;
     }
-    const giveUp = (): void => {
-      settle(LOST);
+    const abandon = (): void => {
+      settle(LOST_CALL);
       outgoing.destroy();
     };
-    // A process that fell behind sees its timers before the answers that came in time: what
-    // lies ready is read first, or it would take its own lateness for the other side's silence.
-    const timer = setTimeout(() => setImmediate(() => setImmediate(giveUp)), request.timeoutMs);
+    // If the event loop was blocked, the timer runs before answers that arrived in time are read.
+    // Reading those first prevents mistaking a local delay for an unresponsive host.
+    const timer = setTimeout(() => setImmediate(() => setImmediate(abandon)), request.timeoutMs);
     outgoing.on("response", (response) => readResponse(response, settle));
     outgoing.on("error", (error: NodeJS.ErrnoException) => settle(resultOfError(error)));
     outgoing.end(request.payload);
--- a/src/transport/server.ts
+++ b/src/transport/server.ts
@@ -1,9 +1,9 @@
 /**
- * The HTTP server: it gathers bodies, calls a handler, writes the answer, and closes connections
- * when too many are open.
+ * The HTTP server: collects request bodies, calls a handler, writes its response, and closes
+ * connections when too many are open.
  *
- * It owns its connections and their count. A handler's failure is answered with 503 and logged: it
- * ends neither the connection nor the process.
+ * It owns its connections and their count. If a handler fails, the server logs the error and
+ * responds with 503; neither the connection nor the process ends.
  */
 import http from "node:http";
 import { errorFields } from "../observability/error-fields.js";
@@ -14,27 +14,30 @@
 
 export { MAX_BODY_BYTES } from "./body-request.js";
 
-/** What a handler answers. */
+/** The response of a handler. */
 export interface HttpResponse {
   readonly status: number;
-  /** Bytes go out as they are, anything else as CBOR; undefined for none. */
+  /** Bytes are sent unchanged, anything else as CBOR; undefined for no body. */
   readonly body?: unknown;
-  /** Seconds after which the other side should ask again; rounded up to whole ones. */
+  /** The `retry-after` header in seconds, rounded up to whole seconds; omitted if undefined. */
   readonly retryAfterS?: number;
 }
 
-/** What a handler is given. */
+/** A request as passed to a handler. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
-  /** The body's bytes; empty if there is none. */
+  /** The undecoded body; empty if there is none. */
   readonly bytes: Buffer;
 }
 
-/** Answers at once where it can: a Promise costs turns of the queue. */
+/**
+ * Handles a request. Should respond synchronously where it can: a Promise takes more turns of the
+ * callback queue.
+ */
 export type RequestHandler = (request: HttpRequest) => HttpResponse | Promise<HttpResponse>;
 
-/** A body's value, or that its bytes aren't CBOR. */
+/** The value of a body; `ok` is false if its bytes are not CBOR. */
 export type DecodedBody = { readonly ok: true; readonly value: unknown } | { readonly ok: false };
 
 /** Decodes a request's body without throwing. */
@@ -56,8 +59,8 @@
 };
 
 /**
- * Head and body go out as one string, in one write: with a buffer for the body Node's stream gathers
- * two, and a short answer costs half as much again.
+ * Sends head and body as one string, in a single write. With a Buffer as body, Node's stream has to
+ * combine two chunks, which makes a short response cost half as much again.
  */
 const respond = (response: http.ServerResponse, answer: HttpResponse, close: boolean): void => {
   const bytes = bodyBytes(answer.body);
@@ -72,41 +75,51 @@
   response.end(bytes.toString("latin1"), "latin1");
 };
 
-/** The body was not read whole: the connection is closed once the answer is out. */
+/**
+ * Responds with 413. The rest of the body stays unread, so the connection is closed once the
+ * response has been sent.
+ */
 const refuseLargeBody = (request: BodyRequest, response: http.ServerResponse): void => {
   respond(response, { status: 413, body: { error: "body over 64 KiB" } }, true);
   response.once("finish", () => request.destroy());
 };
 
 /**
- * From these parts of the connections on, answers close theirs: workers' first, who come back with
- * their next heartbeat, then everybody's. So all hosts of a fleet can be served, one heartbeat after
- * the other, by a survivor that has not a socket for each.
+ * Fractions of the maximum number of connections above which a response closes its connection:
+ * first only those of workers, which reconnect for their next heartbeat, then all. So after a
+ * failover one controller can serve all machines in turn, although it has fewer sockets than
+ * machines.
  */
-const CLOSE_WORKERS_PART = 0.75;
-const CLOSE_ALL_PART = 0.9;
+const CLOSE_WORKER_CONNECTIONS_FRACTION = 0.75;
+const CLOSE_ALL_CONNECTIONS_FRACTION = 0.9;
 /**
- * Machines that vanish never close their connections, and in a fleet that changes all the time these
- * took up all that are let in. Whoever lives sends heartbeats or requests many times as often.
+ * Machines that fail or are returned don't close their connections. In a fleet that changes all the
+ * time such connections used up the maximum number of connections. Live hosts send heartbeats or
+ * requests many times within this timeout.
  */
-const SILENT_CONNECTION_MS = 120_000;
+const IDLE_CONNECTION_TIMEOUT_MS = 120_000;
 
-/** Whether a path's answers close their connections while so many are open. */
-const isCrowded = (openConnections: number, maxConnections: number, path: string): boolean => {
-  const part = path === HEARTBEAT_PATH ? CLOSE_WORKERS_PART : CLOSE_ALL_PART;
-  return openConnections > maxConnections * part;
+/** Whether the response to a request for this path must close its connection. */
+const mustCloseConnection = (
+  openConnections: number,
+  maxConnections: number,
+  path: string,
+): boolean => {
+  const fraction =
+    path === HEARTBEAT_PATH ? CLOSE_WORKER_CONNECTIONS_FRACTION : CLOSE_ALL_CONNECTIONS_FRACTION;
+  return openConnections > maxConnections * fraction;
 };
 
-/** Calls the handler once the body is there, and answers whatever becomes of it. */
+/** Calls the handler once the body is complete, and sends its response or, if it fails, a 503. */
 const serve = (
   request: BodyRequest,
   response: http.ServerResponse,
   handler: RequestHandler,
-  closes: (path: string) => boolean,
+  mustClose: (path: string) => boolean,
   log: Logger,
 ): void => {
   const path = request.url ?? "";
-  const answer = (result: HttpResponse): void => respond(response, result, closes(path));
+  const answer = (result: HttpResponse): void => respond(response, result, mustClose(path));
   const fail = (error: unknown): void => {
     log.error("request handler failed", { path, ...errorFields(error) });
     if (!response.headersSent) respond(response, { status: 503, retryAfterS: 1 }, false);
@@ -115,7 +128,7 @@
     refuseLargeBody(request, response);
     return;
   }
-  // An aborted request needs no answer, and without a listener its error would end the process.
+  // An aborted request needs no response; without a listener, its error would end the process.
   request.on("error", () => undefined);
   request.onBody = (bytes) => {
     if (bytes === undefined) {
@@ -132,27 +145,30 @@
   };
 };
 
-/** An HTTP server whose handler can't end the process, whatever comes in. It doesn't listen yet. */
+/**
+ * Creates an HTTP server that doesn't listen yet. No request and no handler error ends the process.
+ */
 export const makeServer = (
   handler: RequestHandler,
   maxConnections: number,
   log: Logger,
 ): http.Server => {
-  let open = 0;
-  const closes = (path: string): boolean => isCrowded(open, maxConnections, path);
+  let openConnections = 0;
+  const mustClose = (path: string): boolean =>
+    mustCloseConnection(openConnections, maxConnections, path);
   const server = http.createServer(
-    // biome-ignore lint/style/useNamingConvention: Node's name of the option.
+    // biome-ignore lint/style/useNamingConvention: the option is named by Node.
     { IncomingMessage: BodyRequest },
-    (request, response) => serve(request, response, handler, closes, log),
+    (request, response) => serve(request, response, handler, mustClose, log),
   );
   server.keepAliveTimeout = 0;
   server.requestTimeout = 0;
   server.headersTimeout = 0;
-  server.timeout = SILENT_CONNECTION_MS;
+  server.timeout = IDLE_CONNECTION_TIMEOUT_MS;
   server.maxConnections = maxConnections;
   server.on("connection", (socket) => {
-    open++;
-    socket.once("close", () => open--);
+    openConnections++;
+    socket.once("close", () => openConnections--);
   });
   server.on("clientError", (_error, socket) => socket.destroy());
   return server;
--- a/src/transport/sockets.ts
+++ b/src/transport/sockets.ts
@@ -1,60 +1,88 @@
 /**
- * How a process's sockets are divided among the kinds of hosts.
+ * Divides the sockets of a process among the kinds of connections.
  *
- * The parts add up to less than the limit, so that no kind can take what another needs: past the
- * limit every new connection fails, the state store's among them.
+ * The sum of all counts stays below the process's socket limit, so that no kind can use the sockets
+ * of another. Once a process has reached its limit, every new connection fails, including those to
+ * the state store.
  */
 
-/** Numbers of sockets, by kind. */
-export interface SocketParts {
-  /** Connections of users, workers and health checks that are let in. */
+/** The maximum number of sockets of each kind. */
+export interface SocketBudget {
+  /** Accepted connections of users, workers and health checks. */
   readonly front: number;
-  /** Connections that wait to be let in: while the process is behind they count as well. */
+  /** Listen backlog of the front server; connections not yet accepted also occupy sockets. */
   readonly frontBacklog: number;
-  /** Connections of other controllers that are let in. */
-  readonly inner: number;
-  readonly state: number;
+  /** Accepted connections of other controllers. */
+  readonly internal: number;
+  /** Connections to the state store. */
+  readonly stateStore: number;
+  /** Connections to the cloud. */
   readonly cloud: number;
+  /** Connections to other controllers. */
   readonly peers: number;
-  /** Calls to workers at a time. */
-  readonly workers: number;
-  /** Connections to workers that are kept without a call on them. */
-  readonly idleWorkers: number;
+  /** Calls to workers in flight. */
+  readonly workerCalls: number;
+  /** Idle keep-alive connections to workers. */
+  readonly idleWorkerConnections: number;
 }
 
-const MAX_STATE = 24;
-const STATE_PART = 0.1;
-const CLOUD = 4;
+const MAX_STATE_STORE_SOCKETS = 24;
+const STATE_STORE_FRACTION = 0.1;
+const CLOUD_SOCKETS = 4;
 const MAX_WORKER_CALLS = 96;
-const WORKER_CALLS_PART = 0.08;
-const IDLE_WORKERS_PART = 0.05;
-const BACKLOG_PART = 0.08;
-/** Listening sockets, and connections that are closing or turned away: they count as well. */
-const SPARE = 8;
-const SPARE_PART = 0.04;
-/** A restarted peer's old connections may still be there beside its new ones. */
-const PER_PEER_OUT = 2;
-const PER_PEER_IN = 2 * PER_PEER_OUT;
-/** With fewer a kind can't do its work. */
-const MIN_OF_A_KIND = 4;
-const MIN_BASE = 96;
-const MIN_PER_MEMBER = 16;
+const WORKER_CALLS_FRACTION = 0.08;
+const IDLE_WORKER_CONNECTIONS_FRACTION = 0.05;
+const FRONT_BACKLOG_FRACTION = 0.08;
+/** For listening sockets, and for connections that are being closed or rejected. */
+const BASE_RESERVED_SOCKETS = 8;
+const RESERVED_FRACTION = 0.04;
+const OUTGOING_SOCKETS_PER_CONTROLLER = 2;
+/** Doubled: a restarted controller's old connections may still be open beside its new ones. */
+const INCOMING_SOCKETS_PER_CONTROLLER = 2 * OUTGOING_SOCKETS_PER_CONTROLLER;
+/** With fewer sockets, a kind of connection can't work. */
+const MIN_SOCKETS_PER_KIND = 4;
+const BASE_MIN_SOCKETS = 96;
+const MIN_SOCKETS_PER_CONTROLLER = 16;
 
-/** The fewest sockets with which every kind has a part worth having. */
-export const minSockets = (members: number): number => MIN_BASE + MIN_PER_MEMBER * members;
+/** The smallest socket limit that leaves enough sockets for every kind of connection. */
+export const minSockets = (controllerCount: number): number =>
+  BASE_MIN_SOCKETS + MIN_SOCKETS_PER_CONTROLLER * controllerCount;
 
-/** The parts of `maxSockets` in a deployment with so many controllers, this one included. */
-export const socketParts = (maxSockets: number, members: number): SocketParts => {
-  const part = (share: number): number => Math.max(MIN_OF_A_KIND, Math.floor(maxSockets * share));
-  const state = Math.min(MAX_STATE, part(STATE_PART));
-  const workers = Math.min(MAX_WORKER_CALLS, part(WORKER_CALLS_PART));
-  const idleWorkers = part(IDLE_WORKERS_PART);
-  const peers = PER_PEER_OUT * members;
-  const inner = PER_PEER_IN * members;
-  const spare = SPARE + part(SPARE_PART);
-  const frontBacklog = part(BACKLOG_PART);
-  // As many may wait for the inner server as it lets in.
-  const others = state + CLOUD + peers + 2 * inner + workers + idleWorkers + spare + frontBacklog;
-  const front = Math.max(MIN_OF_A_KIND, maxSockets - others);
-  return { front, frontBacklog, inner, state, cloud: CLOUD, peers, workers, idleWorkers };
+/**
+ * Divides the socket limit among the kinds of connections.
+ *
+ * @param maxSockets the process's socket limit
+ * @param controllerCount the number of controllers in the deployment, this one included
+ */
+export const divideSockets = (maxSockets: number, controllerCount: number): SocketBudget => {
+  const fractionOfLimit = (fraction: number): number =>
+    Math.max(MIN_SOCKETS_PER_KIND, Math.floor(maxSockets * fraction));
+  const stateStore = Math.min(MAX_STATE_STORE_SOCKETS, fractionOfLimit(STATE_STORE_FRACTION));
+  const workerCalls = Math.min(MAX_WORKER_CALLS, fractionOfLimit(WORKER_CALLS_FRACTION));
+  const idleWorkerConnections = fractionOfLimit(IDLE_WORKER_CONNECTIONS_FRACTION);
+  const peers = OUTGOING_SOCKETS_PER_CONTROLLER * controllerCount;
+  const internal = INCOMING_SOCKETS_PER_CONTROLLER * controllerCount;
+  const reserved = BASE_RESERVED_SOCKETS + fractionOfLimit(RESERVED_FRACTION);
+  const frontBacklog = fractionOfLimit(FRONT_BACKLOG_FRACTION);
+  // `internal` counts twice: accepted connections, and a listen backlog of the same size.
+  const others =
+    stateStore +
+    CLOUD_SOCKETS +
+    peers +
+    2 * internal +
+    workerCalls +
+    idleWorkerConnections +
+    reserved +
+    frontBacklog;
+  const front = Math.max(MIN_SOCKETS_PER_KIND, maxSockets - others);
+  return {
+    front,
+    frontBacklog,
+    internal,
+    stateStore,
+    cloud: CLOUD_SOCKETS,
+    peers,
+    workerCalls,
+    idleWorkerConnections,
+  };
 };
--- a/test/coordination/membership/lease-keeper.test.ts
+++ b/test/coordination/membership/lease-keeper.test.ts
@@ -35,7 +35,7 @@
 
 const makeKeeper = ({ grants, renewals = ["renewed"] }: StoreAnswers): KeeperSetup => {
   let now = 1000;
-  setClock({ steady: () => now, wall: () => now, sleep: async () => undefined });
+  setClock({ monotonicNowMs: () => now, wallClockNowMs: () => now, sleep: async () => undefined });
   const trace: string[] = [];
   const replica = new Replica(1);
   const member = encodeControllerId(SELF);
--- a/test/coordination/membership/write-share.test.ts
+++ b/test/coordination/membership/write-share.test.ts
@@ -13,7 +13,7 @@
 }
 
 const makeShare = (): { readonly share: WriteShare; readonly updates: ShareUpdate[] } => {
-  setClock({ steady: () => 0, wall: () => 0, sleep: async () => undefined });
+  setClock({ monotonicNowMs: () => 0, wallClockNowMs: () => 0, sleep: async () => undefined });
   const updates: ShareUpdate[] = [];
   const updateShares = (memberCount: number, rate: number): void => {
     updates.push({ memberCount, peerWriteRate: Math.round(rate * 100) / 100 });
--- a/test/coordination/workers/direct-command-sender.test.ts
+++ b/test/coordination/workers/direct-command-sender.test.ts
@@ -72,7 +72,7 @@
   },
   {
     name: "a call that got no local socket doesn't count against the machine",
-    result: { kind: "unsent", own: true },
+    result: { kind: "unsent", isLocal: true },
     failedCalls: 0,
   },
   {
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -37,8 +37,8 @@
   constructor(seed: number) {
     this.#rng = xoroshiro128plus(seed);
     setClock({
-      steady: () => this.now,
-      wall: () => 1_700_000_000_000 + this.now,
+      monotonicNowMs: () => this.now,
+      wallClockNowMs: () => 1_700_000_000_000 + this.now,
       sleep: (ms) => this.sleep(ms),
     });
   }
--- a/test/transport/client.test.ts
+++ b/test/transport/client.test.ts
@@ -11,38 +11,39 @@
 };
 
 /**
- * Connections to machines that were gone took up all sockets for workers, since nobody closed
- * them: calls to new machines never went out, and healthy machines were returned as unreachable.
+ * Guards against idle connections to machines that are gone using up all sockets for workers.
+ * Nothing closed them: calls to new machines were never sent, and healthy machines were returned as
+ * unreachable.
  */
-test("idle connections to many hosts stay within their bound, and calls to new hosts go out", async () => {
+test("idle connections to many hosts stay within their limit, and calls to new hosts are sent", async () => {
   const hosts = await Promise.all(
     [1, 2, 3, 4].map(() => listen((_request, response) => response.end())),
   );
-  const caller = new PooledHttpClient(2, 2, 2);
+  const client = new PooledHttpClient(2, 2, 2);
   for (const [, address] of hosts) {
-    const result = await caller.call(address, "GET", "/status", undefined, 5000);
+    const result = await client.call(address, "GET", "/status", undefined, 5000);
     assert.equal(result.kind, "answer");
-    // The connection is given back once its answer has been read to the end.
+    // The connection becomes idle once its response has been read completely.
     await new Promise((resolve) => setImmediate(resolve));
   }
-  assert.ok(caller.idle <= 2, `${caller.idle} idle`);
-  caller.close();
+  assert.ok(client.idleConnectionCount <= 2, `${client.idleConnectionCount} idle`);
+  client.close();
   for (const [server] of hosts) server.closeAllConnections();
   for (const [server] of hosts) server.close();
 });
 
-test("a call that never got its turn is known not to have been sent", async () => {
+test("a call that times out in the queue ends as unsent, with a local cause", async () => {
   const unanswered: http.ServerResponse[] = [];
   const [server, address] = await listen((_request, response) => unanswered.push(response));
-  const caller = new PooledHttpClient(2, 1, 1);
-  const first = caller.call(address, "GET", "/slow", undefined, 60_000);
-  const second = await caller.call(address, "GET", "/late", undefined, 20);
-  assert.deepEqual(second, { kind: "unsent", own: true });
+  const client = new PooledHttpClient(2, 1, 1);
+  const first = client.call(address, "GET", "/slow", undefined, 60_000);
+  const second = await client.call(address, "GET", "/late", undefined, 20);
+  assert.deepEqual(second, { kind: "unsent", isLocal: true });
   while (unanswered.length === 0) await new Promise((resolve) => setImmediate(resolve));
   unanswered[0]?.end();
   assert.equal((await first).kind, "answer");
-  assert.equal(unanswered.length, 1, "the second never arrived");
-  caller.close();
+  assert.equal(unanswered.length, 1, "the second call must not arrive");
+  client.close();
   server.closeAllConnections();
   server.close();
 });
--- a/test/transport/sockets.test.ts
+++ b/test/transport/sockets.test.ts
@@ -1,22 +1,25 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { minSockets, socketParts } from "../../src/transport/sockets.js";
+import { divideSockets, minSockets } from "../../src/transport/sockets.js";
 
-/** All workers of a fleet of 886 and of 1,458 at one survivor must leave each kind its part. */
-test("the parts of the sockets stay below the limit", () => {
-  for (const [maxSockets, members] of [
+/**
+ * Guards against one kind of connection using the sockets of another, also when a single controller
+ * serves all workers of a fleet of 886 or 1,458 machines after a failover.
+ */
+test("the sockets of all kinds of connections add up to less than the limit", () => {
+  for (const [maxSockets, controllerCount] of [
     [1062, 3],
     [2150, 5],
     [1200, 3],
     [minSockets(3), 3],
     [minSockets(9), 9],
   ] as const) {
-    const parts = socketParts(maxSockets, members);
-    const all = Object.values(parts).reduce((sum, sockets) => sum + sockets, 0);
-    assert.ok(all + parts.inner < maxSockets, `${maxSockets}: ${JSON.stringify(parts)}`);
+    const budget = divideSockets(maxSockets, controllerCount);
+    const all = Object.values(budget).reduce((sum, sockets) => sum + sockets, 0);
+    assert.ok(all + budget.internal < maxSockets, `${maxSockets}: ${JSON.stringify(budget)}`);
     assert.ok(
-      Object.values(parts).every((sockets) => sockets >= 4),
-      JSON.stringify(parts),
+      Object.values(budget).every((sockets) => sockets >= 4),
+      JSON.stringify(budget),
     );
   }
 });
