--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,11 +1,12 @@
 /**
- * Makes `target/umberfold.cjs`, the whole program in one file, and V8's code cache of it, which
- * `target/start.cjs` starts from; beside them a file for each package that is loaded on demand, and
- * `target/packages.json`, the packages' file in a form that is cheaper to read. It is run once the
- * sources are compiled.
+ * Builds the files that `target/start.cjs` loads, from the compiled sources:
  *
- * The cache is taken from a controller that ran on loopback for a moment, so that it also holds what
- * is compiled only when it is first called.
+ * - `target/umberfold.cjs`, the whole program in one file, and its V8 code cache
+ * - a file for each package that is loaded on demand
+ * - `target/packages.json`, the packages' file as JSON, which is cheaper to parse
+ *
+ * The code cache is written by a controller that runs briefly on loopback. So it also contains
+ * functions that V8 compiles lazily, on their first call.
  */
 import { spawnSync } from "node:child_process";
 import { mkdirSync, readFileSync, writeFileSync } from "node:fs";
@@ -16,19 +17,20 @@
 import { checkPackages } from "../target/config/packages.js";
 import { minimalSettings } from "./minimal-settings.mjs";
 
-const RUN_MS = 1500;
+/** How long the controller runs before it writes the code cache. */
+const CACHE_DELAY_MS = 1500;
 /** See `src/start.cts`. */
 const CACHE_VARIABLE = "UMBERFOLD_WRITE_CACHE_AFTER_MS";
 const LEVEL_VARIABLE = "LOG_LEVEL";
 
-/** Packages that are loaded only where they are switched on, each from a file of its own. */
-const PACKAGES = ["load-spread"];
+/** Packages that are loaded only if they are enabled, each from a file of its own. */
+const ON_DEMAND_PACKAGES = ["load-spread"];
 const PACKAGES_FILE = "deploy/packages.hcl";
 const SETTINGS_FILE = "target/build-settings.toml";
 const START_FILE = "target/start.cjs";
 
-/** Loaded on first use only, and large: they stay files of their own. */
-const EXTERNAL = ["hcl2-parser", "hdr-histogram-js"];
+/** Large dependencies that are loaded on first use; they are not bundled. */
+const EXTERNAL_MODULES = ["hcl2-parser", "hdr-histogram-js"];
 
 const COMMON_OPTIONS = {
   bundle: true,
@@ -38,7 +40,10 @@
   logLevel: "error",
 };
 
-/** Reading HCL takes half a second of processor time: a start reads what the build made of it. */
+/**
+ * Converts the packages' file to JSON, which the program reads at start. Parsing HCL would take
+ * half a second of processor time.
+ */
 const compilePackagesFile = async () => {
   const parsed = await parseHcl(readFileSync(PACKAGES_FILE, "utf8"));
   const checked = parsed.ok ? checkPackages(parsed.value) : parsed;
@@ -49,11 +54,11 @@
   writeFileSync("target/packages.json", JSON.stringify(parsed.value));
 };
 
-/** In the bundle a package's name stands for the file that the build makes of it. */
-const packagesApart = {
-  name: "packages-apart",
+/** In the bundle, resolves the name of an on-demand package to the file that the build writes. */
+const onDemandPackagesPlugin = {
+  name: "on-demand-packages",
   setup: ({ onResolve }) => {
-    for (const name of PACKAGES)
+    for (const name of ON_DEMAND_PACKAGES)
       onResolve({ filter: new RegExp(`^@umberfold/${name}$`) }, ({ kind }) =>
         kind === "entry-point" ? undefined : { path: `./packages/${name}.cjs`, external: true },
       );
@@ -62,7 +67,7 @@
 
 const bundlePackages = async () => {
   mkdirSync("target/packages", { recursive: true });
-  for (const name of PACKAGES)
+  for (const name of ON_DEMAND_PACKAGES)
     await build({
       ...COMMON_OPTIONS,
       entryPoints: [`target/packages/${name}/index.js`],
@@ -75,11 +80,11 @@
     ...COMMON_OPTIONS,
     entryPoints: ["target/main.js"],
     outfile: "target/umberfold.cjs",
-    plugins: [packagesApart],
-    external: EXTERNAL,
-    // A script that is started from a code cache has no `import()`; `require` does the same here.
+    plugins: [onDemandPackagesPlugin],
+    external: EXTERNAL_MODULES,
+    // A script run from a code cache doesn't support `import()`; `require` is equivalent here.
     supported: { "dynamic-import": false },
-    // Only cbor-x asks for it, to load an extension that isn't there and can be done without.
+    // Only cbor-x reads it, to load an optional native extension that is not installed.
     define: { "import.meta.url": "undefined" },
   });
 
@@ -94,7 +99,7 @@
 
 const freeAddress = async () => `127.0.0.1:${await freePort()}`;
 
-/** Of a controller that reaches nobody: nothing listens at the addresses of the services. */
+/** Settings of a controller without reachable services: nothing listens at their addresses. */
 const settings = async () =>
   minimalSettings({
     label: "build",
@@ -104,22 +109,23 @@
     state: await freeAddress(),
   });
 
-/** V8 takes a cache only under the flags it was made with: those of the deploy file. */
+/** Reads Node's flags in the deploy file: V8 rejects a code cache created with other flags. */
 const startCommand = () => {
   const { run } = parse(readFileSync("deploy/service.toml", "utf8"));
-  const [program, ...words] = run.split(" ");
-  return { program, flags: words.slice(0, words.indexOf(START_FILE)) };
+  const [program, ...args] = run.split(" ");
+  return { program, flags: args.slice(0, args.indexOf(START_FILE)) };
 };
 
-/** Without a cache the program only starts later, so that is no reason to fail the build. */
+/** A failure doesn't fail the build: without a code cache, the program only starts more slowly. */
 const writeCodeCache = async () => {
   writeFileSync(SETTINGS_FILE, await settings());
   const { program, flags } = startCommand();
   const finished = spawnSync(program, [...flags, START_FILE, "--config", SETTINGS_FILE], {
     stdio: ["ignore", "ignore", "inherit"],
-    env: { ...process.env, [LEVEL_VARIABLE]: "error", [CACHE_VARIABLE]: String(RUN_MS) },
+    env: { ...process.env, [LEVEL_VARIABLE]: "error", [CACHE_VARIABLE]: String(CACHE_DELAY_MS) },
   });
-  if (finished.status !== 0) console.error("bundle: no code cache was made; starts take longer");
+  if (finished.status !== 0)
+    console.error("bundle: writing the code cache failed; the program will start more slowly");
 };
 
 await compilePackagesFile();
--- a/scripts/compare-processor-time.mjs
+++ b/scripts/compare-processor-time.mjs
@@ -1,17 +1,17 @@
 /**
- * Compares the processor time of two built checkouts of this repository, paired in one run:
+ * Compares the processor time of two built checkouts of this repository:
  *
  *     node scripts/compare-processor-time.mjs BEFORE AFTER [--pairs N] [--json]
  *         [--day-before PATTERN] [--day-after PATTERN]
  *
- * Two workloads are measured, each as user + system time of a single process: a large simulated
- * day, played by the one test whose name matches PATTERN, and a series of starts that only check
- * their settings. The sides alternate (before, after, after, before, ...) and one process runs at a
- * time, so that a machine that slows down for a while slows both sides. Nothing inside a checkout
- * is imported: the day's file is found by the test's name, the start by the run line of
- * `deploy/service.toml`.
+ * Two workloads are measured by the user and system time of a single process: a large simulated
+ * day, run by the one test whose name matches PATTERN, and a series of starts that only check their
+ * settings. The checkouts are measured in pairs of alternating order (before, after, after, before,
+ * ...), one process at a time, so that a temporary slowdown of the machine affects both. Nothing
+ * inside a checkout is imported: the test file is found by the test's name, and the start command
+ * is read from the run line of `deploy/service.toml`.
  *
- * The exit code is 0 whatever the ratio; it is 1 only if nothing could be measured.
+ * The exit code doesn't depend on the ratio; it is 1 only if the measurement failed.
  */
 import { spawnSync } from "node:child_process";
 import { existsSync, mkdtempSync, readdirSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -29,13 +29,14 @@
 of exactly one test matches.`;
 const DEFAULT_PAIRS = "5";
 const DEFAULT_DAY = "^at a few hundred machines writes and calls follow what starts";
-const STARTS = 20;
+/** Starts in one measurement of the second workload. */
+const START_COUNT = 20;
 
 const PRELOAD = fileURLToPath(new URL("report-processor-time.cjs", import.meta.url));
 const REPORT_DESCRIPTOR = 3;
 const TEST_NAME = /\b(?:test|it)\(\s*(["'`])((?:\\.|(?!\1).)*)\1/g;
 
-/** Only checked, never served: nothing listens at these addresses. */
+/** The settings are only checked; nothing listens at these addresses. */
 const SETTINGS = minimalSettings({
   label: "processor-time",
   front: "127.0.0.1:18001",
@@ -44,10 +45,10 @@
   state: "127.0.0.1:18004",
 });
 
-/** A reason why nothing can be measured, told to the user without a stack. */
+/** A reason why the measurement failed, printed without a stack trace. */
 class MeasurementError extends Error {}
 
-/** Runs Node in a checkout and returns the processor time it used, in seconds, and its output. */
+/** Runs Node in a checkout. Returns its processor time in seconds and its output. */
 const runNode = (directory, flags) => {
   const result = spawnSync(process.execPath, ["--require", PRELOAD, ...flags], {
     cwd: directory,
@@ -71,10 +72,13 @@
     .filter((file) => file.endsWith(".test.js"))
     .map((file) => path.join("target-test", file));
 
-/** The names of the tests in a compiled file; those composed at run time aren't found. */
+/** The names of the tests in a compiled file. Finds only names that are literals in the source. */
 const testNames = (source) => [...source.matchAll(TEST_NAME)].map(([, , name]) => name);
 
-/** The one test whose name matches the pattern: its file and name. */
+/**
+ * Returns file and name of the only test whose name matches the pattern. Throws unless exactly one
+ * matches.
+ */
 const findTest = (directory, pattern) => {
   const matches = testFiles(directory).flatMap((file) =>
     testNames(readFileSync(path.join(directory, file), "utf8"))
@@ -84,23 +88,24 @@
   if (matches.length === 1) return matches[0];
   const found = matches.map(({ file, name }) => `\n  ${file}: ${name}`).join("");
   throw new MeasurementError(
-    `${directory}: ${matches.length} tests match ${pattern}, one is needed (--day-before, ` +
-      `--day-after; target-test may also hold compiled files of tests that are gone)${found}`,
+    `${directory}: ${matches.length} tests match ${pattern}, exactly one must (set --day-before ` +
+      `or --day-after; target-test may also contain compiled files of deleted tests)${found}`,
   );
 };
 
 /** Node's arguments in the run line of the checkout's `deploy/service.toml`, up to `--config`. */
 const runLineArguments = (directory) => {
   const file = path.join(directory, "deploy", "service.toml");
-  if (!existsSync(file)) throw new MeasurementError(`${directory} is no checkout: no ${file}`);
+  if (!existsSync(file))
+    throw new MeasurementError(`${directory} is not a checkout: ${file} is missing`);
   const { run } = parse(readFileSync(file, "utf8"));
   const [program, ...rest] = run.trim().split(/\s+/);
   if (program !== "node" || rest.at(-1) !== "--config")
-    throw new MeasurementError(`${file}: the run line isn't "node ... --config": ${run}`);
+    throw new MeasurementError(`${file}: the run line must be "node ... --config", but is: ${run}`);
   return rest;
 };
 
-/** Refuses a checkout of which something isn't built. */
+/** Throws if required build outputs of a checkout are missing. */
 const checkBuilt = (directory, startArguments) => {
   const required = startArguments.filter((argument) => argument.startsWith("target/"));
   const missing = [...required, "target-test"].filter(
@@ -115,7 +120,7 @@
 
 const escapeRegExp = (text) => text.replace(/[.*+?^${}()|[\]\\/]/g, "\\$&");
 
-/** Plays the day once. A day that failed may have ended early: its time would say nothing. */
+/** Runs the simulated day once. Throws if its test fails, since it may have ended early. */
 const measureDay = ({ directory, day }) => {
   const name = `--test-name-pattern=${escapeRegExp(day.name)}`;
   const { seconds, output } = runNode(directory, ["--test-reporter=tap", name, day.file]);
@@ -124,15 +129,15 @@
   return seconds;
 };
 
-/** Starts the program several times one after the other, and adds up their processor time. */
+/** Starts the program `START_COUNT` times in sequence and returns the total processor time. */
 const measureStarts = ({ directory, startArguments }, settingsFile) => {
   let total = 0;
-  for (let start = 0; start < STARTS; start++)
+  for (let start = 0; start < START_COUNT; start++)
     total += runNode(directory, [...startArguments, settingsFile, "--check"]).seconds;
   return total;
 };
 
-/** Measures both sides in alternating order: before, after, after, before, ... */
+/** Measures both checkouts in alternating order: before, after, after, before, ... */
 const measurePairs = (sides, pairs, measure) => {
   const seconds = { before: [], after: [] };
   for (let pair = 0; pair < pairs; pair++) {
@@ -148,7 +153,9 @@
   return sorted.length % 2 === 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
 };
 
-/** Spread is the distance between the smallest and the largest value, as a part of the median. */
+/**
+ * `spread` is the difference between the largest and the smallest value, relative to the median.
+ */
 const summarize = (seconds) => {
   const min = Math.min(...seconds);
   return {
@@ -159,7 +166,7 @@
   };
 };
 
-/** Both sides' figures, the ratio of their medians, and the range of the pairs' own ratios. */
+/** Summarizes both checkouts, the ratio of their medians, and the range of ratios within pairs. */
 const compare = (workload, { before, after }) => {
   const ratios = after.map((seconds, pair) => seconds / before[pair]);
   return {
@@ -191,7 +198,7 @@
   }
 };
 
-/** The command line's options, checked. */
+/** Parses and validates the command line. */
 const readOptions = () => {
   const options = {
     pairs: { type: "string", default: DEFAULT_PAIRS },
@@ -218,15 +225,15 @@
   };
 };
 
-/** What is needed to measure a checkout, which must be built. */
-const openSide = ({ directory, pattern }) => {
+/** Collects the inputs for measuring a checkout. Throws if it isn't built. */
+const prepareSide = ({ directory, pattern }) => {
   const startArguments = runLineArguments(directory);
   checkBuilt(directory, startArguments);
   return { directory, startArguments, day: findTest(directory, pattern) };
 };
 
 const measure = ({ before, after, pairs, json }) => {
-  const sides = { before: openSide(before), after: openSide(after) };
+  const sides = { before: prepareSide(before), after: prepareSide(after) };
   const temporary = mkdtempSync(path.join(tmpdir(), "processor-time-"));
   try {
     const settingsFile = path.join(temporary, "settings.toml");
@@ -234,7 +241,7 @@
     const starts = (side) => measureStarts(side, settingsFile);
     const comparisons = [
       compare("large simulated day", measurePairs(sides, pairs, measureDay)),
-      compare(`${STARTS} starts`, measurePairs(sides, pairs, starts)),
+      compare(`${START_COUNT} starts`, measurePairs(sides, pairs, starts)),
     ];
     if (json) console.log(JSON.stringify({ pairs, comparisons }, null, 2));
     else
--- a/scripts/minimal-settings.mjs
+++ b/scripts/minimal-settings.mjs
@@ -1,9 +1,10 @@
 /**
- * The least that a settings file needs, for controllers that serve nobody: those of the build and of
- * measurements. A checkout of any age must accept it, so settings that came later stay out.
+ * A minimal settings file, for controllers that serve no requests: those of the build and of
+ * measurements. Checkouts of older versions must accept it too, so it leaves out all settings that
+ * were added later.
  */
 
-/** The file's text; each address is host and port. */
+/** Returns the text of the file. Each address consists of host and port. */
 export const minimalSettings = ({ label, front, internal, cloud, state }) => `label = "${label}"
 area = "${label}"
 front = "${front}"
--- a/scripts/rename-symbols.mjs
+++ b/scripts/rename-symbols.mjs
@@ -1,15 +1,16 @@
 #!/usr/bin/env node
 /**
- * Renames symbols with the compiler's language service, so that every reference follows its type.
+ * Renames symbols with TypeScript's language service, which finds all references by type.
  *
  *   node scripts/rename-symbols.mjs TABLE
  *
- * Each line of TABLE names one declaration and its new name; one that begins with `# ` is a comment:
+ * Each line of TABLE names one declaration and its new name; lines that begin with `#` are
+ * comments:
  *
  *   src/coordination/context.ts absorb applyToReplica          an exported or local name
  *   src/storage/store.ts:Store settle commitUntilKnown         a member of a class or an interface
  *
- * Names in comments, in log messages and on the wire are not touched.
+ * Names in comments, log messages and messages on the wire are not renamed.
  */
 import { readFileSync, writeFileSync } from "node:fs";
 import path from "node:path";
@@ -23,14 +24,17 @@
   return { options: { ...parsed.options, customConditions: undefined }, files: parsed.fileNames };
 };
 
-/** Packages are imported by name: their sources stand in for their builds, so that names follow. */
+/**
+ * The sources of the packages. Packages are imported by name; including their sources instead of
+ * their compiled files renames symbols in them too.
+ */
 const packageSources = () =>
   ts.sys
     .getDirectories("packages")
     .flatMap((name) => ts.sys.readDirectory(`packages/${name}/src`, [".ts"]))
     .map((file) => path.resolve(file));
 
-/** What the language service asks of the file system; texts and versions are the edited ones. */
+/** The host of the language service. File texts and versions include the edits so far. */
 const languageServiceHost = (options, files, textOf, versionOf) => ({
   getCompilationSettings: () => options,
   getScriptFileNames: () => files,
@@ -49,7 +53,7 @@
   realpath: ts.sys.realpath,
 });
 
-/** Owns the texts of all files as they are after the renames so far, on disk and in memory. */
+/** Applies renames. Owns the current texts of all files, and writes each edit to disk. */
 class RenameService {
   #texts = new Map();
   #versions = new Map();
@@ -66,7 +70,7 @@
     this.service = ts.createLanguageService(host);
   }
 
-  /** The file's present text; undefined if there is no such file. */
+  /** The current text of a file; undefined if it does not exist. */
   text(file) {
     if (!this.#texts.has(file)) this.#texts.set(file, ts.sys.readFile(file));
     return this.#texts.get(file);
@@ -84,14 +88,15 @@
   }
 
   /**
-   * Locals that carry the old name of a property only because of shorthand follow its new name:
-   * `{ newName: oldName }` becomes `{ newName }`, unless the new name has another meaning there.
+   * After the rename of a property, also renames local variables that had its old name in
+   * shorthand: `{ newName: oldName }` becomes `{ newName }`, unless the new name is already used in
+   * that scope.
    */
   renameShorthandLocals(oldName, newName) {
     for (const file of this.files) while (this.#renameShorthandLocal(file, oldName, newName));
   }
 
-  /** Whether one was found and its renaming changed the file. */
+  /** Whether a local was found and its rename changed the file. */
   #renameShorthandLocal(file, oldName, newName) {
     const local = this.#shorthandLocal(file, oldName, newName);
     if (local === undefined) return false;
@@ -105,7 +110,7 @@
     return ts.createSourceFile(file, this.text(file), ts.ScriptTarget.Latest, true);
   }
 
-  /** Where a local stands that could be renamed; undefined if there is none. */
+  /** The position of a local to rename; undefined if there is none. */
   #shorthandLocal(file, oldName, newName) {
     if (!this.text(file)?.includes(`${newName}: ${oldName}`)) return undefined;
     let found;
@@ -135,31 +140,36 @@
     if (spans.length > 0) this.#edit(file, spans.reverse(), name);
   }
 
-  /** Renames what stands at a position, wherever it is used. How many places were changed. */
+  /** Renames the symbol at a position everywhere. Returns the number of changed locations. */
   rename(file, position, newName) {
-    const places = this.service.findRenameLocations(file, position, false, false, {
+    const locations = this.service.findRenameLocations(file, position, false, false, {
       providePrefixAndSuffixTextForRename: true,
     });
-    if (places === undefined) return 0;
-    for (const [fileName, spans] of placesByFile(places)) this.#edit(fileName, spans, newName);
-    return places.length;
+    if (locations === undefined) return 0;
+    for (const [fileName, spans] of locationsByFile(locations))
+      this.#edit(fileName, spans, newName);
+    return locations.length;
   }
 }
 
-/** The places of each file of ours, each once and the last first, so that edits don't shift others. */
-const placesByFile = (places) => {
+/**
+ * Groups the locations by file, without duplicates and without `node_modules`. The last location of
+ * a file comes first, so that an edit doesn't shift the others.
+ */
+const locationsByFile = (locations) => {
   const byFile = new Map();
-  for (const place of places) {
-    if (place.fileName.includes("node_modules")) continue;
-    const spans = byFile.get(place.fileName) ?? [];
-    if (!spans.some((span) => span.textSpan.start === place.textSpan.start)) spans.push(place);
-    byFile.set(place.fileName, spans);
+  for (const location of locations) {
+    if (location.fileName.includes("node_modules")) continue;
+    const spans = byFile.get(location.fileName) ?? [];
+    if (!spans.some((span) => span.textSpan.start === location.textSpan.start))
+      spans.push(location);
+    byFile.set(location.fileName, spans);
   }
   for (const spans of byFile.values()) spans.sort((a, b) => b.textSpan.start - a.textSpan.start);
   return byFile;
 };
 
-/** The local in `{ property: local }`, of an object literal or of a binding pattern. */
+/** The local in `{ property: local }`, in an object literal or a binding pattern. */
 const aliasOf = (node, local, property) => {
   if (ts.isBindingElement(node) && node.propertyName !== undefined)
     return node.propertyName.getText() === property && node.name.getText() === local
@@ -171,7 +181,7 @@
     : undefined;
 };
 
-/** The function around a node, arrow functions apart, or the whole file. */
+/** The innermost enclosing function of a node, ignoring arrow functions, or the whole file. */
 const enclosingFunction = (node) => {
   let scope = node.parent;
   while (!ts.isSourceFile(scope) && !(ts.isFunctionLike(scope) && !ts.isArrowFunction(scope)))
@@ -179,7 +189,7 @@
   return scope;
 };
 
-/** Whether an identifier names a property, which has nothing to do with values of that name. */
+/** Whether an identifier is a property name, which doesn't refer to a value in scope. */
 const isPropertyName = (identifier) => {
   const { parent } = identifier;
   return (
@@ -191,7 +201,7 @@
   );
 };
 
-/** Whether a name stands for a value anywhere within a function, other than as a property. */
+/** Whether a name is used in a scope, other than as a property name. */
 const mentions = (scope, name) => {
   let found = false;
   const visit = (node) => {
@@ -217,14 +227,14 @@
   ts.isParameter(node) ||
   ts.isPropertyAssignment(node);
 
-/** The identifier that a node declares, if it declares one. */
+/** The identifier that a node declares; undefined if it declares none. */
 const declaredName = (node) => {
   const { name } = node;
   if (!isDeclaration(node) || name === undefined) return undefined;
   return ts.isIdentifier(name) || ts.isPrivateIdentifier(name) ? name : undefined;
 };
 
-/** The first declaration of a name in a file, or within the container of that name. */
+/** The first declaration of a name in a file, or in the given class or interface. */
 const findDeclaration = (sourceFile, container, name) => {
   let found;
   const visit = (node, inside) => {
@@ -241,7 +251,7 @@
   return found;
 };
 
-/** The lines of the table: where, the old name, the new one. */
+/** The entries of the table: declaration site, old name, new name. */
 const readTable = (file) =>
   readFileSync(file, "utf8")
     .split("\n")
@@ -250,8 +260,8 @@
     .map((line) => line.split(/\s+/));
 
 /** Whether the declaration was found and renamed. */
-const applyRename = (service, [place, oldName, newName]) => {
-  const [relative, container] = place.split(":");
+const applyRename = (service, [site, oldName, newName]) => {
+  const [relative, container] = site.split(":");
   const file = path.resolve(relative);
   const text = service.text(file);
   if (text === undefined) return false;
@@ -268,8 +278,8 @@
 let failed = 0;
 for (const rename of renames) {
   if (applyRename(service, rename)) continue;
-  console.error(`not renamed: ${rename[0]} ${rename[1]}`);
+  console.error(`not renamed: ${rename[0]} ${rename[1]}: declaration or references not found`);
   failed++;
 }
-console.log(`${renames.length - failed} of ${renames.length} names changed`);
+console.log(`${renames.length - failed} of ${renames.length} names renamed`);
 if (failed > 0) process.exitCode = 1;
--- a/scripts/report-processor-time.cjs
+++ b/scripts/report-processor-time.cjs
@@ -1,6 +1,6 @@
 /**
- * Preloaded with `--require` by `compare-processor-time.mjs`: on exit the process writes the
- * processor time it used, in microseconds as JSON, to file descriptor 3.
+ * Preloaded with `--require` by `compare-processor-time.mjs`. When the process exits, writes the
+ * processor time that it used, in microseconds as JSON, to file descriptor 3.
  */
 const { writeSync } = require("node:fs");
 
