--- a/src/transport/sockets.ts
+++ b/src/transport/sockets.ts
@@ -33,7 +33,7 @@
 const WORKER_CALLS_FRACTION = 0.08;
 const IDLE_WORKER_CONNECTIONS_FRACTION = 0.05;
 const FRONT_BACKLOG_FRACTION = 0.08;
-/** For listening sockets, and for connections that are being closed or rejected. */
+/** Listening sockets and connections being closed or rejected also count towards the limit. */
 const BASE_RESERVED_SOCKETS = 8;
 const RESERVED_FRACTION = 0.04;
 const OUTGOING_SOCKETS_PER_CONTROLLER = 2;
