--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -7,7 +7,12 @@
  */
 import { type JobId, KEY_ABSENT } from "@umberfold/ids";
 import { applyCommitted } from "../coordination/context.js";
-import { acceptedBody, type JobSpec, parseSubmission, parseSubmissionId } from "../protocol/jobs.js";
+import {
+  acceptedBody,
+  type JobSpec,
+  parseSubmission,
+  parseSubmissionId,
+} from "../protocol/jobs.js";
 import { fits } from "../scheduling/resources.js";
 import { encodeAcceptedJob, keys, newJob } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
