--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -9,7 +9,7 @@
 import { type MachineId, type ShardId, splitTask, type TaskId } from "@umberfold/ids";
 import type { Resources } from "../../protocol/jobs.js";
 import {
-  addUse,
+  addUsedResources,
   type CandidateMachine,
   countCompetingShapes,
   distinctShapes,
@@ -93,7 +93,7 @@
     return sumOccupancy(shardJobs, id, terminated);
   const cache = occupancyCaches.get(shardJobs) ?? new Map<MachineId, CachedOccupancy>();
   occupancyCaches.set(shardJobs, cache);
-  const openAttemptsVersion = shardJobs.openVersionOn(id);
+  const openAttemptsVersion = shardJobs.openAttemptsVersionOn(id);
   const cached = cache.get(id);
   if (cached?.openAttemptsVersion === openAttemptsVersion) return cached;
   const occupancy = { ...sumOccupancy(shardJobs, id, NO_TASKS), openAttemptsVersion };
@@ -128,7 +128,7 @@
   for (const [task, reservation] of state.reservations) {
     const candidate = candidates.get(reservation.machine);
     const resources = shardJobs.jobs.get(splitTask(task).job)?.spec.resources;
-    if (candidate !== undefined && resources !== undefined) addUse(candidate, resources);
+    if (candidate !== undefined && resources !== undefined) addUsedResources(candidate, resources);
   }
 };
 
@@ -165,7 +165,11 @@
     const typeEntry = typesByName.get(record.type);
     if (typeEntry === undefined || !isSchedulable(state, id, record)) continue;
     const { type, competingShapes } = typeEntry;
-    const { use, smallestDemand } = occupancyOf(shardJobs, id, terminatedByMachine.get(id));
+    const { use: usedResources, smallestDemand } = occupancyOf(
+      shardJobs,
+      id,
+      terminatedByMachine.get(id),
+    );
     const price = record.spot ? type.spotPrice : type.price;
     candidates.set(id, {
       id,
@@ -173,7 +177,7 @@
       zone: record.zone,
       spot: record.spot,
       capacity: type.capacity,
-      use,
+      usedResources,
       smallestDemand,
       price,
       isCostly: pricePerCpu(price, type.capacity.cpus) > COSTLY_PRICE_RATIO * lowestPricePerCpu,
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -46,7 +46,7 @@
   job: LiveJob,
   from: CandidateMachine,
   candidates: ReadonlyMap<MachineId, CandidateMachine>,
-): SwarmTask["allowed"] => {
+): SwarmTask["mayRunOn"] => {
   const zones = zoneCounts(state, job);
   zones.set(from.zone, Math.max(0, (zones.get(from.zone) ?? 0) - 1));
   return (to) => {
@@ -70,7 +70,7 @@
 ): SwarmMachine => {
   const shardJobs = state.ctx.replica.shardJobs(shard);
   const tasks: SwarmTask[] = [];
-  let { use } = machine;
+  let { usedResources } = machine;
   for (const [task, attempt] of shardJobs.openAttemptsOn(machine.id)) {
     const job = shardJobs.jobs.get(attempt.job);
     if (job === undefined) continue;
@@ -79,14 +79,14 @@
     // every machine would otherwise cause other tasks to be moved back and forth.
     const isFailing = (state.jobBackoffs.get(attempt.job)?.failureCount ?? 0) > 0;
     if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
-      use = subtract(use, job.spec.resources);
+      usedResources = subtract(usedResources, job.spec.resources);
       continue;
     }
-    const allowed = destinationFilter(state, job, machine, candidates);
-    const lossS = state.lossS(job, attemptState, now);
-    tasks.push({ task, resources: job.spec.resources, lossS, allowed });
+    const mayRunOn = destinationFilter(state, job, machine, candidates);
+    const lostWorkS = state.lossS(job, attemptState, now);
+    tasks.push({ task, resources: job.spec.resources, lostWorkS, mayRunOn });
   }
-  return { id: machine.id, capacity: machine.capacity, use, tasks };
+  return { id: machine.id, capacity: machine.capacity, usedResources, tasks };
 };
 
 /** Requests stops for the tasks to move and reserves capacity at their destinations. */
@@ -108,7 +108,7 @@
   const { replica, operators, random } = state.ctx;
   const shardJobs = replica.shardJobs(shard);
   const candidates = candidateMachines(state, shard, new Map(), new Set());
-  const waiting = representativeJobs(shardJobs.index.waiting.values());
+  const waiting = representativeJobs(shardJobs.index.waitingJobs.values());
   const machines: SwarmMachine[] = [];
   for (const candidate of candidates.values()) {
     // A machine that suits a waiting job is skipped: placement fills it, and would also fill the
@@ -121,8 +121,8 @@
     if (!hasDemand) machines.push(toSwarmMachine(state, shard, candidate, candidates, now));
   }
   const moves = planSwarmMoves(machines, random, {
-    cap: Math.max(operators.swarmMoves, Math.floor(machines.length * operators.swarmPart)),
-    maxLossS: operators.swarmMaxLossS,
+    maxMoves: Math.max(operators.swarmMoves, Math.floor(machines.length * operators.swarmPart)),
+    maxLostWorkS: operators.swarmMaxLossS,
   });
   applyMoves(state, shard, moves);
 };
--- a/test/coordination/workers/channel-setup.ts
+++ b/test/coordination/workers/channel-setup.ts
@@ -124,7 +124,7 @@
     value: encodeMachinePage(ids.map((id) => [id, MACHINE_RECORD])),
     rev,
   });
-  replica.advance(rev);
+  replica.advanceTo(rev);
   state.syncSessions(monotonicMs(0));
   return { state, replica, client, calls, events, roundRequestCount: () => requestedRounds };
 };
--- a/test/scheduling/candidate-selector.test.ts
+++ b/test/scheduling/candidate-selector.test.ts
@@ -1,4 +1,6 @@
-/** A selector that is shared by like jobs must choose what a search over all machines would. */
+/**
+ * A selector shared by jobs with the same key must choose what a search over all machines finds.
+ */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId } from "@umberfold/ids";
@@ -9,7 +11,7 @@
   isPermitted,
   placementGroupKey,
 } from "../../src/scheduling/placement.js";
-import { add, fitsBeside, minimumOf } from "../../src/scheduling/resources.js";
+import { add, fitsRemainingCapacity, minimumOf } from "../../src/scheduling/resources.js";
 import { moveProbability } from "../../src/scheduling/swarm.js";
 import {
   IMAGES,
@@ -20,7 +22,7 @@
   ZONES,
 } from "../support/random-jobs.js";
 
-/** The same search over all machines, computed for each task. */
+/** The expected choice: filters and sorts all machines anew for each task. */
 const bestCandidate = (
   spec: JobSpec,
   machines: readonly CandidateMachine[],
@@ -30,7 +32,7 @@
   const rankOf = (p: CandidateMachine): readonly number[] => {
     const late = !p.images.has(spec.image) && spec.imageGb > slackS * p.fetchGbPerS;
     const after = moveProbability(
-      add(p.use, spec.resources),
+      add(p.usedResources, spec.resources),
       p.capacity,
       minimumOf(p.smallestDemand, spec.resources),
     );
@@ -44,7 +46,9 @@
     ];
   };
   const permitted = machines.filter(
-    (p) => fitsBeside(spec.resources, p.use, p.capacity) && isPermitted(spec, p, zones),
+    (p) =>
+      fitsRemainingCapacity(spec.resources, p.usedResources, p.capacity) &&
+      isPermitted(spec, p, zones),
   );
   const ranked = permitted.map((p, at) => ({ p, key: [...rankOf(p), at] }));
   ranked.sort((a, b) => {
@@ -63,7 +67,7 @@
       zone: random.pick(ZONES),
       spot: random.unit() < 0.5,
       capacity: resourcesOf(large ? 16 : 8),
-      use: resourcesOf(0),
+      usedResources: resourcesOf(0),
       smallestDemand: resourcesOf(Number.POSITIVE_INFINITY),
       price: random.pick([1, 2, 3]),
       isCostly: random.unit() < 0.3,
@@ -74,12 +78,15 @@
   });
 
 const startOn = (machine: CandidateMachine, spec: JobSpec, zones: Map<string, number>): void => {
-  machine.use = add(machine.use, spec.resources);
+  machine.usedResources = add(machine.usedResources, spec.resources);
   machine.smallestDemand = minimumOf(machine.smallestDemand, spec.resources);
   zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
 };
 
-/** Places the tasks of one job with both, until none fits; returns how many were placed. */
+/**
+ * Places the tasks of one job until none fits, and compares each choice of the selector with that
+ * of `bestCandidate`. Returns the number of placed tasks.
+ */
 const placeWithBoth = (
   spec: JobSpec,
   selector: CandidateSelector,
@@ -100,7 +107,7 @@
   return spec.taskCount;
 };
 
-test("a selector shared by a placement group chooses as a search over all machines does", () => {
+test("a selector shared by a placement group chooses the machine that a full search finds", () => {
   let placed = 0;
   let placedByZone = 0;
   for (let seed = 1; seed <= 30; seed++) {
