--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -7,7 +7,12 @@
  */
 import { type JobId, KEY_ABSENT } from "@umberfold/ids";
 import { applyCommitted } from "../coordination/context.js";
-import { acceptedBody, type JobSpec, parseSubmission, submissionId } from "../protocol/jobs.js";
+import {
+  acceptedBody,
+  type JobSpec,
+  parseSubmission,
+  parseSubmissionId,
+} from "../protocol/jobs.js";
 import { fits } from "../scheduling/resources.js";
 import { encodeAcceptedJob, keys, newJob } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
@@ -41,7 +46,7 @@
     const parsed = parseSubmission(decoded.value);
     return parsed.ok
       ? this.#submitParsed(parsed.value)
-      : this.#refuse(submissionId(decoded.value), parsed.reason);
+      : this.#refuse(parseSubmissionId(decoded.value), parsed.reason);
   }
 
   /** Rejects an invalid submission, unless its id is that of a known job. */
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -10,8 +10,8 @@
 import {
   type Condition,
   compareBody,
-  grantBody,
   type KeyValue,
+  leaseRequestBody,
   parseLease,
   parseScanPage,
   storePaths,
@@ -128,7 +128,7 @@
     if (outcome.kind !== "answer") {
       // A call that failed on this side (no free socket, or not sent within its timeout because
       // this process was busy) is no evidence that the store is unavailable.
-      if (outcome.kind !== "unsent" || outcome.own !== true) this.unansweredAt = monotonicNow();
+      if (outcome.kind !== "unsent" || outcome.isLocal !== true) this.unansweredAt = monotonicNow();
       return;
     }
     if (outcome.status === 429) {
@@ -142,7 +142,7 @@
   /** Sends a transaction once. */
   async transact(transaction: Transaction): Promise<TransactionResult> {
     return classifyTransaction(
-      await this.#call("POST", storePaths.txn, transactionBody(transaction)),
+      await this.#call("POST", storePaths.transaction, transactionBody(transaction)),
     );
   }
 
@@ -178,7 +178,9 @@
 
   /** Checks in one request, without a write, that many revisions are current. */
   async compare(conditions: readonly Condition[]): Promise<CompareResult> {
-    return classifyComparison(await this.#call("POST", storePaths.txn, compareBody(conditions)));
+    return classifyComparison(
+      await this.#call("POST", storePaths.transaction, compareBody(conditions)),
+    );
   }
 
   /** Reads one key. */
@@ -200,7 +202,7 @@
       // Later pages are newer; the watch reports all changes since the first page again.
       firstRev ??= page.rev;
       items.push(...page.items);
-      if (!page.more || page.items.length === 0) return { items, rev: firstRev };
+      if (!page.hasMore || page.items.length === 0) return { items, rev: firstRev };
       afterKey = page.items[page.items.length - 1]?.key;
     }
   }
@@ -213,7 +215,7 @@
 
   /** Requests a new lease; undefined if none was granted or no answer arrived. */
   async grant(ttlMs: number): Promise<LeaseId | undefined> {
-    const outcome = await this.#call("POST", storePaths.grants, grantBody(ttlMs));
+    const outcome = await this.#call("POST", storePaths.leases, leaseRequestBody(ttlMs));
     return outcome.kind === "answer" && outcome.status === 200
       ? parseLease(outcome.body)
       : undefined;
@@ -221,7 +223,7 @@
 
   /** Renews a lease. `lapsed`: the lease has expired and its keys are deleted. */
   async renew(lease: LeaseId): Promise<"renewed" | "lapsed" | "unavailable"> {
-    const outcome = await this.#call("POST", storePaths.renew(lease), {});
+    const outcome = await this.#call("POST", storePaths.renewLease(lease), {});
     if (outcome.kind !== "answer") return "unavailable";
     if (outcome.status === 404) return "lapsed";
     return outcome.status === 200 ? "renewed" : "unavailable";
