--- a/packages/load-spread/test/planner.test.ts
+++ b/packages/load-spread/test/planner.test.ts
@@ -1,4 +1,4 @@
-/** Solver and greedy planner, and the fallback from one to the other. */
+/** The solver planner, the greedy planner, and the fallback from the first to the second. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { shardId, type TeamName } from "@umberfold/ids";
@@ -12,7 +12,7 @@
   solvePlan,
   type TeamLoad,
 } from "@umberfold/load-spread";
-import { stepSpan, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, stepSpan } from "@umberfold/spans";
 import fc from "fast-check";
 import {
   burst,
@@ -22,7 +22,7 @@
   OTHER,
   owners,
   plan,
-  planned,
+  planInputOf,
   ROUNDING,
   SEED,
   SETTINGS,
@@ -33,7 +33,7 @@
   teamLoad,
 } from "./fixtures.js";
 
-/** Asserts that a plan keeps every minimum and divides the whole. */
+/** Asserts that targets and weights keep their minimums and add up to a full share each. */
 const checkPlan = (load: TeamLoad, spanPlan: SpanPlan | undefined): void => {
   assert.ok(spanPlan !== undefined && load.span !== undefined);
   let targets = 0;
@@ -43,16 +43,16 @@
     targets += target;
     weights += weight;
     assert.ok(target >= (minimums.get(shard) ?? 0) - ROUNDING, `${target} in ${shard}`);
-    assert.ok(weight >= SETTINGS.minShare * WHOLE - ROUNDING);
+    assert.ok(weight >= SETTINGS.minShare * FULL_SHARE - ROUNDING);
   }
-  assert.ok(targets <= WHOLE && targets > WHOLE - ROUNDING);
-  assert.ok(weights <= WHOLE && weights > WHOLE - ROUNDING);
+  assert.ok(targets <= FULL_SHARE && targets > FULL_SHARE - ROUNDING);
+  assert.ok(weights <= FULL_SHARE && weights > FULL_SHARE - ROUNDING);
   const consolidated = consolidateTargets(
     load,
     load.span,
     new Map([...spanPlan].map(([shard, { target }]) => [shard, target])),
   );
-  assert.ok([...consolidated.values()].reduce((sum, n) => sum + n, 0) <= WHOLE);
+  assert.ok([...consolidated.values()].reduce((sum, n) => sum + n, 0) <= FULL_SHARE);
   for (const target of consolidated.values()) assert.ok(target >= 0);
 };
 
@@ -64,24 +64,24 @@
   .map((rows) =>
     teamLoad(
       spanOf(OTHER, THIRD),
-      rows.map(([used, more, waiting, largest], i) =>
+      rows.map(([used, more, waitingTaskCount, largest], i) =>
         shardLoad(shardId(i), {
-          jobs: 1,
-          open: 5,
-          waiting,
-          used: millionths(used),
-          demand: millionths(used + more),
-          largest: millionths(largest),
-          oldest: i,
+          jobCount: 1,
+          openAttemptCount: 5,
+          waitingTaskCount,
+          usedShare: millionths(used),
+          demandShare: millionths(used + more),
+          largestTaskShare: millionths(largest),
+          oldestAcceptedAt: i,
         }),
       ),
     ),
   );
 
-test("solver and greedy keep all bounds, and the solver's plan costs no more", () => {
+test("both planners keep all bounds, and the solver's plan costs at most the greedy one's", () => {
   fc.assert(
     fc.property(randomLoad, (load) => {
-      const input = planned(load, 100, 50, 10);
+      const input = planInputOf(load, 100, 50, 10);
       const greedy = greedyPlan(input);
       const solved = solvePlan(input, 1000);
       checkPlan(load, greedy.get(TEAM));
@@ -93,23 +93,26 @@
   );
 });
 
-test("two shards that each wait with a task too large for half: the older is served first", () => {
+test("if two shards wait with tasks over half the quota, the older job gets its share", () => {
   const rows = [HOME, OTHER].map((shard, i) =>
     shardLoad(shard, {
-      jobs: 1,
-      waiting: 1,
-      demand: millionths(600_000),
-      largest: millionths(600_000),
-      oldest: i,
+      jobCount: 1,
+      waitingTaskCount: 1,
+      demandShare: millionths(600_000),
+      largestTaskShare: millionths(600_000),
+      oldestAcceptedAt: i,
     }),
   );
   const load = teamLoad(spanOf(OTHER), rows);
-  for (const plans of [greedyPlan(planned(load, 1, 1)), solvePlan(planned(load, 1, 1), 1000)])
+  for (const plans of [
+    greedyPlan(planInputOf(load, 1, 1)),
+    solvePlan(planInputOf(load, 1, 1), 1000),
+  ])
     assert.ok((plans?.get(TEAM)?.get(HOME)?.target ?? 0) >= 600_000 * MILLIONTH);
 });
 
 const solvers: readonly (readonly [string, () => undefined | never, string])[] = [
-  ["answers nothing", () => undefined, "failed"],
+  ["returns no plan", () => undefined, "failed"],
   [
     "throws",
     () => {
@@ -119,15 +122,15 @@
   ],
 ];
 for (const [name, solver, counter] of solvers)
-  test(`a solver that ${name} is a counted fallback`, () => {
+  test(`the greedy plan is used and counted if the solver ${name}`, () => {
     const planner = new LoadSpreadPlanner(SETTINGS, () => 0, solver);
     const load = teamLoad(spanOf(OTHER), [burst]);
     const targets = planner.plan([load], owners(100, 10)).get(TEAM);
-    assert.deepEqual(targets, greedyPlan(planned(load, 100, 10)).get(TEAM));
+    assert.deepEqual(targets, greedyPlan(planInputOf(load, 100, 10)).get(TEAM));
     assert.equal(planner.counters[counter as "failed"], 1);
   });
 
-test("a solver that is late is a counted fallback", () => {
+test("the fallback is counted if the solver exceeds its timeout", () => {
   let now = 0;
   const late = (): ReadonlyMap<TeamName, SpanPlan> => {
     now += SETTINGS.solverMs + 1;
@@ -138,19 +141,31 @@
   assert.equal(planner.counters.late, 1);
 });
 
-test("an input beyond the solver's size is a counted fallback", () => {
+test("the fallback is counted if the input is too large for the solver", () => {
   const planner = new LoadSpreadPlanner({ ...SETTINGS, solverCells: 1 }, () => 0);
   planner.plan([teamLoad(spanOf(OTHER), [burst])], owners(100, 10));
   assert.equal(planner.counters.tooLarge, 1);
 });
 
-test("at a steady load nothing is written", () => {
+test("at a steady load plans stop being written", () => {
   const planner = new LoadSpreadPlanner(SETTINGS, () => 0);
   let span = spanOf(OTHER);
   const load = (): TeamLoad =>
     teamLoad(span, [
-      shardLoad(HOME, { jobs: 5, open: 10, waiting: 10, demand: millionths(400_000), oldest: 1 }),
-      shardLoad(OTHER, { jobs: 5, open: 10, waiting: 10, demand: millionths(300_000), oldest: 2 }),
+      shardLoad(HOME, {
+        jobCount: 5,
+        openAttemptCount: 10,
+        waitingTaskCount: 10,
+        demandShare: millionths(400_000),
+        oldestAcceptedAt: 1,
+      }),
+      shardLoad(OTHER, {
+        jobCount: 5,
+        openAttemptCount: 10,
+        waitingTaskCount: 10,
+        demandShare: millionths(300_000),
+        oldestAcceptedAt: 2,
+      }),
     ]);
   let writes = 0;
   for (let i = 0; i < 50; i++) {
@@ -164,28 +179,31 @@
   assert.ok(writes <= 2, `${writes} writes`);
 });
 
-test("new jobs go to the owner with the least to do, quota to where the waiting jobs are", () => {
+test("new jobs go to the least loaded owner, and quota to the shard with waiting jobs", () => {
   const load = teamLoad(spanOf(OTHER), [
     shardLoad(HOME, {
-      jobs: 50,
-      open: 20,
-      waiting: 80,
-      used: WHOLE,
-      demand: millionths(5_000_000),
+      jobCount: 50,
+      openAttemptCount: 20,
+      waitingTaskCount: 80,
+      usedShare: FULL_SHARE,
+      demandShare: millionths(5_000_000),
     }),
   ]);
   for (const plans of [
-    greedyPlan(planned(load, 150, 10)),
-    solvePlan(planned(load, 150, 10), 1000),
+    greedyPlan(planInputOf(load, 150, 10)),
+    solvePlan(planInputOf(load, 150, 10), 1000),
   ]) {
     const home = plans?.get(TEAM)?.get(HOME);
-    assert.ok((home?.target ?? 0) > 800_000 * MILLIONTH, "quota stays with what waits");
-    assert.ok((home?.weight ?? WHOLE) < 300_000 * MILLIONTH, "new jobs don't");
+    assert.ok(
+      (home?.target ?? 0) > 800_000 * MILLIONTH,
+      "the quota stays in the shard with waiting jobs",
+    );
+    assert.ok((home?.weight ?? FULL_SHARE) < 300_000 * MILLIONTH, "new jobs go elsewhere");
   }
 });
 
-/** A shard kept one task's share forever, because that was less than a step. */
-test("a draining shard without jobs gives up its last share, however small", () => {
+/** Regression: a shard kept the share of one task forever, because it was smaller than a step. */
+test("the target of a draining shard without jobs becomes 0, even from less than a step", () => {
   const drained = stepSpan(spanOf(OTHER), { kind: "drain", shard: OTHER });
   assert.ok(drained.ok);
   const small = stepSpan(drained.span, {
@@ -196,5 +214,5 @@
   const planner = new LoadSpreadPlanner(SETTINGS, () => 0);
   const changed = planner.plan([teamLoad(small.span, [])], owners(1, 1)).get(TEAM);
   assert.equal(changed?.get(OTHER)?.target, 0);
-  assert.equal(changed?.get(HOME)?.target, WHOLE);
+  assert.equal(changed?.get(HOME)?.target, FULL_SHARE);
 });
--- a/packages/spans/src/index.ts
+++ b/packages/spans/src/index.ts
@@ -1,10 +1,12 @@
 /**
- * A team that spans several shards. Its quota (limit and guarantee) is held in escrow: each shard of
- * the span has a share of it, and its owner opens attempts within that share without asking anybody.
+ * The span of a team: the shards that it uses. Its quota (limit and guarantee) is divided into
+ * escrow shares: each shard of the span has a share, and the shard's owner opens attempts within
+ * that share without coordinating with other controllers.
  */
-export { encodeSpan as spanValue, parseSpan } from "./codec.js";
+export { encodeSpan, parseSpan } from "./codec.js";
 export {
   type EntryState,
+  FULL_SHARE,
   homeSpan,
   type Share,
   type Span,
@@ -13,7 +15,6 @@
   shareOf,
   sumOfShares,
   usableShare,
-  WHOLE,
 } from "./span.js";
 export {
   type PlannedShare,
--- a/src/coordination/load-spread/team-loads.ts
+++ b/src/coordination/load-spread/team-loads.ts
@@ -1,4 +1,4 @@
-/** What each team has in each shard: jobs, open attempts, waiting tasks. Pure, read from the replica. */
+/** Computes each team's jobs, open attempts and waiting tasks in each shard from the replica. */
 import type { ShardId, TeamName } from "@umberfold/ids";
 import type { ShardLoad, TeamLoad } from "@umberfold/load-spread";
 import type { Team } from "../../config/settings.js";
@@ -7,30 +7,30 @@
 import type { ControllerContext } from "../context.js";
 import { quotaFraction, quotaShare } from "./quota-share.js";
 
-/** Sums over one team's jobs in one shard; fractions are of the team's quota. */
+/** Sums over one team's jobs in one shard. Fractions are fractions of the team's quota. */
 interface TeamSums {
-  jobs: number;
-  open: number;
+  jobCount: number;
+  openAttemptCount: number;
   openFraction: number;
-  waiting: number;
+  waitingTaskCount: number;
   waitingFraction: number;
-  largestFraction: number;
-  cpus: number;
-  oldest: number;
+  largestTaskFraction: number;
+  demandCpus: number;
+  oldestAcceptedAt: number;
 }
 
 const newSums = (): TeamSums => ({
-  jobs: 0,
-  open: 0,
+  jobCount: 0,
+  openAttemptCount: 0,
   openFraction: 0,
-  waiting: 0,
+  waitingTaskCount: 0,
   waitingFraction: 0,
-  largestFraction: 0,
-  cpus: 0,
-  oldest: Number.POSITIVE_INFINITY,
+  largestTaskFraction: 0,
+  demandCpus: 0,
+  oldestAcceptedAt: Number.POSITIVE_INFINITY,
 });
 
-/** What each team has in one shard. */
+/** Returns the sums of each team in one shard. */
 const sumsOfShard = (
   index: JobIndex,
   teams: ReadonlyMap<TeamName, Team>,
@@ -41,59 +41,61 @@
     sumsByTeam.set(team, sums);
     return sums;
   };
-  for (const [team, jobs] of index.liveJobs()) sumsFor(team).jobs = jobs;
-  for (const [name, counts] of index.openByTeam()) {
+  for (const [team, jobs] of index.uncancelledJobCounts()) sumsFor(team).jobCount = jobs;
+  for (const [name, counts] of index.openAttemptCountsByTeam()) {
     const team = teams.get(name);
     const sums = sumsFor(name);
     for (const { resources, count } of counts.values()) {
-      sums.open += count;
-      sums.cpus += count * resources.cpus;
+      sums.openAttemptCount += count;
+      sums.demandCpus += count * resources.cpus;
       if (team !== undefined) sums.openFraction += count * quotaFraction(team, resources);
     }
   }
-  for (const job of index.waiting.values()) {
+  for (const job of index.waitingJobs.values()) {
     const team = teams.get(job.spec.team);
     if (team === undefined) continue;
     const sums = sumsFor(job.spec.team);
     const waiting = waitingTaskCount(job);
     const fraction = quotaFraction(team, job.spec.resources);
-    sums.waiting += waiting;
-    sums.cpus += waiting * job.spec.resources.cpus;
+    sums.waitingTaskCount += waiting;
+    sums.demandCpus += waiting * job.spec.resources.cpus;
     sums.waitingFraction += waiting * fraction;
-    sums.largestFraction = Math.max(sums.largestFraction, fraction);
-    sums.oldest = Math.min(sums.oldest, job.acceptedAt);
+    sums.largestTaskFraction = Math.max(sums.largestTaskFraction, fraction);
+    sums.oldestAcceptedAt = Math.min(sums.oldestAcceptedAt, job.acceptedAt);
   }
   return sumsByTeam;
 };
 
 const shardLoad = (shard: ShardId, sums: TeamSums): ShardLoad => ({
   shard,
-  jobs: sums.jobs,
-  open: sums.open,
-  waiting: sums.waiting,
-  used: quotaShare(sums.openFraction),
-  demand: quotaShare(sums.openFraction + sums.waitingFraction),
-  largest: quotaShare(sums.largestFraction),
-  wantedCpus: sums.cpus,
-  oldest: sums.oldest,
+  jobCount: sums.jobCount,
+  openAttemptCount: sums.openAttemptCount,
+  waitingTaskCount: sums.waitingTaskCount,
+  usedShare: quotaShare(sums.openFraction),
+  demandShare: quotaShare(sums.openFraction + sums.waitingFraction),
+  largestTaskShare: quotaShare(sums.largestTaskFraction),
+  demandCpus: sums.demandCpus,
+  oldestAcceptedAt: sums.oldestAcceptedAt,
 });
 
-/** What a team wants beyond its limit it can't have: less of it in each shard alike. */
-const withinLimit = (
+/** Scales a team's CPU demand in all shards down by the same factor if it exceeds the limit. */
+const scaledToLimit = (
   loads: ReadonlyMap<ShardId, ShardLoad> | undefined,
   cpusMax: number,
 ): ReadonlyMap<ShardId, ShardLoad> => {
   if (loads === undefined) return new Map();
   let cpus = 0;
-  for (const load of loads.values()) cpus += load.wantedCpus;
+  for (const load of loads.values()) cpus += load.demandCpus;
   if (cpus <= cpusMax) return loads;
   const scale = cpusMax / cpus;
   return new Map(
-    [...loads].map(([shard, load]) => [shard, { ...load, wantedCpus: load.wantedCpus * scale }]),
+    [...loads].map(([shard, load]) => [shard, { ...load, demandCpus: load.demandCpus * scale }]),
   );
 };
 
-/** What each team of the settings has, over all shards; reads the pages of all of them. */
+/**
+ * Returns the load of each configured team over all shards; this reads the job pages of all shards.
+ */
 export const teamLoads = ({ replica, teams }: ControllerContext): readonly TeamLoad[] => {
   const shardsByTeam = new Map<TeamName, Map<ShardId, ShardLoad>>();
   for (const [shard, { index }] of replica.allShardJobs())
@@ -102,13 +104,13 @@
       shardsByTeam.set(team, loads);
       loads.set(shard, shardLoad(shard, sums));
     }
-  const teamLoadsFound: TeamLoad[] = [];
+  const loadsOfTeams: TeamLoad[] = [];
   for (const [team, { cpusMax }] of teams) {
     const home = replica.teams?.value.get(team);
     if (home === undefined) continue;
     const span = replica.spans.records.get(team)?.value;
-    const shards = withinLimit(shardsByTeam.get(team), cpusMax);
-    teamLoadsFound.push({ team, home, span, shards });
+    const shards = scaledToLimit(shardsByTeam.get(team), cpusMax);
+    loadsOfTeams.push({ team, home, span, shards });
   }
-  return teamLoadsFound;
+  return loadsOfTeams;
 };
--- a/src/storage/job-page-drafts.ts
+++ b/src/storage/job-page-drafts.ts
@@ -83,7 +83,7 @@
    * undefined if no page holds it.
    */
   pageKeyOf(shard: ShardId, id: JobId): string | undefined {
-    return this.#newPageKeyOf.get(id) ?? this.replica.shardJobs(shard).pageOf(id);
+    return this.#newPageKeyOf.get(id) ?? this.replica.shardJobs(shard).pageKeyOf(id);
   }
 
   /**
--- a/test/scheduling/preemption-search.test.ts
+++ b/test/scheduling/preemption-search.test.ts
@@ -1,4 +1,4 @@
-/** A preemption search must find the victims that sorting all of them for each task would. */
+/** A preemption search must find the victims that sorting all victims anew for each task finds. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { machineId } from "@umberfold/ids";
@@ -14,20 +14,23 @@
 const sources = (all: readonly PreemptionCandidate[]): readonly PreemptionSource[] =>
   all.map((c) => ({ candidate: () => c, version: () => 0 }));
 
-/** The least loss on one machine: the cheapest victims, less those that turn out not to be needed. */
+/**
+ * The victims on one machine with the least lost work: the cheapest ones until the task fits,
+ * without those that turn out not to be needed.
+ */
 const victimsOn = (
   needs: Resources,
   candidate: PreemptionCandidate,
 ): PreemptionCandidate["victims"] | undefined => {
   let free = candidate.free;
   let chosen: PreemptionCandidate["victims"][number][] = [];
-  for (const victim of [...candidate.victims].sort((a, b) => a.lossS - b.lossS)) {
+  for (const victim of [...candidate.victims].sort((a, b) => a.lostWorkS - b.lostWorkS)) {
     if (fits(needs, free)) break;
     free = add(free, victim.resources);
     chosen.push(victim);
   }
   if (!fits(needs, free)) return undefined;
-  for (const victim of [...chosen].sort((a, b) => b.lossS - a.lossS)) {
+  for (const victim of [...chosen].sort((a, b) => b.lostWorkS - a.lostWorkS)) {
     if (!fits(needs, subtract(free, victim.resources))) continue;
     free = subtract(free, victim.resources);
     chosen = chosen.filter((other) => other !== victim);
@@ -35,20 +38,25 @@
   return chosen;
 };
 
-/** Preemption by sorting all victims of all machines for each task. */
-const cheapestVictims = (needs: Resources, candidates: PreemptionCandidate[], maxLossS: number) => {
-  let best: { at: number; victims: PreemptionCandidate["victims"]; lossS: number } | null = null;
+/** The expected preemption: sorts all victims of all machines anew for each task. */
+const cheapestVictims = (
+  needs: Resources,
+  candidates: PreemptionCandidate[],
+  maxLostWorkS: number,
+) => {
+  let best: { at: number; victims: PreemptionCandidate["victims"]; lostWorkS: number } | null =
+    null;
   for (const [at, candidate] of candidates.entries()) {
     const victims = victimsOn(needs, candidate);
     if (victims === undefined) continue;
-    const lossS = victims.reduce((sum, victim) => sum + victim.lossS, 0);
-    if (lossS <= maxLossS && lossS < (best?.lossS ?? Number.POSITIVE_INFINITY))
-      best = { at, victims, lossS };
+    const lostWorkS = victims.reduce((sum, victim) => sum + victim.lostWorkS, 0);
+    if (lostWorkS <= maxLostWorkS && lostWorkS < (best?.lostWorkS ?? Number.POSITIVE_INFINITY))
+      best = { at, victims, lostWorkS };
   }
   return best;
 };
 
-test("preemption chooses the victims that sorting all victims for each task chooses", () => {
+test("preemption chooses the same victims as sorting all victims anew for each task", () => {
   for (let seed = 1; seed <= 40; seed++) {
     const random = randomSource(seed);
     const needs = resourcesOf(random.pick([1, 2, 4]));
@@ -60,14 +68,14 @@
         victims: Array.from({ length: random.below(6) }, (_x, v) => ({
           task: `wk-${m}/${v}` as never,
           resources: resourcesOf(random.pick([1, 2, 4])),
-          lossS: random.unit() * 20,
+          lostWorkS: random.unit() * 20,
         })),
       }),
     );
     const search = new PreemptionSearch(needs, sources(candidates), 25);
     for (;;) {
       const expected = cheapestVictims(needs, candidates, 25);
-      const got = search.take();
+      const got = search.nextPlan();
       assert.equal(got?.machine, expected === null ? undefined : candidates[expected.at]?.id);
       if (expected === null) break;
       assert.deepEqual(
@@ -82,11 +90,11 @@
   }
 });
 
-test("a preemption candidate whose version changed is computed again before it is chosen", () => {
-  const task = (id: string, lossS: number) => ({
+test("a preemption candidate whose version changed is recomputed before it is chosen", () => {
+  const task = (id: string, lostWorkS: number) => ({
     task: id as never,
     resources: resourcesOf(2),
-    lossS,
+    lostWorkS,
   });
   const cheap = {
     id: machineId("m-1"),
@@ -104,10 +112,10 @@
     ],
     25,
   );
-  // What was stopped there for another job meanwhile can't be stopped again.
+  // Task `a` has been stopped for another job, so the search must not choose it any more.
   taken = { ...cheap, victims: [task("b", 9)] };
   version++;
-  assert.equal(search.take()?.victims[0]?.task, "c");
-  assert.equal(search.take()?.victims[0]?.task, "b");
-  assert.equal(search.take(), null);
+  assert.equal(search.nextPlan()?.victims[0]?.task, "c");
+  assert.equal(search.nextPlan()?.victims[0]?.task, "b");
+  assert.equal(search.nextPlan(), null);
 });
