--- a/test/scenarios/combined-faults.test.ts
+++ b/test/scenarios/combined-faults.test.ts
@@ -1,4 +1,7 @@
-/** Days on which two faults or more meet. Each asserts that the meeting came about. */
+/**
+ * Simulated days on which several faults overlap. Each test also asserts that the overlap occurred,
+ * so that a day on which the faults miss each other can't pass unnoticed.
+ */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
@@ -11,22 +14,22 @@
 import { Simulation } from "../sim/simulation.js";
 
 const LARGE: SimulationScale = { controllers: 3, machines: 40, quotaCpus: 160, maxTasks: 6 };
-const JOBS = 14;
+const DAY_JOBS = 14;
 const MAX_FAILED_STARTS = 200;
 
 const outagesAfterRefusal: readonly (readonly [string, number, StoreOutageAfterRefusal])[] = [
   ["without other faults", 31, {}],
-  ["confirmed by a question", 33, { confirmedBy: "question" }],
+  ["confirmed by a status query", 33, { confirmedBy: "question" }],
   ["confirmed by a repeated submission", 33, { confirmedBy: "repeat" }],
-  ["the old leader is cut from its peers", 36, { peersCut: true }],
+  ["the old leader can't reach its peers", 36, { peersCut: true }],
   ["the confirming controllers crash", 34, { confirmersCrash: true }],
-  ["the old leader crashes and is back within a second", 36, { oldLeaderCrashes: true }],
+  ["the old leader crashes and restarts within a second", 36, { oldLeaderCrashes: true }],
   ["on machines that hang", 37, { machineFault: "hang" }],
-  ["on deaf machines", 38, { machineFault: "deaf" }],
-  ["on muted machines", 39, { machineFault: "mute" }],
-  ["machines hang, the cloud is out for a while", 40, { machineFault: "hang", cloudOutage: true }],
+  ["on machines that receive no calls", 38, { machineFault: "deaf" }],
+  ["on machines whose heartbeats are lost", 39, { machineFault: "mute" }],
+  ["machines hang, the cloud has an outage", 40, { machineFault: "hang", cloudOutage: true }],
   [
-    "machines hang, the old leader crashes and is back within a second",
+    "machines hang, the old leader crashes and restarts within a second",
     41,
     { machineFault: "hang", oldLeaderCrashes: true },
   ],
@@ -40,20 +43,20 @@
 for (const [name, seed, storeOutageAfterRefusal] of outagesAfterRefusal)
   test(`confirmed cancellations hold through a store outage after refusal: ${name}`, async () => {
     const simulation = new Simulation(seed, { ...NO_FAULTS, storeOutageAfterRefusal }, LARGE);
-    await simulation.day(JOBS);
+    await simulation.day(DAY_JOBS);
     assert.deepEqual(simulation.violations, []);
-    // Cut from the others, the owner can't acknowledge a cancellation notice, and no user gets a
+    // An owner that can't reach its peers can't acknowledge a cancellation notice, so no user gets a
     // confirmation before the cancellation is recorded.
     if (storeOutageAfterRefusal.peersCut === true)
       assert.equal(simulation.occurrences.confirmedForRefusedOwner, 0);
     else
       assert.ok(
         simulation.occurrences.confirmedForRefusedOwner > 0,
-        "some were confirmed for the refused owner's shard",
+        "some cancellations were confirmed for the refused owner's shard",
       );
     if (storeOutageAfterRefusal.machineFault !== undefined)
       assert.ok(simulation.occurrences.faultyMachines > 0, "machines were faulty");
-    // While all controllers are alive, no job that nobody cancelled loses work to the outage.
+    // As long as no controller crashes, the outage must not stop the tasks of uncancelled jobs.
     if (
       storeOutageAfterRefusal.machineFault === undefined &&
       storeOutageAfterRefusal.oldLeaderCrashes !== true &&
@@ -63,15 +66,10 @@
   });
 
 type Occurrence = keyof Simulation["occurrences"];
-const meetings: readonly (readonly [string, number, FaultScenario, Occurrence])[] = [
+const overlappingFaultDays: readonly (readonly [string, number, FaultScenario, Occurrence])[] = [
+  ["late writes and crashes", 61, { ...NO_FAULTS, lateWrites: true, crashes: true }, "lateWrites"],
   [
-    "late writes beside crashes",
-    61,
-    { ...NO_FAULTS, lateWrites: true, crashes: true },
-    "lateWrites",
-  ],
-  [
-    "late writes, late copies and repeats beside elections",
+    "late writes, late heartbeat copies, repeated requests and crashes after elections",
     62,
     {
       ...NO_FAULTS,
@@ -82,9 +80,9 @@
     },
     "lateWrites",
   ],
-  ["muted machines", 63, { ...NO_FAULTS, mutedMachines: true }, "muted"],
+  ["machines whose heartbeats are lost", 63, { ...NO_FAULTS, mutedMachines: true }, "muted"],
   [
-    "muted and deaf machines beside crashes and late copies",
+    "machines with lost heartbeats or lost calls, crashes and late heartbeat copies",
     64,
     {
       ...NO_FAULTS,
@@ -108,31 +106,31 @@
     "cancelledAtOnce",
   ],
   [
-    "cancellations, questions and repeated submissions at a job's end",
+    "cancellations, status queries and repeated submissions as a job ends",
     67,
     { ...NO_FAULTS, cancelAtEnd: true },
     "cancelledAtEnd",
   ],
   [
-    "the same with late writes and lost messages",
+    "requests as a job ends, late writes and lost messages",
     68,
     { ...NO_FAULTS, cancelAtEnd: true, lateWrites: true, lost: 0.03 },
     "cancelledAtEnd",
   ],
   [
-    "odd requests beside crashes",
+    "invalid and repeated user requests, and crashes",
     69,
     { ...NO_FAULTS, oddRequests: true, crashes: true },
     "oddRequests",
   ],
   [
-    "the leader crashes ten times in two minutes, an outage",
+    "the leader crashes ten times in two minutes, during an outage too",
     70,
     { ...NO_FAULTS, leaderCrashes: true },
     "leaderCrashes",
   ],
   [
-    "ten leader crashes, one-way machines, late writes, cancellations at once",
+    "ten leader crashes, machines that receive no calls, late writes, many cancellations at once",
     71,
     {
       ...NO_FAULTS,
@@ -144,25 +142,25 @@
     "leaderCrashes",
   ],
   [
-    "all controllers away for longer than a lease",
+    "all controllers are down for longer than a lease",
     72,
     { ...NO_FAULTS, allControllersAway: true },
     "allControllersAway",
   ],
   [
-    "all controllers away, late copies, machines hang",
+    "all controllers are down, late heartbeat copies, machines hang",
     73,
     { ...NO_FAULTS, allControllersAway: true, lateHeartbeatCopies: true, hangs: true },
     "allControllersAway",
   ],
   [
-    "a zone with a controller cut off",
+    "a network partition cuts off a zone and one controller",
     74,
     { ...NO_FAULTS, zoneCut: true, cancelAtOnce: true },
     "zoneCuts",
   ],
   [
-    "a refused controller, machines out of reach, cancellations at once",
+    "a controller refused by the state store, unreachable machines, many cancellations at once",
     75,
     {
       ...NO_FAULTS,
@@ -174,30 +172,31 @@
     "cancelledAtOnce",
   ],
   [
-    "jobs bound to zones lose machines",
+    "jobs restricted to zones lose machines",
     76,
     { ...NO_FAULTS, zoneBound: true, spotWave: true, deaths: true, crashes: true },
     "zoneBoundStarts",
   ],
   [
-    "slow links, cancellations at once, crashes",
+    "slow image transfers, many cancellations at once, crashes",
     77,
     { ...NO_FAULTS, slowLinks: true, cancelAtOnce: true, crashes: true, zoneBound: true },
     "zoneBoundStarts",
   ],
 ];
-for (const [name, seed, scenario, occurrence] of meetings)
-  test(`the rules hold and all jobs end where faults meet: ${name}`, async () => {
+for (const [name, seed, scenario, occurrence] of overlappingFaultDays)
+  test(`the protocol rules hold and all jobs end under overlapping faults: ${name}`, async () => {
     const simulation = new Simulation(seed, scenario);
     await simulation.day(25);
     assert.deepEqual(simulation.violations, []);
-    assert.ok(simulation.occurrences[occurrence] > 0, "the meeting came about");
-    for (const [id, job] of simulation.jobs)
-      assert.ok(job.finalState !== null, `${id} comes to its end`);
+    assert.ok(simulation.occurrences[occurrence] > 0, `${occurrence} occurred`);
+    for (const [id, job] of simulation.jobs) assert.ok(job.finalState !== null, `${id} ends`);
   });
 
-test("tasks longer than a lease end on other machines than those whose heartbeats don't arrive", async () => {
-  // With ShardState.isHeartbeatOverdue always false 35 starts go to muted machines on this day, each to end with a lease.
+test("tasks longer than a lease run on machines whose heartbeats arrive", async () => {
+  // A task on a machine whose heartbeats are lost is stopped when its lease expires, so a task longer
+  // than a lease never ends there. With ShardState.isHeartbeatOverdue always false, 35 starts go to
+  // such machines on this day.
   const simulation = new Simulation(
     82,
     { ...NO_FAULTS, mutedForGood: true },
@@ -205,20 +204,21 @@
   );
   await simulation.day(10);
   assert.deepEqual(simulation.violations, []);
-  assert.ok(simulation.occurrences.muted > 0, "machines are mute");
-  const late = [...simulation.jobs].filter(
+  assert.ok(simulation.occurrences.muted > 0, "some machines' heartbeats are lost");
+  const unfinished = [...simulation.jobs].filter(
     ([, job]) => job.cancelRequestedAt === null && job.finalState === null,
   );
-  assert.deepEqual(late, []);
+  assert.deepEqual(unfinished, []);
   assert.ok(
     simulation.occurrences.startsOnMutedMachines <= simulation.occurrences.muted,
-    `${simulation.occurrences.startsOnMutedMachines} starts on muted machines`,
+    `${simulation.occurrences.startsOnMutedMachines} starts on machines with lost heartbeats`,
   );
 });
 
-test("a task that failed on the only machine there is starts there again", async () => {
-  // Without the placement's fallback to machines where it failed, or without raising the fencing
-  // token for the ended attempt that the worker still reports, it waits for ever.
+test("a task that failed on the only machine is started on it again", async () => {
+  // Placement avoids machines on which a task failed. The task would wait forever if placement did
+  // not fall back to such machines, or if the fencing token were not raised for the ended attempt
+  // that the worker still reports.
   const simulation = new Simulation(
     91,
     { ...NO_FAULTS, failures: "first" },
@@ -226,11 +226,10 @@
   );
   await simulation.day(1);
   assert.deepEqual(simulation.violations, []);
-  for (const [id, job] of simulation.jobs)
-    assert.ok(job.finalState !== null, `${id} comes to its end`);
+  for (const [id, job] of simulation.jobs) assert.ok(job.finalState !== null, `${id} ends`);
 });
 
-test("jobs whose tasks always fail start a bounded number of times and hold up no other", async () => {
+test("jobs whose tasks always fail start a bounded number of times and don't block other jobs", async () => {
   const simulation = new Simulation(
     92,
     { ...NO_FAULTS, failures: "always" },
@@ -240,26 +239,27 @@
   assert.deepEqual(simulation.violations, []);
   for (const [id, job] of simulation.jobs)
     assert.ok(simulation.hasMistake(id) || job.finalState !== null, `${id} ends`);
-  assert.ok(simulation.occurrences.failedStarts > 0, "some fail");
+  assert.ok(simulation.occurrences.failedStarts > 0, "some starts fail");
   assert.ok(
     simulation.occurrences.failedStarts < MAX_FAILED_STARTS,
-    `${simulation.occurrences.failedStarts} starts that fail`,
+    `${simulation.occurrences.failedStarts} failed starts`,
   );
 });
 
+/** Without either safeguard, tasks of cancelled jobs run after the cancellation was confirmed. */
 const safeguards: readonly (readonly [DisabledSafeguard, StoreOutageAfterRefusal])[] = [
   ["cancellation_notices", {}],
   ["forced_returns", { machineFault: "hang" }],
 ];
 for (const [safeguard, storeOutageAfterRefusal] of safeguards)
-  test(`without its safeguard a store outage after refusal is noticed as ran_cancelled: ${safeguard}`, async () => {
+  test(`a store outage after refusal violates ran_cancelled without a safeguard: ${safeguard}`, async () => {
     const simulation = new Simulation(
       31,
       { ...NO_FAULTS, storeOutageAfterRefusal },
       LARGE,
       safeguard,
     );
-    await simulation.day(JOBS);
+    await simulation.day(DAY_JOBS);
     assert.ok(
       simulation.violations.some((violation) => violation.startsWith("ran_cancelled")),
       `${simulation.violations}`,
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -1,3 +1,8 @@
+/**
+ * The cost of an owner's round depends on the waiting jobs and on what changed, not on the size of
+ * the shard. Cost is counted in reads of job specifications, sessions and operations, which do not
+ * depend on the speed of the machine.
+ */
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
@@ -33,15 +38,11 @@
 import { TransactionBatch } from "../../src/storage/transaction-batch.js";
 import { SimulatedClock } from "../sim/clock.js";
 
-/**
- * The cost of a round follows from what waits and what changed. It is counted in steps, not in time:
- * reads of job specifications, in a round over a shard with many live jobs whose tasks all run.
- */
 const SHARD = shardId(0);
 const TEAM = teamName("t");
-const MACHINES = 6;
-const WAITING = 3;
-const TYPE = {
+const MACHINE_COUNT = 6;
+const WAITING_JOB_COUNT = 3;
+const MACHINE_TYPE = {
   name: "small",
   capacity: { cpus: 8, gpus: 0, ramGb: 32 },
   cacheGb: 10,
@@ -73,13 +74,15 @@
   deadlineS: null,
 });
 
-class Setup {
-  steps = 0;
+/** A shard with running, waiting and completed one-task jobs, and a few machines that are up. */
+class TestShard {
+  /** Reads of job specification fields so far. */
+  specReads = 0;
   readonly replica = new Replica();
   readonly state: ShardState;
   #rev = 0;
 
-  constructor(running: number, complete = 0) {
+  constructor(runningJobs: number, completedJobs = 0) {
     new SimulatedClock(1);
     const settings = { state: LIMITS, shardCount: 1, objectives: [], workers: { leaseS: 20 } };
     const team = { name: TEAM, cpus: 4, gpus: 0, cpusMax: 10_000, gpusMax: 0 };
@@ -96,10 +99,10 @@
     } as unknown as ControllerContext;
     const membership = { ownedShards: () => [SHARD] } as unknown as Membership;
     this.state = new ShardState(ctx, membership, () => undefined);
-    this.#put(keys.types, encodeMachineTypes([TYPE]));
+    this.#put(keys.types, encodeMachineTypes([MACHINE_TYPE]));
     this.#put(keys.teams, encodeTeams(new Map([[TEAM, SHARD]])));
-    this.#machines();
-    this.#jobs(running, complete);
+    this.#addMachines();
+    this.#addJobs(runningJobs, completedJobs);
   }
 
   #put(key: string, value: unknown): Revision {
@@ -109,26 +112,39 @@
     return rev;
   }
 
-  #machines(): void {
-    const row = { shard: SHARD, type: TYPE.name, zone: "a", spot: true, endpoint: "m:1" } as const;
+  #addMachines(): void {
+    const machineFields = {
+      shard: SHARD,
+      type: MACHINE_TYPE.name,
+      zone: "a",
+      spot: true,
+      endpoint: "m:1",
+    } as const;
     const record = {
-      ...row,
+      ...machineFields,
       phase: "up",
       rentedAt: wallClockMs(0),
       tokenFloor: revision(1),
     } as const;
-    const ids = Array.from({ length: MACHINES }, (_, i) => machineId(`m-${i}`));
+    const ids = Array.from({ length: MACHINE_COUNT }, (_, i) => machineId(`m-${i}`));
     this.#writeMachines(ids.map((id) => [id, record]));
     this.state.syncSessions(monotonicMs(0));
     for (const machine of ids) {
-      const empty = {
+      const emptyStatus = {
         epoch: 1,
         sequence: 1,
         token: 9 as never,
         preemptionNoticeS: null,
         tasks: [],
       };
-      const report = { machine, endpoint: "m:1", type: TYPE.name, zone: "a", spot: true, ...empty };
+      const report = {
+        machine,
+        endpoint: "m:1",
+        type: MACHINE_TYPE.name,
+        zone: "a",
+        spot: true,
+        ...emptyStatus,
+      };
       this.state.stepSession(machine, {
         kind: "status_received",
         status: report,
@@ -138,133 +154,143 @@
     }
   }
 
-  #writeMachines(rows: readonly (readonly [MachineId, MachineRecord])[]): void {
-    this.#put(keys.fleet(SHARD, "1"), encodeMachinePage(rows));
+  #writeMachines(records: readonly (readonly [MachineId, MachineRecord])[]): void {
+    this.#put(keys.fleet(SHARD, "1"), encodeMachinePage(records));
   }
 
-  /** The record of a machine, as the round that decommissions it writes it. */
+  /** Writes the machine's record as the round that decommissions the machine would write it. */
   writeRetired(id: MachineId): void {
-    const rows = [...this.replica.machines].map(
-      ([other, row]) =>
-        [other, other === id ? { ...row, phase: "retiring" as const } : row] as const,
+    const records = [...this.replica.machines].map(
+      ([other, record]) =>
+        [other, other === id ? { ...record, phase: "retiring" as const } : record] as const,
     );
-    this.#writeMachines(rows);
+    this.#writeMachines(records);
   }
 
-  #jobs(running: number, complete: number): void {
+  #addJobs(runningJobs: number, completedJobs: number): void {
     const page = new Map<ReturnType<typeof jobId>, JobProgress>();
-    for (let i = 0; i < running + WAITING + complete; i++) {
+    for (let i = 0; i < runningJobs + WAITING_JOB_COUNT + completedJobs; i++) {
       const id = jobId(`wk-${i}`);
-      const spec = this.#counted(specOf(id));
+      const spec = this.#countingReads(specOf(id));
       const job = { spec, acceptedAt: wallClockMs(i), cancelledAt: null, shard: null };
       this.replica.accepted.set(id, { value: job, rev: revision(1) });
-      // Running tasks are on a machine without a session.
+      // Running tasks are on a machine that has no session and no record.
       const open = [{ index: 0, attempt: attemptNumber(1), machine: machineId("m-99") }];
-      if (i < running) page.set(id, { done: [], open, nextAttempt: 2 });
-      if (i >= running + WAITING) page.set(id, { done: [0, 0], open: [], nextAttempt: 2 });
+      if (i < runningJobs) page.set(id, { done: [], open, nextAttempt: 2 });
+      if (i >= runningJobs + WAITING_JOB_COUNT)
+        page.set(id, { done: [0, 0], open: [], nextAttempt: 2 });
       this.replica.shardJobs(SHARD).jobChanged(id);
     }
     this.#put(keys.work(SHARD, 0), encodeJobPage(page));
+    // Reading the jobs refreshes the shard's index, whose reads of specifications don't count.
     this.replica.shardJobs(SHARD).jobs.size;
-    this.steps = 0;
+    this.specReads = 0;
   }
 
-  #counted(spec: JobSpec): JobSpec {
+  #countingReads(spec: JobSpec): JobSpec {
     return new Proxy(spec, {
       get: (target, name) => {
-        this.steps++;
+        this.specReads++;
         return target[name as keyof JobSpec];
       },
     });
   }
 
-  /** Steps, starts and operations of one round. */
-  round(): { readonly steps: number; readonly starts: number; readonly ops: number } {
+  /** Runs the termination and placement phases of a round; returns its cost and its starts. */
+  runRound(): { readonly specReads: number; readonly starts: number; readonly ops: number } {
     const batch = new TransactionBatch(this.replica, LIMITS);
     const round = newShardRound(SHARD, batch, monotonicMs(0));
     terminateAttempts(this.state, round, this.state.sessions.keys());
     if (PlacementPhase.isNeeded(this.state, round))
       new PlacementPhase(this.state, round, new Set()).run();
-    return { steps: this.steps, starts: this.state.counters.starts, ops: batch.opCount };
+    return {
+      specReads: this.specReads,
+      starts: this.state.counters.starts,
+      ops: batch.opCount,
+    };
   }
 
-  /** How many machines' records a round examines, by the sessions it reads, and its operations. */
-  records(
-    records: MachineRecordPhase,
-    looked: readonly MachineId[],
+  /** Reconciles machine records; returns the number of sessions read and of operations added. */
+  reconcileRecords(
+    phase: MachineRecordPhase,
+    machines: readonly MachineId[],
     atMs = 0,
-  ): { readonly asked: number; readonly ops: number } {
+  ): { readonly sessionReads: number; readonly ops: number } {
     const { sessions } = this.state;
     const get = sessions.get.bind(sessions);
-    let asked = 0;
+    let sessionReads = 0;
     sessions.get = (id) => {
-      asked++;
+      sessionReads++;
       return get(id);
     };
     const batch = new TransactionBatch(this.replica, LIMITS);
-    records.reconcile(newShardRound(SHARD, batch, monotonicMs(atMs)), looked);
+    phase.reconcile(newShardRound(SHARD, batch, monotonicMs(atMs)), machines);
     sessions.get = get;
-    return { asked, ops: batch.opCount };
+    return { sessionReads, ops: batch.opCount };
   }
 
-  newRecords(): MachineRecordPhase {
+  newRecordPhase(): MachineRecordPhase {
     return new MachineRecordPhase(this.state);
   }
 
-  /** Operations of a transaction with final records alone. */
-  finishOnly(): number {
+  /** Finishes completed jobs alone; returns the number of operations in the transaction. */
+  finishJobs(): number {
     const batch = new TransactionBatch(this.replica, LIMITS);
     finishCompletedJobs(this.state, newShardRound(SHARD, batch, monotonicMs(0)));
     return batch.opCount;
   }
 
-  /** Steps of a pass over all live jobs. */
-  fullPass(): number {
+  /** Reads one field of each live job's specification; returns the number of reads. */
+  readAllSpecs(): number {
     for (const job of this.replica.shardJobs(SHARD).jobs.values()) void job.spec.resources;
-    return this.steps;
+    return this.specReads;
   }
 }
 
-test("a round's steps don't grow with the live jobs that wait for nothing", () => {
-  const few = new Setup(50).round();
-  const many = new Setup(500).round();
-  assert.equal(few.starts, WAITING);
-  assert.equal(many.starts, WAITING);
-  assert.ok(few.steps > 0 && many.steps <= few.steps * 1.2, `${few.steps} and ${many.steps}`);
-  // The count does notice a pass over all of them.
-  assert.ok(new Setup(500).fullPass() > 5 * new Setup(50).fullPass());
+test("the cost of a round does not grow with the number of jobs that have no waiting task", () => {
+  const few = new TestShard(50).runRound();
+  const many = new TestShard(500).runRound();
+  assert.equal(few.starts, WAITING_JOB_COUNT);
+  assert.equal(many.starts, WAITING_JOB_COUNT);
+  assert.ok(
+    few.specReads > 0 && many.specReads <= few.specReads * 1.2,
+    `${few.specReads} and ${many.specReads} reads of specifications`,
+  );
+  // The counter does detect a pass over all live jobs.
+  assert.ok(new TestShard(500).readAllSpecs() > 5 * new TestShard(50).readAllSpecs());
 });
 
 /**
- * In a flood of one-task jobs their final records, two operations each, filled every transaction, and
- * hundreds of jobs waited for minutes while machines were idle.
+ * Guards against starved starts: under a burst of one-task jobs the final records of completed jobs,
+ * two operations each, filled every transaction, so that hundreds of jobs waited for minutes while
+ * machines were idle.
  */
-test("final records leave room for starts, and the rest is written in a transaction of its own", () => {
-  const flood = new Setup(0, 200);
-  assert.ok(flood.finishOnly() > LIMITS.txnOps - 3, "final records alone fill a transaction");
-  const { starts, ops } = flood.round();
-  assert.equal(starts, WAITING);
+test("final records leave capacity for starts in a round's transaction", () => {
+  const burst = new TestShard(0, 200);
+  assert.ok(burst.finishJobs() > LIMITS.txnOps - 3, "final records alone fill a transaction");
+  const { starts, ops } = burst.runRound();
+  assert.equal(starts, WAITING_JOB_COUNT);
   assert.ok(ops > LIMITS.txnOps / 2 && ops < LIMITS.txnOps - 3, `${ops} operations`);
 });
 
 /**
- * Each round examined the records of all machines of the shard, changed or not. Now it examines
- * those that are dirty, and those whose change is not written yet.
+ * Guards against rounds that examine the records of all machines of the shard. A round must examine
+ * only dirty machines and those whose change has not been written yet.
  */
-test("a round examines machine records in proportion to what changed", () => {
-  const setup = new Setup(0);
-  const records = setup.newRecords();
+test("a round examines only machine records that changed or are not written yet", () => {
+  const shard = new TestShard(0);
+  const phase = shard.newRecordPhase();
   const [first, second] = [machineId("m-0"), machineId("m-1")];
-  assert.deepEqual(setup.records(records, []), { asked: 0, ops: 0 });
-  assert.deepEqual(setup.records(records, [first, second]), { asked: 2, ops: 0 });
-  setup.state
+  assert.deepEqual(shard.reconcileRecords(phase, []), { sessionReads: 0, ops: 0 });
+  assert.deepEqual(shard.reconcileRecords(phase, [first, second]), { sessionReads: 2, ops: 0 });
+  shard.state
     .machineState(first)
     .departure.step({ kind: "decommission_forced", reason: "surplus" });
-  assert.deepEqual(setup.records(records, [second]), { asked: 1, ops: 0 });
-  assert.deepEqual(setup.records(records, [first]), { asked: 1, ops: 1 });
-  // Nothing of that was written: it comes up again by itself until it is.
-  assert.deepEqual(setup.records(records, []), { asked: 1, ops: 1 });
-  setup.writeRetired(first);
-  assert.deepEqual(setup.records(records, []), { asked: 1, ops: 0 });
-  assert.deepEqual(setup.records(records, []), { asked: 0, ops: 0 });
+  assert.deepEqual(shard.reconcileRecords(phase, [second]), { sessionReads: 1, ops: 0 });
+  assert.deepEqual(shard.reconcileRecords(phase, [first]), { sessionReads: 1, ops: 1 });
+  // The change was not committed, so each round proposes it again until it is.
+  assert.deepEqual(shard.reconcileRecords(phase, []), { sessionReads: 1, ops: 1 });
+  shard.writeRetired(first);
+  assert.deepEqual(shard.reconcileRecords(phase, []), { sessionReads: 1, ops: 0 });
+  assert.deepEqual(shard.reconcileRecords(phase, []), { sessionReads: 0, ops: 0 });
 });
--- a/test/scenarios/safety.test.ts
+++ b/test/scenarios/safety.test.ts
@@ -1,6 +1,6 @@
 /**
- * Simulated days with faults alone and together: the rules of the protocol hold on each, and each
- * check notices when the safeguard it rests on is switched off.
+ * Simulated days with single and combined faults. The protocol rules must hold on each day, and each
+ * rule's check must detect a violation when the safeguard behind the rule is disabled.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
@@ -8,37 +8,41 @@
 import { Simulation } from "../sim/simulation.js";
 
 const days: readonly (readonly [string, number, FaultScenario])[] = [
-  ["quiet", 1, NO_FAULTS],
+  ["no faults", 1, NO_FAULTS],
   ["lost and late messages", 2, { ...NO_FAULTS, lost: 0.03 }],
   ["controllers crash", 3, { ...NO_FAULTS, crashes: true }],
-  ["outages", 4, { ...NO_FAULTS, outages: true }],
-  ["machines die and hang", 5, { ...NO_FAULTS, lost: 0.01, deaths: true }],
-  ["all together", 6, { lost: 0.02, crashes: true, outages: true, deaths: true }],
+  ["outages of the state store and the cloud", 4, { ...NO_FAULTS, outages: true }],
+  ["machines fail and hang", 5, { ...NO_FAULTS, lost: 0.01, deaths: true }],
   [
-    "all together, with other seed and more losses",
+    "lost messages, crashes, outages and machine failures",
+    6,
+    { lost: 0.02, crashes: true, outages: true, deaths: true },
+  ],
+  [
+    "more lost messages, crashes, outages and machine failures",
     7,
     { lost: 0.03, crashes: true, outages: true, deaths: true },
   ],
-  ["heartbeats arrive, nothing reaches their machines", 8, { ...NO_FAULTS, oneWayMachines: true }],
+  ["machines send heartbeats but receive no calls", 8, { ...NO_FAULTS, oneWayMachines: true }],
   [
     "late copies of heartbeats",
     9,
     { ...NO_FAULTS, lost: 0.01, lateHeartbeatCopies: true, crashes: true },
   ],
   [
-    "a controller cut from the state store and its peers",
+    "a controller that can't reach the state store and its peers",
     10,
     { ...NO_FAULTS, controllerCut: true },
   ],
-  ["one controller refused by the state store", 11, { ...NO_FAULTS, controllerRefused: true }],
+  ["the state store refuses one controller", 11, { ...NO_FAULTS, controllerRefused: true }],
   ["a controller that reaches no worker", 12, { ...NO_FAULTS, workersUnreachable: true }],
   [
-    "crashes in the middle of elections",
+    "controllers crash right after elections",
     13,
     { ...NO_FAULTS, crashesAfterElections: true, crashes: true },
   ],
   [
-    "one-way machines and late copies beside crashes, a wave and an outage",
+    "machines that receive no calls, late heartbeat copies, crashes, spot preemptions and outages",
     14,
     {
       ...NO_FAULTS,
@@ -50,7 +54,7 @@
     },
   ],
   [
-    "a cut controller, peers that refuse, deaths",
+    "an isolated controller, refused peer connections and machine failures",
     15,
     {
       ...NO_FAULTS,
@@ -62,7 +66,7 @@
     },
   ],
   [
-    "a refused controller beside elections and a wave",
+    "a controller refused by the state store, crashes after elections and spot preemptions",
     16,
     {
       ...NO_FAULTS,
@@ -74,19 +78,23 @@
   ],
   ["process pauses longer than all leases", 17, { ...NO_FAULTS, processPauses: true }],
   [
-    "all controllers cut off together for two leases",
+    "all controllers are isolated for two lease terms",
     18,
     { ...NO_FAULTS, allControllersCut: true },
   ],
-  ["the whole service restarts, twice", 19, { ...NO_FAULTS, restarts: true }],
-  ["machines hang beyond their lease and go on", 20, { ...NO_FAULTS, hangs: true, lost: 0.01 }],
+  ["all controllers restart at once, twice", 19, { ...NO_FAULTS, restarts: true }],
+  [
+    "machines hang for longer than their lease and resume",
+    20,
+    { ...NO_FAULTS, hangs: true, lost: 0.01 },
+  ],
   [
-    "requests that were carried out come again",
+    "requests that were already executed arrive again",
     21,
     { ...NO_FAULTS, repeatedRequests: true, crashes: true, lost: 0.02 },
   ],
   [
-    "process pauses beside hangs, crashes, late copies and repeats",
+    "process pauses, hangs, crashes, late heartbeat copies and repeated requests",
     22,
     {
       ...NO_FAULTS,
@@ -99,7 +107,7 @@
     },
   ],
   [
-    "a cut of all beside restarts, deaths and a wave",
+    "all controllers isolated, restarts, machine failures and spot preemptions",
     23,
     {
       ...NO_FAULTS,
@@ -112,7 +120,7 @@
     },
   ],
   [
-    "a controller without workers beside a paused one, elections and a wave",
+    "a controller that reaches no worker, process pauses, crashes after elections, spot preemptions",
     24,
     {
       ...NO_FAULTS,
@@ -126,18 +134,18 @@
 ];
 
 for (const [name, seed, scenario] of days)
-  test(`the rules hold over a simulated day: ${name}`, async () => {
+  test(`the protocol rules hold on a simulated day: ${name}`, async () => {
     const simulation = new Simulation(seed, scenario);
     await simulation.day(25);
     assert.deepEqual(simulation.violations, []);
-    assert.ok(simulation.starts.length > 0, "something ran");
+    assert.ok(simulation.starts.length > 0, "some task started");
     for (const [id, job] of simulation.jobs) {
-      assert.ok(job.accepted, `${id} is accepted`);
-      assert.ok(job.finalState !== null, `${id} comes to its end`);
+      assert.ok(job.accepted, `${id} was accepted`);
+      assert.ok(job.finalState !== null, `${id} ends`);
     }
   });
 
-const storm: FaultScenario = {
+const MANY_FAULTS: FaultScenario = {
   lost: 0.08,
   crashes: true,
   outages: true,
@@ -149,45 +157,47 @@
 };
 
 /**
- * Each check must be able to fail: with the safeguard it rests on switched off, its rule is broken
- * on one of a few days at the latest.
+ * Proves that each rule's check can fail: with the safeguard disabled, one of the listed rules is
+ * violated within `MAX_DAYS` days of different seeds.
  */
 const safeguards: readonly (readonly [DisabledSafeguard, FaultScenario, readonly string[]])[] = [
-  // Conditions keep two owners from starting the same task, and a job from ending twice.
-  ["conditions", storm, ["ran_twice", "went_back", "quota"]],
+  // Transaction conditions keep two owners from starting the same task, and a job from ending twice.
+  ["conditions", MANY_FAULTS, ["ran_twice", "went_back", "quota"]],
   // Fencing tokens keep an earlier owner's late command from being executed.
   [
     "fencing_tokens",
     { ...NO_FAULTS, lost: 0.15, crashes: true, crashesAfterElections: true },
     ["ran_twice", "quota"],
   ],
-  // The cloud's word that a machine is gone is the evidence that its attempts ended.
-  ["cloud_returns", storm, ["ran_twice", "quota"]],
-  // A final record is what an ended job is known by.
+  // The cloud's answer that a machine is gone is termination evidence for the machine's attempts.
+  ["cloud_returns", MANY_FAULTS, ["ran_twice", "quota"]],
+  // Only its final record shows that a job has ended.
   ["final_records", NO_FAULTS, ["forgotten"]],
   ["no_service", NO_FAULTS, ["unserved"]],
-  // A cancellation that is confirmed and not carried out.
+  // Cancellations are confirmed but not executed.
   ["cancellations", NO_FAULTS, ["ran_cancelled", "went_back"]],
 ];
 const MAX_DAYS = 16;
 
 for (const [safeguard, scenario, rules] of safeguards)
-  test(`the checks notice a broken guard: ${safeguard}`, async () => {
-    const seen = new Set<string>();
-    for (let seed = 1; seed <= MAX_DAYS && !rules.some((rule) => seen.has(rule)); seed++) {
+  test(`the checks detect a disabled safeguard: ${safeguard}`, async () => {
+    const violatedRules = new Set<string>();
+    for (let seed = 1; seed <= MAX_DAYS && !rules.some((rule) => violatedRules.has(rule)); seed++) {
       const simulation = new Simulation(seed, scenario, undefined, safeguard);
       await simulation.day(25);
-      for (const violation of simulation.violations) seen.add(violation.split(" ")[0] as string);
+      for (const violation of simulation.violations)
+        violatedRules.add(violation.split(" ")[0] as string);
     }
     assert.ok(
-      rules.some((rule) => seen.has(rule)),
-      `one of ${rules} is among ${[...seen]}`,
+      rules.some((rule) => violatedRules.has(rule)),
+      `one of ${rules} is among ${[...violatedRules]}`,
     );
   });
 
 /**
- * Writes are what is scarce at the grown size: 30 a second over five controllers beside 86 starts
- * a second. Bounded by counts, which no machine's speed changes.
+ * Writes to the state store limit the throughput of a large cluster: five controllers share 30 writes
+ * per second at 86 starts per second. The bounds are on counts, which do not depend on the speed of
+ * the machine that runs the test.
  */
 test("at a few hundred machines writes and calls follow what starts, not what is there", async () => {
   const simulation = new Simulation(21, NO_FAULTS, {
@@ -200,7 +210,8 @@
   assert.deepEqual(simulation.violations, []);
   const starts = simulation.starts.length;
   assert.ok(starts > 1000, `${starts} starts`);
-  // A start and an end of each task, an accept and an end of each job, machines coming and going.
+  // Writes are due for each task's start and end, each job's acceptance and end, and machines that
+  // come and go. Starts and ends of several tasks share a page, and so one write.
   assert.ok(
     simulation.writes < 2 * starts,
     `${simulation.writes} changes written for ${starts} starts`,
