--- a/test/loopback/cluster.ts
+++ b/test/loopback/cluster.ts
@@ -1,37 +1,45 @@
 /**
- * One run of the loopback cluster: real controllers as processes, stand-ins and users in this one,
- * a quiet spell, a burst of one team, and the time to see everything through.
+ * One run of the loopback cluster. The controllers are real processes; the stand-ins for external
+ * services and the users run in this process. A run has a warm-up, a period of steady load, a burst
+ * of one team, and time in which the remaining jobs complete.
  */
 import { Controllers } from "./controllers.js";
-import { History, type Waits } from "./history.js";
+import { History, type WaitingTimes } from "./history.js";
 import { RealClock } from "./real-clock.js";
 import { MACHINE_CPUS, StandIns } from "./stand-ins.js";
 import { Users } from "./users.js";
 
-/** What a run is asked to do. */
+/** The settings of a run. */
 export interface ClusterOptions {
   readonly seed: number;
   readonly controllers: number;
   readonly workers: number;
   readonly teams: number;
-  /** Jobs a second of each team on a quiet night, and how many times as many the busy one sends. */
+  /** Jobs per second of each team under steady load. */
   readonly jobsPerSecond: number;
+  /** Factor by which the busy team submits more jobs during the burst. */
   readonly burstFactor: number;
-  /** Controllers find each other, and the first machines come up, before anything is measured. */
+  /** Time for membership to form and the first machines to boot; nothing is measured in it. */
   readonly warmUpS: number;
-  /** Quiet so long; then the burst so long; then so long for what is left. */
+  /** Duration of the steady load that is measured before the burst. */
   readonly quietS: number;
   readonly burstS: number;
+  /** The most time after the burst for the remaining jobs to complete. */
   readonly restS: number;
-  /** The owner of the busy team's home shard is killed so long after the burst began; 0: it isn't. */
+  /**
+   * Delay from the start of the burst until the owner of the busy team's home shard is killed. 0:
+   * never.
+   */
   readonly endOwnerAfterS: number;
+  /** The `load_spread` block of the packages file. */
   readonly loadSpread: Readonly<Record<string, unknown>>;
-  /** What each team is guaranteed, and its limit, in processors. */
+  /** Guaranteed processors of each team. */
   readonly guarantee: number;
+  /** Processor limit of each team. */
   readonly limit: number;
 }
 
-/** What a run measured. */
+/** The result of a run; `main.ts` writes it as JSON. */
 export interface ClusterResult {
   readonly options: ClusterOptions;
   readonly machineCpus: number;
@@ -43,9 +51,9 @@
   readonly busyTeam: string;
   readonly busyStarts: number;
   readonly maxWorkers: number;
-  /** Milliseconds from submission to first start, by team. */
-  readonly quiet: Readonly<Record<string, Waits>>;
-  readonly burst: Readonly<Record<string, Waits>>;
+  /** Waiting times of jobs submitted in the steady period and in the burst, by team. */
+  readonly quiet: Readonly<Record<string, WaitingTimes>>;
+  readonly burst: Readonly<Record<string, WaitingTimes>>;
   readonly cpuMs: Readonly<Record<string, unknown>>;
   readonly loadSpreadStats: Readonly<Record<string, unknown>>;
   readonly events: readonly Record<string, unknown>[];
@@ -55,13 +63,15 @@
 const LEASE_S = 20;
 const TASK_CPUS = 4;
 const MAX_TASKS = 4;
-const RUN_MS = [2000, 5000] as const;
-const EXPECT_S = 3.5;
-const FIRST_ARRIVAL_MS = 4000;
-const BACK_MS = 5000;
-const LOOK_MS = 250;
+/** Shortest and longest run time of a task. */
+const RUN_TIME_RANGE_MS = [2000, 5000] as const;
+/** The run time that users declare: the mean of the range above. */
+const EXPECTED_RUN_S = 3.5;
+const FIRST_SUBMISSION_MS = 4000;
+const OWNER_RESTART_DELAY_MS = 5000;
+const COMPLETION_CHECK_INTERVAL_MS = 250;
 
-/** When the spells of a run begin and end, in milliseconds of the run. */
+/** Start and end times of the periods of a run, in milliseconds since the run began. */
 interface Timetable {
   readonly quietFromMs: number;
   readonly burstFromMs: number;
@@ -69,7 +79,7 @@
   readonly untilMs: number;
 }
 
-/** The parts of one run. */
+/** The components of one run. */
 interface Cluster {
   readonly options: ClusterOptions;
   readonly timetable: Timetable;
@@ -105,66 +115,71 @@
     { count: options.controllers, teams, leaseS: LEASE_S, packages },
     history,
   );
-  await controllers.reserve();
-  const { fronts } = controllers;
+  await controllers.reservePorts();
+  const { frontAddresses } = controllers;
   const users = new Users(clock, history, startedAt, {
-    fronts,
-    cpus: TASK_CPUS,
+    controllerAddresses: frontAddresses,
+    cpusPerTask: TASK_CPUS,
     maxTasks: MAX_TASKS,
-    expectS: EXPECT_S,
+    expectedRunS: EXPECTED_RUN_S,
   });
   const standIns = new StandIns(
     clock,
     history,
-    { workers: options.workers, leaseMs: LEASE_S * 1000, runMs: RUN_MS, controllers: fronts },
+    {
+      workers: options.workers,
+      leaseMs: LEASE_S * 1000,
+      runTimeRangeMs: RUN_TIME_RANGE_MS,
+      controllerAddresses: frontAddresses,
+    },
     (task) => users.imageOf(task),
   );
   await standIns.start();
-  controllers.start(standIns.stateAddress, standIns.cloudAddress);
+  controllers.start(standIns.stateStoreAddress, standIns.cloudAddress);
   const timetable = timetableOf(options);
   const teamNames = teams.map(({ name }) => name);
   return { options, timetable, clock, now, history, teamNames, controllers, users, standIns };
 };
 
-/** Starts all arrivals; each promise resolves when its spell is over. */
-const beginArrivals = ({ options, timetable, teamNames, users }: Cluster): Promise<void>[] => {
+/** Starts the submissions of all teams; each promise resolves when its period is over. */
+const startSubmissions = ({ options, timetable, teamNames, users }: Cluster): Promise<void>[] => {
   const { jobsPerSecond, burstFactor } = options;
   const { burstFromMs, burstUntilMs: untilMs } = timetable;
-  const arrivals = teamNames.map((team) =>
-    users.arrive({ team, jobsPerSecond, fromMs: FIRST_ARRIVAL_MS, untilMs }),
+  const submissions = teamNames.map((team) =>
+    users.submitJobs({ team, jobsPerSecond, fromMs: FIRST_SUBMISSION_MS, untilMs }),
   );
   if (burstFactor > 1)
-    arrivals.push(
-      users.arrive({
+    submissions.push(
+      users.submitJobs({
         team: BUSY_TEAM,
         jobsPerSecond: jobsPerSecond * (burstFactor - 1),
         fromMs: burstFromMs,
         untilMs,
       }),
     );
-  return arrivals;
+  return submissions;
 };
 
-/** Kills the owner of the busy team's home shard in the burst, and starts it again. */
-const scheduleOwnerEnd = ({ options, timetable, clock, now, controllers, standIns }: Cluster) => {
+/** Schedules the crash of the owner of the busy team's home shard in the burst, and its restart. */
+const scheduleOwnerCrash = ({ options, timetable, clock, now, controllers, standIns }: Cluster) => {
   if (options.endOwnerAfterS <= 0) return;
-  const endAtMs = timetable.burstFromMs + options.endOwnerAfterS * 1000;
-  clock.after(endAtMs - now(), () => {
-    const label = ownerOfHome(standIns);
-    controllers.end(label);
-    clock.after(BACK_MS, () => controllers.spawn(label));
+  const crashAtMs = timetable.burstFromMs + options.endOwnerAfterS * 1000;
+  clock.after(crashAtMs - now(), () => {
+    const label = ownerOfBusyHomeShard(standIns);
+    controllers.kill(label);
+    clock.after(OWNER_RESTART_DELAY_MS, () => controllers.startProcess(label));
   });
 };
 
-/** Waits until all jobs are done or the time is over; returns the most workers seen at once. */
-const seeThrough = async ({ timetable, clock, now, history, standIns }: Cluster) => {
+/** Waits until all jobs are done or the run's time is over; returns the most workers up at once. */
+const waitForCompletion = async ({ timetable, clock, now, history, standIns }: Cluster) => {
   const { burstUntilMs, untilMs } = timetable;
   const isUnfinished = (): boolean =>
     [...history.jobs.values()].some(({ doneAt }) => doneAt === undefined);
   let maxWorkers = 0;
   while (now() < untilMs && (now() < burstUntilMs || isUnfinished())) {
     maxWorkers = Math.max(maxWorkers, standIns.workers.size);
-    await clock.sleep(LOOK_MS);
+    await clock.sleep(COMPLETION_CHECK_INTERVAL_MS);
   }
   return maxWorkers;
 };
@@ -179,12 +194,12 @@
     done: [...history.jobs.values()].filter(({ doneAt }) => doneAt !== undefined).length,
     violations: history.violations,
     starts: history.starts,
-    imagesAtHand: history.imagesAtHand,
+    imagesAtHand: history.cachedImageStarts,
     busyTeam: BUSY_TEAM,
     busyStarts: history.startsOf(BUSY_TEAM),
     maxWorkers,
-    quiet: history.waits(timetable.quietFromMs, timetable.burstFromMs),
-    burst: history.waits(timetable.burstFromMs, timetable.burstUntilMs),
+    quiet: history.waitingTimes(timetable.quietFromMs, timetable.burstFromMs),
+    burst: history.waitingTimes(timetable.burstFromMs, timetable.burstUntilMs),
     cpuMs: Object.fromEntries(stats.map(([label, logged]) => [label, logged.cpuMs])),
     loadSpreadStats: Object.fromEntries(
       stats.map(([label, logged]) => [label, logged.loadSpread ?? null]),
@@ -193,13 +208,13 @@
   };
 };
 
-/** Plays one run and ends all that it started. */
+/** Executes one run and stops all processes and servers that it started. */
 export const runCluster = async (options: ClusterOptions): Promise<ClusterResult> => {
   const cluster = await startCluster(options);
-  const arrivals = beginArrivals(cluster);
-  scheduleOwnerEnd(cluster);
-  const maxWorkers = await seeThrough(cluster);
-  await Promise.all(arrivals);
+  const submissions = startSubmissions(cluster);
+  scheduleOwnerCrash(cluster);
+  const maxWorkers = await waitForCompletion(cluster);
+  await Promise.all(submissions);
   const result = resultOf(cluster, maxWorkers);
   cluster.users.stop();
   await cluster.controllers.stop();
@@ -207,9 +222,11 @@
   return result;
 };
 
-/** Whom the records name as the owner of the busy team's home shard. */
-const ownerOfHome = ({ state }: StandIns): string => {
-  const homes = state.keys.get("now/teams")?.v as Readonly<Record<string, number>> | undefined;
-  const owner = state.keys.get(`now/share/${homes?.[BUSY_TEAM]}`)?.v as { readonly l?: string };
+/** Label of the owner of the busy team's home shard, from the stored records; empty if none. */
+const ownerOfBusyHomeShard = ({ stateStore }: StandIns): string => {
+  const homes = stateStore.keys.get("now/teams")?.v as Readonly<Record<string, number>> | undefined;
+  const owner = stateStore.keys.get(`now/share/${homes?.[BUSY_TEAM]}`)?.v as {
+    readonly l?: string;
+  };
   return owner?.l ?? "";
 };
--- a/test/loopback/controllers.ts
+++ b/test/loopback/controllers.ts
@@ -1,6 +1,6 @@
 /**
- * Whole controllers as processes of their own, with their settings files and what they log.
- * Owns the processes, by their handles, and a temporary directory until `stop`.
+ * Runs controllers as separate processes: writes their settings files, starts and kills them, and
+ * collects their log lines. Owns the processes and a temporary directory until `stop`.
  */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
@@ -10,19 +10,19 @@
 import { createInterface } from "node:readline";
 import type { History } from "./history.js";
 
-/** A team as settings files name it; processors. */
+/** A team in the settings files: its guaranteed processors and its limit. */
 export interface TeamSettings {
   readonly name: string;
   readonly cpus: number;
   readonly cpusMax: number;
 }
 
-/** How many controllers, and the settings that all have in common. */
+/** The number of controllers and the settings that all of them share. */
 export interface ControllerOptions {
   readonly count: number;
   readonly teams: readonly TeamSettings[];
   readonly leaseS: number;
-  /** The packages file in JSON. */
+  /** Content of the packages file; written as JSON. */
   readonly packages: unknown;
 }
 
@@ -35,7 +35,7 @@
     });
   });
 
-interface Addresses {
+interface ControllerAddresses {
   readonly label: string;
   readonly front: string;
   readonly internal: string;
@@ -43,44 +43,44 @@
 
 /** The controllers of one run. */
 export class Controllers {
-  /** Addresses for users and workers, by label. */
-  readonly fronts = new Map<string, string>();
-  /** The newest statistics that each logged. */
+  /** Addresses that serve users and workers, by controller label. */
+  readonly frontAddresses = new Map<string, string>();
+  /** The latest `stats` event of each controller, by label. */
   readonly stats = new Map<string, Record<string, unknown>>();
   readonly #directory = mkdtempSync(path.join(tmpdir(), "loopback-"));
   readonly #running = new Map<string, ChildProcess>();
-  readonly #addresses: Addresses[] = [];
+  readonly #addresses: ControllerAddresses[] = [];
 
   constructor(
     private readonly options: ControllerOptions,
     private readonly history: History,
   ) {}
 
-  /** Chooses free ports for all controllers. */
-  async reserve(): Promise<void> {
+  /** Chooses free ports for all controllers. They are not held open until `start`. */
+  async reservePorts(): Promise<void> {
     for (let i = 0; i < this.options.count; i++) {
       const label = `n-${i}`;
       const front = `127.0.0.1:${await freePort()}`;
       this.#addresses.push({ label, front, internal: `127.0.0.1:${await freePort()}` });
-      this.fronts.set(label, front);
+      this.frontAddresses.set(label, front);
     }
   }
 
   /** Writes all settings files and starts all controllers. */
-  start(stateAddress: string, cloudAddress: string): void {
+  start(stateStoreAddress: string, cloudAddress: string): void {
     const packages = path.join(this.#directory, "packages.json");
     writeFileSync(packages, JSON.stringify(this.options.packages));
-    for (const own of this.#addresses) {
-      const file = this.#file(own.label);
-      writeFileSync(file, this.#settings(own, stateAddress, cloudAddress));
-      this.spawn(own.label);
+    for (const controller of this.#addresses) {
+      const file = this.#settingsFile(controller.label);
+      writeFileSync(file, this.#settings(controller, stateStoreAddress, cloudAddress));
+      this.startProcess(controller.label);
     }
   }
 
   /** Starts the process of one controller. */
-  spawn(label: string): void {
+  startProcess(label: string): void {
     const args = ["target/start.cjs", "--packages", path.join(this.#directory, "packages.json")];
-    const child = spawn(process.execPath, [...args, "--config", this.#file(label)], {
+    const child = spawn(process.execPath, [...args, "--config", this.#settingsFile(label)], {
       stdio: ["ignore", "ignore", "pipe"],
     });
     this.#running.set(label, child);
@@ -88,14 +88,14 @@
     child.once("exit", (code, signal) => this.history.record("exit", { label, code, signal }));
   }
 
-  /** Kills one process, by its handle. */
-  end(label: string): void {
+  /** Kills the process of one controller. */
+  kill(label: string): void {
     this.history.record("ended", { label });
     this.#running.get(label)?.kill("SIGKILL");
     this.#running.delete(label);
   }
 
-  /** Kills all processes, waits for their ends and removes the directory. */
+  /** Kills all processes, waits for their exits and removes the temporary directory. */
   async stop(): Promise<void> {
     const exits = [...this.#running.values()].map(
       (child) => new Promise((resolve) => child.once("exit", resolve)),
@@ -105,7 +105,7 @@
     rmSync(this.#directory, { recursive: true });
   }
 
-  #file(label: string): string {
+  #settingsFile(label: string): string {
     return path.join(this.#directory, `${label}.toml`);
   }
 
@@ -121,17 +121,21 @@
     else this.history.record(String(entry.event), { label, ...entry });
   }
 
-  #settings(own: Addresses, stateAddress: string, cloudAddress: string): string {
-    const seeds = this.#addresses.filter((other) => other !== own);
+  #settings(
+    controller: ControllerAddresses,
+    stateStoreAddress: string,
+    cloudAddress: string,
+  ): string {
+    const seeds = this.#addresses.filter((other) => other !== controller);
     return `
-label = "${own.label}"
+label = "${controller.label}"
 area = "a"
-front = "${own.front}"
-internal_addr = "${own.internal}"
+front = "${controller.front}"
+internal_addr = "${controller.internal}"
 ${seeds.map(({ label, internal }) => `[[seeds]]\nlabel = "${label}"\narea = "a"\naddress = "${internal}"`).join("\n")}
 [services]
 cloud = "${cloudAddress}"
-state = "${stateAddress}"
+state = "${stateStoreAddress}"
 [params]
 size = ${this.options.count}
 zones = ["a", "b"]
--- a/test/loopback/history.ts
+++ b/test/loopback/history.ts
@@ -1,11 +1,11 @@
 /**
- * What happened in a run, by the users' and the workers' own word, and the rules of the protocol
- * checked against it.
+ * Records the jobs, starts and events of a run as its users and workers observed them, and checks
+ * the protocol rules against them.
  */
 import { build } from "hdr-histogram-js";
 import { jobIdOfTask } from "../sim/task-names.js";
 
-/** One job as its user and the workers saw it; times in milliseconds of the run. */
+/** One job as its user and the workers observed it; times in milliseconds since the run began. */
 export interface JobHistory {
   readonly team: string;
   readonly tasks: number;
@@ -16,8 +16,8 @@
   doneAt: number | undefined;
 }
 
-/** Waiting times of a team's jobs, in milliseconds. */
-export interface Waits {
+/** Times from submission to first start of a team's jobs, in milliseconds. */
+export interface WaitingTimes {
   readonly jobs: number;
   readonly unstarted: number;
   readonly p50: number;
@@ -28,18 +28,18 @@
 
 const SIGNIFICANT_DIGITS = 3;
 
-/** The record of one run; times are milliseconds since it began. */
+/** The history of one run; times are milliseconds since it began. */
 export class History {
   /** All submitted jobs, by id. */
   readonly jobs = new Map<string, JobHistory>();
-  /** Broken rules, by the protocol's names. */
+  /** Violations of the protocol rules; each begins with the rule's name. */
   readonly violations: string[] = [];
-  /** What controllers logged and what was done to them, in order. */
+  /** Log events of the controllers, and their kills and exits, in order. */
   readonly events: Record<string, unknown>[] = [];
-  /** Starts of tasks. */
+  /** Number of task starts. */
   starts = 0;
-  /** Starts that found their image on the machine. */
-  imagesAtHand = 0;
+  /** Number of task starts whose image was cached on the machine. */
+  cachedImageStarts = 0;
   readonly #machinesOf = new Map<string, Set<string>>();
   readonly #cpusOfTeam = new Map<string, number>();
   readonly #startsOfTeam = new Map<string, number>();
@@ -49,20 +49,20 @@
     private readonly limitOf: (team: string) => number,
   ) {}
 
-  /** Enters an event with the time at which it came. */
+  /** Records an event with the current time. */
   record(event: string, fields: Record<string, unknown> = {}): void {
     this.events.push({ atMs: Math.round(this.now()), event, ...fields });
   }
 
-  /** A worker starts a task: enters and checks it. */
-  began(worker: string, task: string, imageAtHand: boolean): void {
+  /** Records that a worker starts a task, and checks the protocol rules. */
+  recordTaskStart(worker: string, task: string, isImageCached: boolean): void {
     const job = this.jobs.get(jobIdOfTask(task));
     const machines = this.#machinesOf.get(task) ?? new Set();
     this.#machinesOf.set(task, machines);
     if (machines.size > 0) this.violations.push(`ran_twice ${task}`);
     machines.add(worker);
     this.starts++;
-    if (imageAtHand) this.imagesAtHand++;
+    if (isImageCached) this.cachedImageStarts++;
     if (job === undefined) {
       this.violations.push(`invented ${task}`);
       return;
@@ -74,34 +74,34 @@
     if (cpus > this.limitOf(job.team)) this.violations.push(`quota ${job.team} ${cpus}`);
   }
 
-  /** A task leaves a worker. */
-  left(worker: string, task: string): void {
+  /** Records that a task is no longer on a worker. */
+  recordTaskEnd(worker: string, task: string): void {
     if (this.#machinesOf.get(task)?.delete(worker) !== true) return;
     const job = this.jobs.get(jobIdOfTask(task));
     if (job !== undefined)
       this.#cpusOfTeam.set(job.team, (this.#cpusOfTeam.get(job.team) ?? 0) - job.cpus);
   }
 
-  /** How many tasks of a team started. */
+  /** Number of task starts of a team. */
   startsOf(team: string): number {
     return this.#startsOfTeam.get(team) ?? 0;
   }
 
-  /** Waiting times of each team's jobs submitted within a window, from submission to first start. */
-  waits(fromMs: number, untilMs: number): Readonly<Record<string, Waits>> {
+  /** Waiting times of the jobs that were submitted within a time window, by team. */
+  waitingTimes(fromMs: number, untilMs: number): Readonly<Record<string, WaitingTimes>> {
     const byTeam = new Map<string, JobHistory[]>();
     for (const job of this.jobs.values()) {
       if (job.submittedAt < fromMs || job.submittedAt >= untilMs) continue;
       byTeam.set(job.team, [...(byTeam.get(job.team) ?? []), job]);
     }
     return Object.fromEntries(
-      [...byTeam].sort().map(([team, jobs]) => [team, this.#quantiles(jobs)]),
+      [...byTeam].sort().map(([team, jobs]) => [team, this.#summarize(jobs)]),
     );
   }
 
-  #quantiles(jobs: readonly JobHistory[]): Waits {
+  #summarize(jobs: readonly JobHistory[]): WaitingTimes {
     const histogram = build({ numberOfSignificantValueDigits: SIGNIFICANT_DIGITS });
-    // A job without a start has waited until now, at the least.
+    // A job that has not started yet counts with its waiting time so far.
     for (const job of jobs)
       histogram.recordValue(Math.round((job.startedAt ?? this.now()) - job.submittedAt));
     const valueAt = (percentile: number): number => histogram.getValueAtPercentile(percentile);
--- a/test/loopback/loopback.test.ts
+++ b/test/loopback/loopback.test.ts
@@ -1,12 +1,12 @@
 /**
- * A short run with real processes and sockets: counts and the order of events, never times. How long
- * things take is for `npm run loopback`.
+ * A short run with real processes and sockets. It asserts on counts and on the order of events, but
+ * not on times, which depend on the machine; `npm run loopback` measures those.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { runCluster } from "./cluster.js";
 
-test("on the loopback cluster a burst is spread and every job is done though an owner is killed", async () => {
+test("loopback: a burst is spread and all jobs complete although an owner is killed", async () => {
   const result = await runCluster({
     seed: 1,
     controllers: 3,
@@ -38,8 +38,11 @@
   const killed = result.events.filter(
     ({ event, signal }) => event === "exit" && signal === "SIGKILL",
   );
-  assert.equal(killed.length, 4, "the owner that was killed, and all three at the end");
-  const grewAt = firstIndexOf("span changed");
-  assert.ok(grewAt >= 0, "a span grew");
-  assert.ok(firstIndexOf("quota handed on") > grewAt, "and quota went after it");
+  assert.equal(killed.length, 4, "the killed owner, and all three controllers at the end");
+  const spanChangeIndex = firstIndexOf("span changed");
+  assert.ok(spanChangeIndex >= 0, "a span grew");
+  assert.ok(
+    firstIndexOf("quota handed on") > spanChangeIndex,
+    "quota was transferred after the span grew",
+  );
 });
--- a/test/loopback/real-clock.ts
+++ b/test/loopback/real-clock.ts
@@ -1,15 +1,15 @@
 /**
- * Real time for the stand-ins of the loopback cluster.
+ * The real-time clock of the loopback cluster's stand-ins and users.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { TimeSource } from "../sim/clock.js";
 
-/** Node runs timers that are longer than this at once. */
+/** Longest delay of a Node.js timer; a timer with a longer delay fires immediately. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
 
-/** Real time; only what is drawn by chance follows from the seed. */
+/** Real time with random draws from a seed. Only the draws are reproducible. */
 export class RealClock implements TimeSource {
   readonly #rng;
 
@@ -17,27 +17,27 @@
     this.#rng = xoroshiro128plus(seed);
   }
 
-  /** Milliseconds since this process began. */
+  /** Milliseconds since this process started. */
   get now(): number {
     return performance.now();
   }
 
-  /** A draw from [0, 1). */
+  /** A uniform random number from [0, 1). */
   random(): number {
     return uniformFloat64(this.#rng);
   }
 
-  /** A draw from [min, max). */
+  /** A uniform random number from [min, max). */
   between(min: number, max: number): number {
     return min + (max - min) * this.random();
   }
 
-  /** Runs something so much later; it keeps no process alive. */
+  /** Runs a function after a delay. The timer does not keep the process alive. */
   after(ms: number, run: () => void): void {
     setTimeout(run, Math.min(ms, MAX_TIMER_MS)).unref();
   }
 
-  /** Resolves so much later. */
+  /** Resolves after a delay. */
   async sleep(ms: number): Promise<void> {
     await sleep(ms);
   }
--- a/test/loopback/stand-ins.ts
+++ b/test/loopback/stand-ins.ts
@@ -1,6 +1,6 @@
 /**
- * State store, cloud and workers of the loopback cluster, behind real sockets on 127.0.0.1. Owns the
- * servers and the workers until `stop`.
+ * Stand-ins for the state store, the cloud and the workers of the loopback cluster, which serve
+ * real sockets on 127.0.0.1. Owns the servers and the workers until `stop`.
  */
 import type http from "node:http";
 import type { AddressInfo } from "node:net";
@@ -16,9 +16,11 @@
 
 /** Processors of the one machine type that the cloud offers. */
 export const MACHINE_CPUS = 8;
-const BOOT_MS = [2000, 5000] as const;
-const BOOT_S = 4;
-const STATE_DELAY_MS = 3;
+/** Shortest and longest actual boot time of a machine. */
+const BOOT_TIME_RANGE_MS = [2000, 5000] as const;
+/** The boot time that the cloud announces. */
+const ANNOUNCED_BOOT_S = 4;
+const STATE_STORE_LATENCY_MS = 3;
 const HEARTBEAT_TIMEOUT_MS = 4000;
 const MAX_CONNECTIONS = 20_000;
 
@@ -31,16 +33,18 @@
   pullGbPerS: 1,
   price: 1,
   spotPrice: 0.5,
-  bootS: BOOT_S,
+  bootS: ANNOUNCED_BOOT_S,
   mills: ["a", "b"],
 };
 
 const log = makeLogger("error", { node: "stand-in" });
 
-type Handle = (method: string, path: string, body: Body | undefined) => Out | Promise<Out>;
+type RequestHandler = (method: string, path: string, body: Body | undefined) => Out | Promise<Out>;
 
-/** Serves requests on a port that is free. */
-const listen = async (handle: Handle): Promise<{ server: http.Server; address: string }> => {
+/** Starts a server on a free port. */
+const listen = async (
+  handle: RequestHandler,
+): Promise<{ server: http.Server; address: string }> => {
   const answer = async ({ method, path, bytes }: HttpRequest) => {
     const body = bytes.length === 0 ? undefined : decodeBody(bytes);
     return handle(method, path, body?.ok === true ? (body.value as Body) : undefined);
@@ -50,29 +54,30 @@
   return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}` };
 };
 
-/** How many machines there are, and how their workers behave. */
+/** The number of machines and the behaviour of their workers. */
 export interface StandInOptions {
   readonly workers: number;
   readonly leaseMs: number;
-  readonly runMs: readonly [number, number];
-  /** Addresses of the controllers that get heartbeats, by label. */
-  readonly controllers: ReadonlyMap<string, string>;
+  readonly runTimeRangeMs: readonly [number, number];
+  /** Addresses of the controllers that receive heartbeats, by label. */
+  readonly controllerAddresses: ReadonlyMap<string, string>;
 }
 
 /** The stand-ins of one run. */
 export class StandIns {
-  /** Workers of machines that are up, by machine. */
+  /** Workers of machines that are up, by machine id. */
   readonly workers = new Map<string, FakeWorker>();
-  /** Known after `start`. */
-  stateAddress = "";
-  /** Known after `start`. */
+  /** Empty until `start`. */
+  stateStoreAddress = "";
+  /** Empty until `start`. */
   cloudAddress = "";
-  /** The state store, for those that look into its records. */
-  readonly state: FakeStateStore;
+  /** The state store stand-in, for reading its records. */
+  readonly stateStore: FakeStateStore;
   readonly #cloud: FakeCloud;
   readonly #servers = new Map<string, http.Server>();
-  readonly #calls = new PooledHttpClient(MAX_CONNECTIONS, MAX_CONNECTIONS);
-  readonly #images = new Map<string, Set<string>>();
+  readonly #httpClient = new PooledHttpClient(MAX_CONNECTIONS, MAX_CONNECTIONS);
+  /** Images that are cached on each machine, by machine id. */
+  readonly #cachedImages = new Map<string, Set<string>>();
 
   constructor(
     private readonly clock: RealClock,
@@ -80,47 +85,48 @@
     private readonly options: StandInOptions,
     private readonly imageOf: (task: string) => string,
   ) {
-    this.state = new FakeStateStore(clock);
+    this.stateStore = new FakeStateStore(clock);
     this.#cloud = new FakeCloud(
       [MACHINE_TYPE],
       options.workers,
-      (machine) => clock.after(clock.between(...BOOT_MS), () => void this.#boot(machine)),
-      (id) => this.#endMachine(id),
+      (machine) =>
+        clock.after(clock.between(...BOOT_TIME_RANGE_MS), () => void this.#boot(machine)),
+      (id) => this.#stopMachine(id),
     );
     this.#cloud.endpointOf = (id) => this.workers.get(id)?.endpoint ?? "127.0.0.1:1";
   }
 
-  /** Opens the sockets of the state store and the cloud. */
+  /** Starts the servers of the state store and the cloud. */
   async start(): Promise<void> {
-    const state = await listen(async (method, path, body) => {
-      await this.clock.sleep(STATE_DELAY_MS);
-      return this.state.handle(method, path, body);
+    const stateStore = await listen(async (method, path, body) => {
+      await this.clock.sleep(STATE_STORE_LATENCY_MS);
+      return this.stateStore.handle(method, path, body);
     });
     const cloud = await listen((_method, path, body) => this.#cloud.handle(path, body));
-    this.#servers.set("state", state.server).set("cloud", cloud.server);
-    this.stateAddress = state.address;
+    this.#servers.set("state", stateStore.server).set("cloud", cloud.server);
+    this.stateStoreAddress = stateStore.address;
     this.cloudAddress = cloud.address;
   }
 
-  /** Ends all workers and closes all sockets. */
+  /** Stops all workers and closes all servers and connections. */
   stop(): void {
-    for (const id of [...this.workers.keys()]) this.#endMachine(id);
+    for (const id of [...this.workers.keys()]) this.#stopMachine(id);
     for (const server of this.#servers.values()) {
       server.close();
       server.closeAllConnections();
     }
-    this.#calls.close();
+    this.#httpClient.close();
   }
 
   async #boot(machine: Rented): Promise<void> {
     if (!this.#cloud.up.has(machine.id)) return;
-    const labels = [...this.options.controllers.keys()];
+    const labels = [...this.options.controllerAddresses.keys()];
     const worker = new FakeWorker(this.clock, machine, labels, this.options.leaseMs, {
-      began: (_worker, task) => this.#onStart(machine.id, task),
-      left: (_worker, task) => this.history.left(machine.id, task),
-      runMs: () => this.clock.between(...this.options.runMs),
+      began: (_worker, task) => this.#onTaskStart(machine.id, task),
+      left: (_worker, task) => this.history.recordTaskEnd(machine.id, task),
+      runMs: () => this.clock.between(...this.options.runTimeRangeMs),
       fails: () => false,
-      heartbeat: (label, status) => this.#heartbeat(label, status),
+      heartbeat: (label, status) => this.#sendHeartbeat(label, status),
     });
     worker.reportsAtOnce = true;
     this.workers.set(machine.id, worker);
@@ -129,17 +135,17 @@
     this.#servers.set(machine.id, server);
   }
 
-  #onStart(id: string, task: string): void {
+  #onTaskStart(id: string, task: string): void {
     const image = this.imageOf(task);
-    const images = this.#images.get(id) ?? new Set<string>();
-    this.#images.set(id, images);
-    this.history.began(id, task, images.has(image));
+    const images = this.#cachedImages.get(id) ?? new Set<string>();
+    this.#cachedImages.set(id, images);
+    this.history.recordTaskStart(id, task, images.has(image));
     images.add(image);
   }
 
-  async #heartbeat(label: string, status: Body): Promise<Out | undefined> {
-    const address = this.options.controllers.get(label) ?? "";
-    const reply = await this.#calls.call(
+  async #sendHeartbeat(label: string, status: Body): Promise<Out | undefined> {
+    const address = this.options.controllerAddresses.get(label) ?? "";
+    const reply = await this.#httpClient.call(
       address,
       "POST",
       "/agent/beat",
@@ -149,7 +155,7 @@
     return reply.kind === "answer" ? { status: reply.status, body: reply.body } : undefined;
   }
 
-  #endMachine(id: string): void {
+  #stopMachine(id: string): void {
     this.workers.get(id)?.die();
     this.workers.delete(id);
     this.#servers.get(id)?.close();
--- a/test/scenarios/combined-faults.test.ts
+++ b/test/scenarios/combined-faults.test.ts
@@ -45,8 +45,8 @@
     const simulation = new Simulation(seed, { ...NO_FAULTS, storeOutageAfterRefusal }, LARGE);
     await simulation.day(DAY_JOBS);
     assert.deepEqual(simulation.violations, []);
-    // An owner that can't reach its peers can't acknowledge a cancellation notice, so no user gets a
-    // confirmation before the cancellation is recorded.
+    // An owner that can't reach its peers can't acknowledge a cancellation notice, so no user gets
+    // a confirmation before the cancellation is recorded.
     if (storeOutageAfterRefusal.peersCut === true)
       assert.equal(simulation.occurrences.confirmedForRefusedOwner, 0);
     else
@@ -194,9 +194,9 @@
   });
 
 test("tasks longer than a lease run on machines whose heartbeats arrive", async () => {
-  // A task on a machine whose heartbeats are lost is stopped when its lease expires, so a task longer
-  // than a lease never ends there. With ShardState.isHeartbeatOverdue always false, 35 starts go to
-  // such machines on this day.
+  // A task on a machine whose heartbeats are lost is stopped when its lease expires, so a task
+  // longer than a lease never ends there. With ShardState.isHeartbeatOverdue always false, 35
+  // starts go to such machines on this day.
   const simulation = new Simulation(
     82,
     { ...NO_FAULTS, mutedForGood: true },
@@ -229,7 +229,7 @@
   for (const [id, job] of simulation.jobs) assert.ok(job.finalState !== null, `${id} ends`);
 });
 
-test("jobs whose tasks always fail start a bounded number of times and don't block other jobs", async () => {
+test("failing jobs start a bounded number of times and don't block other jobs", async () => {
   const simulation = new Simulation(
     92,
     { ...NO_FAULTS, failures: "always" },
@@ -252,7 +252,7 @@
   ["forced_returns", { machineFault: "hang" }],
 ];
 for (const [safeguard, storeOutageAfterRefusal] of safeguards)
-  test(`a store outage after refusal violates ran_cancelled without a safeguard: ${safeguard}`, async () => {
+  test(`without ${safeguard} a store outage after refusal violates ran_cancelled`, async () => {
     const simulation = new Simulation(
       31,
       { ...NO_FAULTS, storeOutageAfterRefusal },
--- a/test/scenarios/floods.test.ts
+++ b/test/scenarios/floods.test.ts
@@ -1,7 +1,7 @@
 /**
- * Simulated days with overload: status queries at a multiple of the usual rate, one team that submits
- * very many jobs, jobs whose tasks always fail, and machines that boot late or never; each alone,
- * in pairs, and together with other faults.
+ * Simulated days with overload: status queries at a multiple of the usual rate, one team that
+ * submits very many jobs, jobs whose tasks always fail, and machines that boot late or never; each
+ * alone, in pairs, and together with other faults.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
--- a/test/scenarios/load-spread.test.ts
+++ b/test/scenarios/load-spread.test.ts
@@ -1,7 +1,7 @@
 /**
- * Simulated days with load spreading enabled: bursts of jobs of one or two teams, alone and together
- * with faults. The simulation checks the protocol rules; each test also asserts that the spread and
- * the fault that it is for occurred.
+ * Simulated days with load spreading enabled: bursts of jobs of one or two teams, alone and
+ * together with faults. The simulation checks the protocol rules; each test also asserts that the
+ * spread and the fault that it is for occurred.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
@@ -81,8 +81,8 @@
 }
 
 /**
- * Calls `injectFault` with the newest span once a transfer between shards of team t0 has been written.
- * Returns a check that this happened.
+ * Calls `injectFault` with the newest span once a transfer between shards of team t0 has been
+ * written. Returns a check that this happened.
  */
 const onFirstTransfer = (
   simulation: Simulation,
@@ -261,7 +261,7 @@
     assert.equal(simulation.stored("now/span/t1"), undefined);
   });
 
-test("spans shrink to their home shard after a restart with load spreading disabled, and grow again once it is enabled", async () => {
+test("spans shrink when load spreading is disabled, and grow when it is enabled again", async () => {
   const simulation = new Simulation(323, LOAD_SPREAD_ENABLED, SCALE);
   scheduleBurst(simulation, smallJobs, FIRST_BURST_ID);
   scheduleBurst(simulation, { ...smallJobs, atMs: 155_000, jobs: 60 }, SECOND_BURST_ID);
--- a/test/scenarios/round-cost.test.ts
+++ b/test/scenarios/round-cost.test.ts
@@ -261,9 +261,9 @@
 });
 
 /**
- * Guards against starved starts: under a burst of one-task jobs the final records of completed jobs,
- * two operations each, filled every transaction, so that hundreds of jobs waited for minutes while
- * machines were idle.
+ * Guards against starved starts: under a burst of one-task jobs the final records of completed
+ * jobs, two operations each, filled every transaction, so that hundreds of jobs waited for minutes
+ * while machines were idle.
  */
 test("final records leave capacity for starts in a round's transaction", () => {
   const burst = new TestShard(0, 200);
--- a/test/scenarios/safety.test.ts
+++ b/test/scenarios/safety.test.ts
@@ -1,6 +1,6 @@
 /**
- * Simulated days with single and combined faults. The protocol rules must hold on each day, and each
- * rule's check must detect a violation when the safeguard behind the rule is disabled.
+ * Simulated days with single and combined faults. The protocol rules must hold on each day, and
+ * each rule's check must detect a violation when the safeguard behind the rule is disabled.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
@@ -120,7 +120,7 @@
     },
   ],
   [
-    "a controller that reaches no worker, process pauses, crashes after elections, spot preemptions",
+    "a controller without workers, process pauses, crashes after elections, spot preemptions",
     24,
     {
       ...NO_FAULTS,
@@ -161,7 +161,8 @@
  * violated within `MAX_DAYS` days of different seeds.
  */
 const safeguards: readonly (readonly [DisabledSafeguard, FaultScenario, readonly string[]])[] = [
-  // Transaction conditions keep two owners from starting the same task, and a job from ending twice.
+  // Transaction conditions keep two owners from starting the same task, and a job from ending
+  // twice.
   ["conditions", MANY_FAULTS, ["ran_twice", "went_back", "quota"]],
   // Fencing tokens keep an earlier owner's late command from being executed.
   [
@@ -195,9 +196,9 @@
   });
 
 /**
- * Writes to the state store limit the throughput of a large cluster: five controllers share 30 writes
- * per second at 86 starts per second. The bounds are on counts, which do not depend on the speed of
- * the machine that runs the test.
+ * Writes to the state store limit the throughput of a large cluster: five controllers share 30
+ * writes per second at 86 starts per second. The bounds are on counts, which do not depend on the
+ * speed of the machine that runs the test.
  */
 test("at a few hundred machines writes and calls follow what starts, not what is there", async () => {
   const simulation = new Simulation(21, NO_FAULTS, {
