--- a/test/digest/days.ts
+++ b/test/digest/days.ts
@@ -1,24 +1,26 @@
 /**
- * The simulated days whose calls are compared with the committed digest; together they bring every
- * kind of fault. A day's name is its key in expected.txt: rename none.
+ * The simulated days whose calls are compared with the committed digest. Together they cover every
+ * kind of fault. A day's name is its key in expected.txt and must not change.
  */
 import { type Burst, scheduleBurst } from "../sim/burst.js";
 import { type FaultScenario, NO_FAULTS, type SimulationScale } from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
 
-/** One day: everything that its calls follow from. */
+/** One day: all inputs that determine its calls. */
 export interface DigestDay {
   readonly name: string;
   readonly seed: number;
   readonly jobs: number;
   readonly scale?: SimulationScale;
   readonly faults?: Partial<FaultScenario>;
-  /** Masses of jobs of one team, beside the day's own. */
+  /** Bursts of jobs of one team, in addition to the day's own jobs. */
   readonly bursts?: readonly Burst[];
 }
 
-const JOBS = 25;
-const OUTAGE_JOBS = 14;
+const DEFAULT_JOB_COUNT = 25;
+const OUTAGE_JOB_COUNT = 14;
+const SPREAD_JOB_COUNT = 12;
+const LARGE_JOB_COUNT = 28;
 const OUTAGE_SCALE: SimulationScale = { controllers: 3, machines: 40, quotaCpus: 160, maxTasks: 6 };
 const FLOOD_SCALE: SimulationScale = { controllers: 3, machines: 20, quotaCpus: 48, maxTasks: 8 };
 const SPREAD_SCALE: SimulationScale = { controllers: 3, machines: 16, quotaCpus: 24, maxTasks: 4 };
@@ -28,11 +30,13 @@
   quotaCpus: 2000,
   maxTasks: 120,
 };
-const QUESTION_FLOOD = 20;
+/** Factor by which users send more status queries than usual. */
+const QUERY_RATE_FACTOR = 20;
 const FIRST_BURST_ID = 500;
-const BURST_IDS = 2000;
+/** Job numbers reserved for each burst of a day. */
+const IDS_PER_BURST = 2000;
 
-const SPREAD: Partial<FaultScenario> = {
+const LOAD_SPREAD_ENABLED: Partial<FaultScenario> = {
   loadSpread: {
     maxSpan: 3,
     minTasks: 20,
@@ -40,20 +44,21 @@
     shrinkAfterS: 10,
     imbalance: 1.2,
     periodMs: 500,
-    // The solver's bound is of real time, which must not decide what a simulated day does.
+    // The solver's time limit is real time. It is set so high that it never takes effect, because a
+    // simulated day must not depend on the speed of the machine.
     solverMs: 10_000,
   },
 };
 const MANY_JOBS: Burst = { team: "t0", atMs: 30_000, jobs: 100, tasks: 1 };
 const ONE_ARRAY: Burst = { team: "t0", atMs: 30_000, jobs: 1, tasks: 150 };
 
-/** Days of one kind: their common size, and the name, seed and faults of each. */
-const daysOf = (
+/** Builds days of the same scale from the name, seed and faults of each. */
+const makeDays = (
   common: Pick<DigestDay, "jobs" | "scale">,
   rows: readonly (readonly [string, number, Partial<FaultScenario>])[],
 ): readonly DigestDay[] => rows.map(([name, seed, faults]) => ({ ...common, name, seed, faults }));
 
-const singleFaults = daysOf({ jobs: JOBS }, [
+const basicFaults = makeDays({ jobs: DEFAULT_JOB_COUNT }, [
   ["quiet", 1001, {}],
   ["lost-messages", 1002, { lost: 0.03 }],
   ["crashes-outages-deaths", 1003, { lost: 0.02, crashes: true, outages: true, deaths: true }],
@@ -69,7 +74,7 @@
   ["without-workers", 1009, { workersUnreachable: true, deaths: true }],
 ]);
 
-const outagesAfterRefusal = daysOf({ jobs: OUTAGE_JOBS, scale: OUTAGE_SCALE }, [
+const outagesAfterRefusal = makeDays({ jobs: OUTAGE_JOB_COUNT, scale: OUTAGE_SCALE }, [
   ["gap", 1031, { storeOutageAfterRefusal: {} }],
   [
     "gap-question-peers-cut",
@@ -92,7 +97,7 @@
   ["muted-long", 1036, { mutedForGood: true }],
 ]);
 
-const meetings = daysOf({ jobs: JOBS }, [
+const overlappingFaults = makeDays({ jobs: DEFAULT_JOB_COUNT }, [
   ["late-writes-muted", 1061, { lateWrites: true, mutedMachines: true }],
   ["cancel-now-at-end", 1062, { cancelAtOnce: true, cancelAtEnd: true }],
   ["odd-requests-crashes", 1063, { oddRequests: true, crashes: true }],
@@ -102,8 +107,8 @@
   ["fail-first", 1067, { failures: "first" }],
 ]);
 
-const floods = daysOf({ jobs: JOBS, scale: FLOOD_SCALE }, [
-  ["question-flood", 1101, { questionFlood: QUESTION_FLOOD }],
+const floods = makeDays({ jobs: DEFAULT_JOB_COUNT, scale: FLOOD_SCALE }, [
+  ["question-flood", 1101, { questionFlood: QUERY_RATE_FACTOR }],
   ["guest-fail-always", 1102, { floodTeam: true, failures: "always" }],
   ["late-boots-freezes", 1103, { lateBoots: true, processPauses: true }],
 ]);
@@ -119,27 +124,27 @@
   },
 ].map((day) => ({
   ...day,
-  jobs: 12,
+  jobs: SPREAD_JOB_COUNT,
   scale: SPREAD_SCALE,
-  faults: { ...SPREAD, ...day.faults },
+  faults: { ...LOAD_SPREAD_ENABLED, ...day.faults },
 }));
 
-const large: DigestDay = { name: "large", seed: 1021, jobs: 28, scale: LARGE_SCALE };
+const large: DigestDay = { name: "large", seed: 1021, jobs: LARGE_JOB_COUNT, scale: LARGE_SCALE };
 
-/** All days, the longest first, so that none is left to run alone at the end. */
+/** All days, the longest first, so that no long day runs alone at the end. */
 export const DIGEST_DAYS: readonly DigestDay[] = [
   large,
   ...spread,
   ...floods,
   ...outagesAfterRefusal,
-  ...singleFaults,
-  ...meetings,
+  ...basicFaults,
+  ...overlappingFaults,
 ];
 
-/** The simulation of a day, before it begins. */
+/** Creates the simulation of a day; the caller starts it. */
 export const simulationOf = (day: DigestDay): Simulation => {
   const simulation = new Simulation(day.seed, { ...NO_FAULTS, ...day.faults }, day.scale);
   for (const [i, burst] of (day.bursts ?? []).entries())
-    scheduleBurst(simulation, burst, FIRST_BURST_ID + i * BURST_IDS);
+    scheduleBurst(simulation, burst, FIRST_BURST_ID + i * IDS_PER_BURST);
   return simulation;
 };
--- a/test/digest/play.ts
+++ b/test/digest/play.ts
@@ -1,37 +1,47 @@
 /**
- * Plays one day of the digest and gives its line.
+ * Simulates one day of the digest and returns its line.
  */
 import type { WireObserver } from "../sim/wire.js";
 import { type DigestDay, simulationOf } from "./days.js";
 import { WireDigest } from "./wire-digest.js";
 import { WireTrace } from "./wire-trace.js";
 
-/** What is loaded on demand takes real time at its first use, which a simulated day must not see. */
+/**
+ * Imports the modules that controllers load on demand. The first import takes real time, during
+ * which simulated time would go on, so that the day's calls would depend on the speed of the
+ * machine.
+ */
 const preload = async (): Promise<void> => {
   await import("../../src/coordination/load-spread/load-spread.js");
   await import("hdr-histogram-js");
 };
 
-/** Tells both of what crosses the wire. */
-const both = (one: WireObserver, other: WireObserver): WireObserver => ({
+/** An observer that forwards each call and reply to two others. */
+const combineObservers = (first: WireObserver, second: WireObserver): WireObserver => ({
   sent: (at, call) => {
-    one.sent(at, call);
-    other.sent(at, call);
+    first.sent(at, call);
+    second.sent(at, call);
   },
   replied: (at, call, reply) => {
-    one.replied(at, call, reply);
-    other.replied(at, call, reply);
+    first.replied(at, call, reply);
+    second.replied(at, call, reply);
   },
 });
 
-/** Plays a day, writes its calls if a directory for them is given, and returns its line. */
-export const playDay = async (day: DigestDay, traceTo: string | undefined): Promise<string> => {
+/**
+ * Simulates a day and returns its line: name, number of calls and hash. Writes the calls as text to
+ * `traceDirectory` if one is given.
+ */
+export const playDay = async (
+  day: DigestDay,
+  traceDirectory: string | undefined,
+): Promise<string> => {
   await preload();
   const simulation = simulationOf(day);
   const digest = new WireDigest();
-  const trace = traceTo === undefined ? undefined : new WireTrace(traceTo, day.name);
-  simulation.observer = trace === undefined ? digest : both(digest, trace);
+  const trace = traceDirectory === undefined ? undefined : new WireTrace(traceDirectory, day.name);
+  simulation.observer = trace === undefined ? digest : combineObservers(digest, trace);
   await simulation.day(day.jobs);
-  trace?.end();
-  return `${day.name} ${digest.calls} ${digest.end()}`;
+  trace?.close();
+  return `${day.name} ${digest.callCount} ${digest.finish()}`;
 };
--- a/test/digest/wire-trace.ts
+++ b/test/digest/wire-trace.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of a day as text, for finding the first that differs between two versions of the code.
- * Owns the open file until `end`.
+ * Writes the calls and replies of a day as text, to find the first call that differs between two
+ * versions of the code. Owns the open file until `close`.
  */
 import { closeSync, mkdirSync, openSync, writeSync } from "node:fs";
 import path from "node:path";
@@ -8,26 +8,34 @@
 import { decodePeerMessage } from "../../src/protocol/peer.js";
 import type { WireCall, WireObserver, WireReply } from "../sim/wire.js";
 
-const CHUNK_LINES = 2000;
+/** Number of lines that are buffered before they are written to the file. */
+const MAX_BUFFERED_LINES = 2000;
 const PEER_PATH = "/peer";
 
-/** A value as JSON can hold it: bytes in hexadecimal, large integers with an `n`. */
-const plain = (value: unknown): unknown => {
+/**
+ * Converts a value to JSON types: bytes to `h'…'` in hexadecimal, large integers to text with `n`.
+ */
+const toJsonValue = (value: unknown): unknown => {
   if (typeof value === "bigint") return `${value}n`;
   if (value instanceof Uint8Array) return `h'${Buffer.from(value).toString("hex")}'`;
-  if (Array.isArray(value)) return value.map(plain);
-  if (value instanceof Map) return [...value].map(plain);
+  if (Array.isArray(value)) return value.map(toJsonValue);
+  if (value instanceof Map) return [...value].map(toJsonValue);
   if (typeof value !== "object" || value === null) return value;
-  return Object.fromEntries(Object.entries(value).map(([key, member]) => [key, plain(member)]));
+  return Object.fromEntries(
+    Object.entries(value).map(([key, member]) => [key, toJsonValue(member)]),
+  );
 };
 
-const asText = (bytes: Uint8Array | undefined, read: (bytes: Uint8Array) => unknown): string =>
-  bytes === undefined || bytes.length === 0 ? "-" : JSON.stringify(plain(read(bytes)));
+const bodyText = (
+  bytes: Uint8Array | undefined,
+  decodeBytes: (bytes: Uint8Array) => unknown,
+): string =>
+  bytes === undefined || bytes.length === 0 ? "-" : JSON.stringify(toJsonValue(decodeBytes(bytes)));
 
-/** Writes a line for each call as it is sent and one as it is answered, in order of time. */
+/** Writes one line for each call sent and one for its reply or loss, in order of simulated time. */
 export class WireTrace implements WireObserver {
   readonly #file: number;
-  #lines: string[] = [];
+  #bufferedLines: string[] = [];
 
   constructor(directory: string, dayName: string) {
     mkdirSync(directory, { recursive: true });
@@ -36,34 +44,36 @@
 
   /** Writes a call. */
   sent(at: number, call: WireCall): void {
-    const body = asText(call.body, call.path === PEER_PATH ? decodePeerMessage : decode);
+    const body = bodyText(call.body, call.path === PEER_PATH ? decodePeerMessage : decode);
     this.#write(at, call, `sent ${body}`);
   }
 
-  /** Writes what became of a call. */
+  /** Writes a call's reply or its loss. */
   replied(at: number, call: WireCall, reply: WireReply): void {
     const { kind } = reply;
     this.#write(
       at,
       call,
-      kind === "lost" ? "lost" : `${reply.status} ${asText(reply.body, decode)}`,
+      kind === "lost" ? "lost" : `${reply.status} ${bodyText(reply.body, decode)}`,
     );
   }
 
-  /** Writes what is left and closes the file. */
-  end(): void {
+  /** Writes the buffered lines and closes the file. */
+  close(): void {
     this.#flush();
     closeSync(this.#file);
   }
 
-  #write(at: number, call: WireCall, what: string): void {
+  #write(at: number, call: WireCall, description: string): void {
     const { number, caller, target, method } = call;
-    this.#lines.push(`${at} #${number} ${caller} > ${target} ${method} ${call.path} ${what}\n`);
-    if (this.#lines.length >= CHUNK_LINES) this.#flush();
+    this.#bufferedLines.push(
+      `${at} #${number} ${caller} > ${target} ${method} ${call.path} ${description}\n`,
+    );
+    if (this.#bufferedLines.length >= MAX_BUFFERED_LINES) this.#flush();
   }
 
   #flush(): void {
-    writeSync(this.#file, this.#lines.join(""));
-    this.#lines = [];
+    writeSync(this.#file, this.#bufferedLines.join(""));
+    this.#bufferedLines = [];
   }
 }
