--- a/test/architecture/documentation.test.ts
+++ b/test/architecture/documentation.test.ts
@@ -1,11 +1,11 @@
-/** Every module, export and public member says what it is for. */
+/** Every module, export and public class member must have a doc comment. */
 import assert from "node:assert/strict";
 import { readdirSync, readFileSync } from "node:fs";
 import path from "node:path";
 import test from "node:test";
 import ts from "typescript";
 
-/** Files that earlier work left without comments: a list that only gets shorter. */
+/** Files that are exempt because they are not documented yet. Entries may only be removed. */
 const NOT_YET_DOCUMENTED: ReadonlySet<string> = new Set([]);
 
 const sourcesUnder = (folder: string): readonly string[] =>
@@ -38,7 +38,7 @@
 const publicMembers = (statement: ts.Statement): readonly ts.ClassElement[] =>
   ts.isClassDeclaration(statement) ? statement.members.filter(isPublic) : [];
 
-/** What of a file lacks a doc comment, by line. */
+/** The exports and public members of a file without a doc comment, as `file:line`. */
 const undocumentedIn = (file: string): readonly string[] => {
   const text = readFileSync(file, "utf8");
   const sourceFile = ts.createSourceFile(file, text, ts.ScriptTarget.Latest, true);
@@ -50,16 +50,16 @@
     .filter((node) => !hasDocComment(node, sourceFile))
     .map((node) => `${file}:${lineOf(node)}`);
   const withoutShebang = text.replace(/^#!.*\n/, "");
-  return withoutShebang.startsWith("/**") ? missing : [`${file}: no module doc`, ...missing];
+  return withoutShebang.startsWith("/**") ? missing : [`${file}: no module comment`, ...missing];
 };
 
 test("modules, exports and public members have doc comments", () => {
   const files = sources().filter((file) => !NOT_YET_DOCUMENTED.has(file));
-  assert.ok(files.length > 100, "the sources are found");
+  assert.ok(files.length > 100, "the source files are found");
   assert.deepEqual(files.flatMap(undocumentedIn), []);
 });
 
-test("files that are not yet documented still lack something", () => {
+test("files exempt from documentation still lack a doc comment", () => {
   const documented = [...NOT_YET_DOCUMENTED].filter((file) => undocumentedIn(file).length === 0);
-  assert.deepEqual(documented, [], "take them off the list");
+  assert.deepEqual(documented, [], "remove documented files from NOT_YET_DOCUMENTED");
 });
--- a/test/architecture/layers.test.ts
+++ b/test/architecture/layers.test.ts
@@ -1,13 +1,14 @@
-/** Which layer may import which, that imports run in no circle, and how long files may grow. */
+/** Checks the imports between layers and packages, import cycles, and the length of files. */
 import assert from "node:assert/strict";
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import path from "node:path";
 import test from "node:test";
 
 /**
- * The layers of `src`, lowest first, and what each may import beside itself. A folder within
- * `coordination` is a layer of its own; `coordination` stands for the files at its root. What only the
- * leader does (`fleet`, `load-spread`) doesn't know an owner's rounds: it declares what it needs of them.
+ * The layers of `src`, lowest first, and the other layers that each may import. Each folder within
+ * `coordination` is a layer; `coordination` itself stands for the files at its root. The leader's
+ * layers (`fleet`, `load-spread`) may not import an owner's `rounds`: they declare interfaces for
+ * what they need of them.
  */
 const MAY_IMPORT: Readonly<Record<string, readonly string[]>> = {
   protocol: [],
@@ -22,7 +23,7 @@
     "storage",
     "config",
     "observability",
-    // Types of the parts that one controller's context holds.
+    // For the types of the components that a `ControllerContext` holds.
     "coordination/sharding",
     "coordination/membership",
     "coordination/load-spread",
@@ -115,54 +116,58 @@
   return folder === "coordination" && rest.length > 1 ? `${folder}/${rest[0]}` : folder;
 };
 
-/** The files of the service that a file imports, types and imports on demand included. */
+/** The files that a file imports by relative path, including type imports and dynamic imports. */
 const importsOf = (file: string): readonly string[] =>
   [...readFileSync(file, "utf8").matchAll(/(?:from|import\()\s*"(\.[^"]+)"/g)].map(
     ([, target = ""]) => path.join(path.dirname(file), target).replace(/\.js$/, ".ts"),
   );
 
-test("each layer imports only what lies below it", () => {
+test("each layer imports only the layers that it may import", () => {
   const files = sources();
-  assert.ok(files.length > 50, "the sources are found");
-  const wrong: string[] = [];
+  assert.ok(files.length > 50, "the source files are found");
+  const violations: string[] = [];
   for (const file of files) {
     const from = layerOf(file);
     for (const target of importsOf(file)) {
       const to = layerOf(target);
-      if (to !== from && MAY_IMPORT[from]?.includes(to) !== true) wrong.push(`${file}: ${target}`);
+      if (to !== from && MAY_IMPORT[from]?.includes(to) !== true)
+        violations.push(`${file}: ${target}`);
     }
   }
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(violations, []);
 });
 
-/** A path of imports that ends where it begins, if a search from this file comes to one. */
-const circleFrom = (
+/** An import cycle that is reachable from this file; empty if there is none. */
+const findCycle = (
   file: string,
-  done: Set<string>,
+  visited: Set<string>,
   path: readonly string[],
 ): readonly string[] => {
   if (path.includes(file)) return [...path.slice(path.indexOf(file)), file];
-  if (done.has(file)) return [];
+  if (visited.has(file)) return [];
   for (const target of importsOf(file)) {
-    const circle = circleFrom(target, done, [...path, file]);
-    if (circle.length > 0) return circle;
+    const cycle = findCycle(target, visited, [...path, file]);
+    if (cycle.length > 0) return cycle;
   }
-  done.add(file);
+  visited.add(file);
   return [];
 };
 
-test("no file imports itself through others", () => {
-  const done = new Set<string>();
-  for (const file of sources()) assert.deepEqual(circleFrom(file, done, []), []);
+test("there are no import cycles", () => {
+  const visited = new Set<string>();
+  for (const file of sources()) assert.deepEqual(findCycle(file, visited, []), []);
 });
 
-/** Which packages each package may import. None may import the service. */
+/** The packages that each package may import. No package may import the service (`src`). */
 const PACKAGE_MAY_IMPORT: Readonly<Record<string, readonly string[]>> = {
   ids: [],
   spans: ["ids"],
   "load-spread": ["ids", "spans"],
 };
-/** Packages that are loaded only where they are switched on, and who in the service may do so. */
+/**
+ * Packages that are loaded only when enabled, and the folder of `src` that may import each. Other
+ * folders may import only types of them.
+ */
 const LOADED_ON_DEMAND: Readonly<Record<string, string>> = {
   "load-spread": path.join("src", "coordination", "load-spread"),
 };
@@ -172,44 +177,49 @@
     .filter((file) => file.endsWith(".ts"))
     .map((file) => path.join("packages", name, "src", file));
 
-test("packages import only the packages below them, and never the service", () => {
+test("packages import only the packages that they may import, and never the service", () => {
   const names = readdirSync("packages");
   assert.deepEqual([...names].sort(), Object.keys(PACKAGE_MAY_IMPORT).sort());
-  const wrong: string[] = [];
+  const violations: string[] = [];
   for (const name of names) {
     const root = path.join("packages", name, "src");
     for (const file of packageSources(name))
       for (const [, target = ""] of readFileSync(file, "utf8").matchAll(/from "([^"]+)"/g)) {
-        const inside = !path.relative(root, path.join(path.dirname(file), target)).startsWith("..");
-        const [, other] = /^@umberfold\/(.+)$/.exec(target) ?? [];
-        const known = other === undefined || PACKAGE_MAY_IMPORT[name]?.includes(other) === true;
-        if ((target.startsWith(".") && !inside) || !known) wrong.push(`${file}: ${target}`);
+        const isInsidePackage = !path
+          .relative(root, path.join(path.dirname(file), target))
+          .startsWith("..");
+        const [, importedPackage] = /^@umberfold\/(.+)$/.exec(target) ?? [];
+        const isAllowed =
+          importedPackage === undefined ||
+          PACKAGE_MAY_IMPORT[name]?.includes(importedPackage) === true;
+        if ((target.startsWith(".") && !isInsidePackage) || !isAllowed)
+          violations.push(`${file}: ${target}`);
       }
   }
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(violations, []);
 });
 
-test("a package that may be off is loaded by its own part of the service alone", () => {
-  const wrong: string[] = [];
+test("apart from types, only its own folder of the service imports an optional package", () => {
+  const violations: string[] = [];
   for (const file of sources())
     for (const [statement, name = ""] of readFileSync(file, "utf8").matchAll(
       /import [^;]*?from "@umberfold\/([^"]+)"/g,
     )) {
-      const home = LOADED_ON_DEMAND[name];
-      if (home === undefined || file.startsWith(home)) continue;
-      if (!statement.startsWith("import type ")) wrong.push(`${file}: ${name}`);
+      const importingFolder = LOADED_ON_DEMAND[name];
+      if (importingFolder === undefined || file.startsWith(importingFolder)) continue;
+      if (!statement.startsWith("import type ")) violations.push(`${file}: ${name}`);
     }
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(violations, []);
 });
 
-test("what loads a package on demand is itself imported on demand", () => {
-  const wrong: string[] = [];
+test("a folder that imports an optional package is itself imported dynamically", () => {
+  const violations: string[] = [];
   for (const file of sources()) {
-    const loads = /import (?!type )[^;]*?from "[^"]*\/load-spread\/(?!hooks)[^"]+"/;
-    const own = Object.values(LOADED_ON_DEMAND).some((home) => file.startsWith(home));
-    if (!own && loads.test(readFileSync(file, "utf8"))) wrong.push(file);
+    const staticImport = /import (?!type )[^;]*?from "[^"]*\/load-spread\/(?!hooks)[^"]+"/;
+    const isInFolder = Object.values(LOADED_ON_DEMAND).some((folder) => file.startsWith(folder));
+    if (!isInFolder && staticImport.test(readFileSync(file, "utf8"))) violations.push(file);
   }
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(violations, []);
 });
 
 const MAX_SOURCE_LINES = 300;
@@ -218,12 +228,12 @@
 const longerThan = (limit: number, files: readonly string[]): readonly string[] =>
   files.filter((file) => readFileSync(file, "utf8").split("\n").length - 1 > limit);
 
-test("source files stay short", () => {
-  const packaged = readdirSync("packages").flatMap(packageSources);
-  assert.deepEqual(longerThan(MAX_SOURCE_LINES, [...sources(), ...packaged]), []);
+test("source files don't exceed their line limit", () => {
+  const packageFiles = readdirSync("packages").flatMap(packageSources);
+  assert.deepEqual(longerThan(MAX_SOURCE_LINES, [...sources(), ...packageFiles]), []);
 });
 
-test("test files stay short", () => {
+test("test files don't exceed their line limit", () => {
   const tests = [
     "test",
     ...readdirSync("packages").map((name) => path.join("packages", name, "test")),
@@ -235,6 +245,6 @@
       ),
     )
     .filter((file) => file.endsWith(".ts"));
-  assert.ok(tests.length > 50, "the tests are found");
+  assert.ok(tests.length > 50, "the test files are found");
   assert.deepEqual(longerThan(MAX_TEST_LINES, tests), []);
 });
--- a/test/runner/known-red.test.ts
+++ b/test/runner/known-red.test.ts
@@ -1,22 +1,22 @@
 /**
- * Which lists of known red tests are accepted, and which failures of a run they pass over.
+ * Which lists of known failing tests are valid, and which failures of a test run they excuse.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { judgeRun, parseKnownRed } from "./known-red.js";
 
-const RED = "a | the cause | issue 14";
+const LISTED_TEST = "a | the cause | issue 14";
 
 const lists: readonly (readonly [string, string, number | null])[] = [
-  ["an empty file is the ordinary state", "", 0],
-  ["blank lines don't count", "\n\n", 0],
-  ["one line", `${RED}\n`, 1],
-  ["three lines", `${RED}\n${RED}\n${RED}\n`, 3],
-  ["a fourth line fails", `${RED}\n${RED}\n${RED}\n${RED}\n`, null],
+  ["an empty file", "", 0],
+  ["blank lines are ignored", "\n\n", 0],
+  ["one line", `${LISTED_TEST}\n`, 1],
+  ["three lines", `${LISTED_TEST}\n${LISTED_TEST}\n${LISTED_TEST}\n`, 3],
+  ["four lines", `${LISTED_TEST}\n${LISTED_TEST}\n${LISTED_TEST}\n${LISTED_TEST}\n`, null],
   ["a line without a cause", "a | | issue 14", null],
   ["a line without an issue", "a | the cause", null],
 ];
-test("a list of at most three known red tests, each with cause and issue, is accepted", () => {
+test("a list of at most three known failing tests, each with cause and issue, is valid", () => {
   for (const [name, text, count] of lists) {
     const parsed = parseKnownRed(text);
     assert.equal(parsed.ok ? parsed.known.length : null, count, name);
@@ -24,15 +24,15 @@
 });
 
 const runs: readonly (readonly [string, string, string[], string[], boolean, string])[] = [
-  ["all green", "", [], ["a"], true, ""],
-  ["one red", "", ["a"], ["b"], false, "red: a"],
-  ["its listed failure is passed over", RED, ["a"], ["b"], true, "known red: a"],
-  ["another's is not", RED, ["a", "b"], [], false, "red: b"],
-  ["listed, but it passes", RED, [], ["a"], true, "but passes: a"],
-  ["listed, but not run", RED, [], ["b"], false, "not run: a"],
-  ["nothing was run", "", [], [], false, ""],
+  ["all tests pass", "", [], ["a"], true, ""],
+  ["an unlisted test fails", "", ["a"], ["b"], false, "red: a"],
+  ["a listed test fails", LISTED_TEST, ["a"], ["b"], true, "known red: a"],
+  ["a listed and an unlisted test fail", LISTED_TEST, ["a", "b"], [], false, "red: b"],
+  ["a listed test passes", LISTED_TEST, [], ["a"], true, "but passes: a"],
+  ["a listed test was not run", LISTED_TEST, [], ["b"], false, "not run: a"],
+  ["no test was run", "", [], [], false, ""],
 ];
-test("a run passes if it fails at listed tests alone, and all of these were run", () => {
+test("a run passes if only listed tests fail and all listed tests were run", () => {
   for (const [name, text, failed, passed, ok, line] of runs) {
     const parsed = parseKnownRed(text);
     assert.ok(parsed.ok);
--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -1,26 +1,26 @@
 /**
- * KNOWN-RED.txt lists tests that fail for a real fault that could not be mended yet: a line each,
- * `test | cause | issue`. They are run and printed like all others; only their failure is passed
- * over.
+ * Reads KNOWN-RED.txt, which lists tests that fail because of a real fault that is not fixed yet,
+ * one per line as `test | cause | issue`. Listed tests are run and reported like all others, but
+ * their failure does not fail the run.
  */
 
-/** One line of the list. */
+/** A listed test, the cause of its failure and the issue that tracks it. */
 export interface KnownRed {
   readonly test: string;
   readonly cause: string;
   readonly issue: string;
 }
 
-/** So many tests may be listed. */
+/** Most tests that may be listed at a time. */
 export const MAX_KNOWN_RED = 3;
 
-/** The list, or why it can't be read. */
-export type Parsed =
+/** The parsed list, or the reason why it is invalid. */
+export type ParsedKnownRed =
   | { readonly ok: true; readonly known: readonly KnownRed[] }
   | { readonly ok: false; readonly reason: string };
 
-/** Reads the list; blank lines don't count. */
-export const parseKnownRed = (text: string): Parsed => {
+/** Parses the list; blank lines are ignored. */
+export const parseKnownRed = (text: string): ParsedKnownRed => {
   const lines = text.split("\n").filter((line) => line.trim() !== "");
   if (lines.length > MAX_KNOWN_RED)
     return { ok: false, reason: `KNOWN-RED.txt: ${lines.length} lines, at most ${MAX_KNOWN_RED}` };
@@ -35,13 +35,16 @@
   return { ok: true, known };
 };
 
-/** What a run comes to, and the lines that say so. */
+/** Whether a run passes, and report lines on listed and on failed tests. */
 export interface Verdict {
   readonly ok: boolean;
   readonly lines: readonly string[];
 }
 
-/** Only a listed test's failure is passed over; one that passes though listed is said so. */
+/**
+ * Judges a run. It passes if at least one test was run, all listed tests were run and no unlisted
+ * test failed. A listed test that passes is reported, so that it can be removed from the list.
+ */
 export const judgeRun = (
   known: readonly KnownRed[],
   failed: readonly string[],
@@ -54,8 +57,13 @@
     else if (passed.includes(test)) lines.push(`listed as red, but passes: ${test}`);
     else lines.push(`listed as red, but not run: ${test}`);
   }
-  const isMissing = known.some(({ test }) => !failed.includes(test) && !passed.includes(test));
-  const red = failed.filter((name) => !listed.has(name));
-  for (const name of red) lines.push(`red: ${name}`);
-  return { ok: red.length === 0 && passed.length + failed.length > 0 && !isMissing, lines };
+  const isListedTestNotRun = known.some(
+    ({ test }) => !failed.includes(test) && !passed.includes(test),
+  );
+  const unlistedFailures = failed.filter((name) => !listed.has(name));
+  for (const name of unlistedFailures) lines.push(`red: ${name}`);
+  return {
+    ok: unlistedFailures.length === 0 && passed.length + failed.length > 0 && !isListedTestNotRun,
+    lines,
+  };
 };
--- a/test/runner/main.ts
+++ b/test/runner/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm test`: runs all tests, prints their report, and passes over the failures that KNOWN-RED.txt
- * lists.
+ * `npm test`: runs all tests and prints a TAP report. Failures of tests listed in KNOWN-RED.txt
+ * don't fail the run.
  */
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import path from "node:path";
@@ -8,14 +8,17 @@
 import { tap } from "node:test/reporters";
 import { judgeRun, parseKnownRed } from "./known-red.js";
 
-const LIST = "KNOWN-RED.txt";
-const packages = readdirSync("packages").map((name) => `target-test/packages/${name}/test`);
-const files = ["target-test/test", ...packages.filter((dir) => existsSync(dir))].flatMap((dir) =>
-  readdirSync(dir, { recursive: true, encoding: "utf8" })
-    .filter((file) => file.endsWith(".test.js"))
-    .map((file) => path.resolve(dir, file)),
+const KNOWN_RED_FILE = "KNOWN-RED.txt";
+const packageTestFolders = readdirSync("packages").map(
+  (name) => `target-test/packages/${name}/test`,
 );
-const list = parseKnownRed(existsSync(LIST) ? readFileSync(LIST, "utf8") : "");
+const files = ["target-test/test", ...packageTestFolders.filter((dir) => existsSync(dir))].flatMap(
+  (dir) =>
+    readdirSync(dir, { recursive: true, encoding: "utf8" })
+      .filter((file) => file.endsWith(".test.js"))
+      .map((file) => path.resolve(dir, file)),
+);
+const list = parseKnownRed(existsSync(KNOWN_RED_FILE) ? readFileSync(KNOWN_RED_FILE, "utf8") : "");
 const failed: string[] = [];
 const passed: string[] = [];
 const stream = run({ files, concurrency: true });
