--- a/test/measure/planner.ts
+++ b/test/measure/planner.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure:planner`: solver and proportional plan on the same random inputs, what each costs
- * and how long it takes.
+ * `npm run measure:planner`: compares the solver's plan with the proportional plan on the same random
+ * inputs, and prints the mean cost of each plan and how long each takes to compute.
  */
 import { shardId, teamName } from "@umberfold/ids";
 import {
@@ -19,9 +19,9 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { defaultPackages } from "../../src/config/packages.js";
 
-const RUNS = 200;
-const SOLVER_MS = 1000;
-const SIZES = [
+const RUNS_PER_SIZE = 200;
+const SOLVER_TIMEOUT_MS = 1000;
+const INPUT_SIZES = [
   { teams: 1, shards: 2 },
   { teams: 1, shards: 4 },
   { teams: 4, shards: 4 },
@@ -30,10 +30,12 @@
 ] as const;
 
 const rng = xoroshiro128plus(1);
+/** A uniform random number from [0, 1). */
 const random = (): number => uniformFloat64(rng);
 const settings: LoadSpreadSettings = { ...defaultPackages().loadSpread, enabled: true };
 
-const randomTeam = (number: number, shards: number): TeamLoad => {
+/** A team with home shard 0 and random load on each of the shards. */
+const randomTeam = (teamIndex: number, shards: number): TeamLoad => {
   let span = homeSpan(shardId(0));
   const loads = new Map<ShardLoad["shard"], ShardLoad>();
   for (let i = 0; i < shards; i++) {
@@ -46,10 +48,10 @@
     const used = share(Math.floor((random() * WHOLE) / shards));
     const demand = share(used + waiting * largest);
     const wantedCpus = open + waiting;
-    const rest = { used, demand, largest, wantedCpus, oldest: random() };
-    loads.set(shard, { shard, jobs: 1, open, waiting, ...rest });
+    const demandFields = { used, demand, largest, wantedCpus, oldest: random() };
+    loads.set(shard, { shard, jobs: 1, open, waiting, ...demandFields });
   }
-  return { team: teamName(`t${number}`), home: shardId(0), span, shards: loads };
+  return { team: teamName(`t${teamIndex}`), home: shardId(0), span, shards: loads };
 };
 
 const randomInput = (teams: number, shards: number): PlanInput => {
@@ -58,25 +60,25 @@
     shards: [shardId(i)],
     units: Math.floor(random() * 500),
   }));
-  const loads = Array.from({ length: teams }, (_, number) => randomTeam(number, shards));
+  const loads = Array.from({ length: teams }, (_, index) => randomTeam(index, shards));
   return planInput(loads, owners, settings);
 };
 
-const timed = <T>(run: () => T): { readonly value: T; readonly microseconds: number } => {
+const measureTime = <T>(run: () => T): { readonly value: T; readonly microseconds: number } => {
   const startedAt = performance.now();
   const value = run();
   return { value, microseconds: Math.round((performance.now() - startedAt) * 1000) };
 };
 
-for (const { teams, shards } of SIZES) {
+for (const { teams, shards } of INPUT_SIZES) {
   const times = { solver: build(), greedy: build() };
   let unsolved = 0;
   let solverCost = 0;
   let greedyCost = 0;
-  for (let i = 0; i < RUNS; i++) {
+  for (let i = 0; i < RUNS_PER_SIZE; i++) {
     const input = randomInput(teams, shards);
-    const solved = timed(() => solvePlan(input, SOLVER_MS));
-    const greedy = timed(() => greedyPlan(input));
+    const solved = measureTime(() => solvePlan(input, SOLVER_TIMEOUT_MS));
+    const greedy = measureTime(() => greedyPlan(input));
     times.solver.recordValue(solved.microseconds);
     times.greedy.recordValue(greedy.microseconds);
     if (solved.value === undefined) {
@@ -86,12 +88,12 @@
     solverCost += planCost(input, solved.value);
     greedyCost += planCost(input, greedy.value);
   }
-  const solvedRuns = Math.max(1, RUNS - unsolved);
+  const solvedRuns = Math.max(1, RUNS_PER_SIZE - unsolved);
   console.log(
     JSON.stringify({
       teams,
       shards,
-      runs: RUNS,
+      runs: RUNS_PER_SIZE,
       unsolved,
       meanCost: { solver: solverCost / solvedRuns, greedy: greedyCost / solvedRuns },
       microseconds: {
