--- a/test/measure/planner.ts
+++ b/test/measure/planner.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure:planner`: compares the solver's plan with the proportional plan on the same random
- * inputs, and prints the mean cost of each plan and how long each takes to compute.
+ * `npm run measure:planner`: compares the solver's plan with the proportional plan on the same
+ * random inputs, and prints the mean cost of each plan and how long each takes to compute.
  */
 import { shardId, teamName } from "@umberfold/ids";
 import {
