--- a/src/coordination/fleet/machine-view.ts
+++ b/src/coordination/fleet/machine-view.ts
@@ -72,8 +72,8 @@
         type,
         zone: record.zone,
         spot: record.spot,
-        up: record.endpoint !== "",
-        use: tasks.reduce((sum, task) => add(sum, task.resources), NO_RESOURCES),
+        isUp: record.endpoint !== "",
+        usedResources: tasks.reduce((sum, task) => add(sum, task.resources), NO_RESOURCES),
         openAttempts: destination === undefined ? this.#openAttempts(id, record).size : 0,
         tasks,
         idleS,
@@ -101,8 +101,8 @@
         type,
         zone: record.zone,
         spot: record.spot,
-        up: true,
-        use: NO_RESOURCES,
+        isUp: true,
+        usedResources: NO_RESOURCES,
         openAttempts: 0,
         tasks: [],
         idleS: 0,
@@ -144,11 +144,11 @@
       openSince.set(key, since);
       // With checkpoints only the save since the last one is lost, otherwise all work so far.
       const { checkpointIntervalS, checkpointSaveS, resources } = job.spec;
-      const lossS = checkpointIntervalS > 0 ? checkpointSaveS : (now - since) / 1000;
+      const lostWorkS = checkpointIntervalS > 0 ? checkpointSaveS : (now - since) / 1000;
       const priority = withinGuarantee.has(jobId)
         ? GUARANTEED_PRIORITY
         : priorityOrder(job.spec.priority);
-      tasks.push({ priority, resources, lossS });
+      tasks.push({ priority, resources, lostWorkS });
     }
     return tasks;
   }
--- a/test/measure/planner.ts
+++ b/test/measure/planner.ts
@@ -13,7 +13,7 @@
   solvePlan,
   type TeamLoad,
 } from "@umberfold/load-spread";
-import { homeSpan, share, stepSpan, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, homeSpan, share, stepSpan } from "@umberfold/spans";
 import { build } from "hdr-histogram-js";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -42,14 +42,20 @@
     const shard = shardId(i);
     const stepped = stepSpan(span, { kind: "join", shard });
     if (stepped.ok) span = stepped.span;
-    const open = Math.floor(random() * 50);
-    const waiting = Math.floor(random() * random() * 500);
-    const largest = share(Math.floor(random() * 0.05 * WHOLE));
-    const used = share(Math.floor((random() * WHOLE) / shards));
-    const demand = share(used + waiting * largest);
-    const wantedCpus = open + waiting;
-    const demandFields = { used, demand, largest, wantedCpus, oldest: random() };
-    loads.set(shard, { shard, jobs: 1, open, waiting, ...demandFields });
+    const openAttemptCount = Math.floor(random() * 50);
+    const waitingTaskCount = Math.floor(random() * random() * 500);
+    const largestTaskShare = share(Math.floor(random() * 0.05 * FULL_SHARE));
+    const usedShare = share(Math.floor((random() * FULL_SHARE) / shards));
+    const demandShare = share(usedShare + waitingTaskCount * largestTaskShare);
+    const demandCpus = openAttemptCount + waitingTaskCount;
+    const demandFields = {
+      usedShare,
+      demandShare,
+      largestTaskShare,
+      demandCpus,
+      oldestAcceptedAt: random(),
+    };
+    loads.set(shard, { shard, jobCount: 1, openAttemptCount, waitingTaskCount, ...demandFields });
   }
   return { team: teamName(`t${teamIndex}`), home: shardId(0), span, shards: loads };
 };
@@ -58,7 +64,7 @@
   const owners = Array.from({ length: shards }, (_, i) => ({
     owner: `n-${i}`,
     shards: [shardId(i)],
-    units: Math.floor(random() * 500),
+    loadUnits: Math.floor(random() * 500),
   }));
   const loads = Array.from({ length: teams }, (_, index) => randomTeam(index, shards));
   return planInput(loads, owners, settings);
--- a/test/scenarios/load-spread.test.ts
+++ b/test/scenarios/load-spread.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from "node:assert/strict";
 import test from "node:test";
-import { parseSpan, type Span, WHOLE } from "@umberfold/spans";
+import { FULL_SHARE, parseSpan, type Span } from "@umberfold/spans";
 import { type Burst, scheduleBurst } from "../sim/burst.js";
 import { type FaultScenario, NO_FAULTS, type SimulationScale } from "../sim/faults.js";
 import { Simulation } from "../sim/simulation.js";
@@ -56,7 +56,7 @@
     if (value === null) continue;
     const span = parseSpan(value, SCALE.controllers);
     assert.ok(span !== undefined, "every written span satisfies the invariants");
-    assert.ok(span.entries.reduce((sum, e) => sum + e.share, 0) <= WHOLE);
+    assert.ok(span.entries.reduce((sum, e) => sum + e.share, 0) <= FULL_SHARE);
   }
 };
 
@@ -229,17 +229,17 @@
 const invalidSpans: readonly (readonly [string, unknown])[] = [
   ["of another format version", { f: 9 }],
   [
-    "whose shares exceed the whole",
+    "whose shares sum to more than the full share",
     {
       f: 1,
       h: 0,
       e: [
-        [0, 0, WHOLE, WHOLE, WHOLE],
-        [1, 0, WHOLE, 0, 0],
+        [0, 0, FULL_SHARE, FULL_SHARE, FULL_SHARE],
+        [1, 0, FULL_SHARE, 0, 0],
       ],
     },
   ],
-  ["with another home shard", { f: 1, h: 2, e: [[2, 0, WHOLE, WHOLE, WHOLE]] }],
+  ["with another home shard", { f: 1, h: 2, e: [[2, 0, FULL_SHARE, FULL_SHARE, FULL_SHARE]] }],
   ["that is not a map", "none"],
 ];
 for (const [name, value] of invalidSpans)
