--- a/test/scenarios/load-spread.test.ts
+++ b/test/scenarios/load-spread.test.ts
@@ -25,7 +25,7 @@
   },
 };
 const SCALE: SimulationScale = { controllers: 3, machines: 16, quotaCpus: 24, maxTasks: 4 };
-/** Jobs of the day beside those of its bursts. */
+/** Jobs of a day in addition to those of its bursts. */
 const DAY_JOBS = 12;
 const FIRST_BURST_ID = 500;
 const SECOND_BURST_ID = 5000;
