--- a/src/service/run-controller.ts
+++ b/src/service/run-controller.ts
@@ -41,7 +41,11 @@
   state: new PooledHttpClient(parts.stateStore, parts.stateStore),
   cloud: new PooledHttpClient(parts.cloud, parts.cloud),
   peers: new PooledHttpClient(MAX_CONNECTIONS_PER_HOST, parts.peers),
-  workers: new PooledHttpClient(MAX_CONNECTIONS_PER_HOST, parts.workerCalls, parts.idleWorkerConnections),
+  workers: new PooledHttpClient(
+    MAX_CONNECTIONS_PER_HOST,
+    parts.workerCalls,
+    parts.idleWorkerConnections,
+  ),
 });
 
 /** Each kind of host has its own limit on sockets, so that none can use up all of them. */
