--- a/src/coordination/ownership/shard-state.ts
+++ b/src/coordination/ownership/shard-state.ts
@@ -183,7 +183,7 @@
   }
 
   /** Seconds of work that would be lost if the attempt were stopped now. */
-  lossS(job: LiveJob, attempt: AttemptSoftState | undefined, now: MonotonicMs): number {
+  lostWorkS(job: LiveJob, attempt: AttemptSoftState | undefined, now: MonotonicMs): number {
     if (attempt === undefined || attempt.runningSince === null) return 0;
     const ranS = (now - attempt.runningSince) / 1000;
     const { checkpointIntervalS, checkpointSaveS } = job.spec;
--- a/src/coordination/rounds/preemption-phase.ts
+++ b/src/coordination/rounds/preemption-phase.ts
@@ -157,7 +157,7 @@
       }
       if (!mayPreempt(context, this.#preemptionContext(attempt.job, job.spec))) continue;
       const lostWorkS =
-        state.lossS(job, attemptState, round.now) +
+        state.lostWorkS(job, attemptState, round.now) +
         checkpointSaveS +
         this.#slackPenaltyOf(attempt.job, job);
       victims.push({ task, resources, lostWorkS });
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -83,7 +83,7 @@
       continue;
     }
     const mayRunOn = destinationFilter(state, job, machine, candidates);
-    const lostWorkS = state.lossS(job, attemptState, now);
+    const lostWorkS = state.lostWorkS(job, attemptState, now);
     tasks.push({ task, resources: job.spec.resources, lostWorkS, mayRunOn });
   }
   return { id: machine.id, capacity: machine.capacity, usedResources, tasks };
