--- a/src/coordination/rounds/candidate-machines.ts
+++ b/src/coordination/rounds/candidate-machines.ts
@@ -70,7 +70,7 @@
 
 /** The resources that the open attempts on a machine use. */
 interface MachineOccupancy {
-  readonly use: Resources;
+  readonly usedResources: Resources;
   /** The smallest demand for each resource among these attempts; infinite if there are none. */
   readonly smallestDemand: Resources;
 }
@@ -106,20 +106,20 @@
   id: MachineId,
   terminated: ReadonlySet<TaskId>,
 ): MachineOccupancy => {
-  let use = NO_RESOURCES;
+  let usedResources = NO_RESOURCES;
   let smallestDemand = UNBOUNDED_RESOURCES;
   for (const [task, attempt] of shardJobs.openAttemptsOn(id)) {
     const resources = shardJobs.jobs.get(attempt.job)?.spec.resources;
     if (resources === undefined || terminated.has(task)) continue;
-    use = add(use, resources);
+    usedResources = add(usedResources, resources);
     smallestDemand = minimumOf(smallestDemand, resources);
   }
-  return { use, smallestDemand };
+  return { usedResources, smallestDemand };
 };
 
 const pricePerCpu = (price: number, cpus: number): number => price / Math.max(1, cpus);
 
-/** Adds each reservation to the use of the machine on which the capacity is reserved. */
+/** Adds each reservation to the used resources of the machine on which the capacity is reserved. */
 const addReservations = (
   state: ShardState,
   shardJobs: ShardJobs,
@@ -165,7 +165,7 @@
     const typeEntry = typesByName.get(record.type);
     if (typeEntry === undefined || !isSchedulable(state, id, record)) continue;
     const { type, competingShapes } = typeEntry;
-    const { use: usedResources, smallestDemand } = occupancyOf(
+    const { usedResources, smallestDemand } = occupancyOf(
       shardJobs,
       id,
       terminatedByMachine.get(id),
--- a/src/coordination/rounds/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -158,14 +158,14 @@
  * `fairTaskBatches` (fair shares are disabled, or the load-spread package is) the queue is
  * unchanged.
  *
- * @param teamUse the resources that each team's open attempts use in this shard
+ * @param usedByTeam the resources that each team's open attempts use in this shard
  * @param quotaFractionOf the fraction of a team's quota that this shard may use, from 0 to 1
  * @param candidates the machines whose total capacity is divided
  */
 export const fairQueue = (
   queue: readonly QueuedJob[],
   fairTaskBatches: FairTaskBatches | undefined,
-  teamUse: ReadonlyMap<TeamName, Resources>,
+  usedByTeam: ReadonlyMap<TeamName, Resources>,
   quotaFractionOf: (team: TeamName) => number,
   candidates: Iterable<CandidateMachine>,
 ): readonly QueueStep[] => {
@@ -173,9 +173,9 @@
   let capacity = NO_RESOURCES;
   for (const candidate of candidates) capacity = add(capacity, candidate.capacity);
   const shares = new Map(
-    [...teamUse].map(([team, use]) => {
+    [...usedByTeam].map(([team, used]) => {
       const fraction = Math.max(MIN_QUOTA_FRACTION, quotaFractionOf(team));
-      return [team, dominantShare(use, capacity) / fraction];
+      return [team, dominantShare(used, capacity) / fraction];
     }),
   );
   const steps: QueueStep[] = [];
--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -22,8 +22,8 @@
   readonly #maxRecordBytes: number;
   /** Machines whose names the job's record contains already: a name is stored only once. */
   readonly #namedMachines: Set<MachineId>;
-  /** One function for each attempt, which restores the machine's use from before the attempt. */
-  readonly #restoreUse: (() => void)[] = [];
+  /** One function for each attempt, which restores the machine's previous `usedResources`. */
+  readonly #restoreUsedResources: (() => void)[] = [];
   /** The size of the job's record with the attempts added so far. */
   #recordBytes: number;
   #nextAttempt: number;
@@ -52,7 +52,7 @@
     this.#namedMachines.add(machine.id);
     this.attempts.push({ index, attempt, machine: machine.id });
     const { usedResources, smallestDemand } = machine;
-    this.#restoreUse.push(() => {
+    this.#restoreUsedResources.push(() => {
       machine.usedResources = usedResources;
       machine.smallestDemand = smallestDemand;
     });
@@ -66,8 +66,8 @@
     return { ...this.job, open, nextAttempt: this.#nextAttempt };
   }
 
-  /** Removes the attempts from their machines' use, the last one first. */
+  /** Removes the attempts from the used resources of their machines, the last one first. */
   undo(): void {
-    for (const restore of this.#restoreUse.reverse()) restore();
+    for (const restore of this.#restoreUsedResources.reverse()) restore();
   }
 }
--- a/src/coordination/rounds/machine-choice.ts
+++ b/src/coordination/rounds/machine-choice.ts
@@ -183,10 +183,10 @@
     const machine =
       reservation === undefined ? undefined : this.candidates.get(reservation.machine);
     if (machine === undefined || !isPermitted(spec, machine, placement.zones)) return null;
-    // The machine's use includes the reservation itself.
-    const useByOthers = subtract(machine.usedResources, spec.resources);
-    if (!fitsRemainingCapacity(spec.resources, useByOthers, machine.capacity)) return null;
-    machine.usedResources = useByOthers;
+    // The used resources of the machine include the reservation itself.
+    const usedByOthers = subtract(machine.usedResources, spec.resources);
+    if (!fitsRemainingCapacity(spec.resources, usedByOthers, machine.capacity)) return null;
+    machine.usedResources = usedByOthers;
     this.state.reservations.delete(task);
     return machine;
   }
--- a/src/coordination/rounds/placement-phase.ts
+++ b/src/coordination/rounds/placement-phase.ts
@@ -55,7 +55,7 @@
   run(): void {
     if (this.#candidates.size === 0) return;
     const { state, round } = this;
-    const teamUse = this.#teamUse();
+    const usedByTeam = this.#usedByTeam();
     const { loadSpread, quotas } = state.ctx;
     const quotaFractionOf = (team: TeamName) => quotas.fractionOf(team, round.shard);
     const queue = placementQueue(state, round, this.#candidates, this.#withinGuarantee);
@@ -63,31 +63,31 @@
     for (const step of fairQueue(
       queue,
       loadSpread?.fairTaskBatches,
-      teamUse,
+      usedByTeam,
       quotaFractionOf,
       candidates,
     ))
-      if (!this.#placeJob(step, teamUse)) return;
+      if (!this.#placeJob(step, usedByTeam)) return;
   }
 
   /** The resources used by each team's open attempts without those that this round terminates. */
-  #teamUse(): Map<TeamName, Resources> {
+  #usedByTeam(): Map<TeamName, Resources> {
     const shardJobs = this.state.ctx.replica.shardJobs(this.round.shard);
-    const teamUse = shardJobs.index.usedResourcesByTeam();
+    const usedByTeam = shardJobs.index.usedResourcesByTeam();
     for (const [id, draft] of this.round.drafts) {
       const terminated = (shardJobs.jobs.get(id)?.open.length ?? 0) - draft.open.length;
       const { team, resources } = draft.spec;
-      const use = teamUse.get(team) ?? NO_RESOURCES;
-      teamUse.set(team, subtract(use, scale(resources, terminated)));
+      const used = usedByTeam.get(team) ?? NO_RESOURCES;
+      usedByTeam.set(team, subtract(used, scale(resources, terminated)));
     }
-    return teamUse;
+    return usedByTeam;
   }
 
   /**
    * Starts as many of a job's tasks as the free capacity and the team's limit allow. Returns false
    * if the batch is full.
    */
-  #placeJob(step: QueueStep, teamUse: Map<TeamName, Resources>): boolean {
+  #placeJob(step: QueueStep, usedByTeam: Map<TeamName, Resources>): boolean {
     // An earlier step of this round may have started some of the job's tasks.
     const job = this.round.drafts.get(step.id) ?? step.job;
     if (waitingTaskCount(job) === 0) return true;
@@ -97,40 +97,41 @@
     if (team === undefined || accepted === undefined) return true;
     const placement = this.#machineChooser.beginJob(queued);
     const { starts } = placement;
-    const useBefore = teamUse.get(job.spec.team) ?? NO_RESOURCES;
-    const useAfter = this.#chooseStarts(placement, team, useBefore, step.maxStarts);
+    const usedBefore = usedByTeam.get(job.spec.team) ?? NO_RESOURCES;
+    const usedAfter = this.#chooseStarts(placement, team, usedBefore, step.maxStarts);
     if (starts.attempts.length === 0) return true;
     const draft = starts.draft();
     if (!this.#writeDraft(step.id, accepted.rev, draft)) {
       starts.undo();
       return false;
     }
-    teamUse.set(job.spec.team, useAfter);
+    usedByTeam.set(job.spec.team, usedAfter);
     this.#recordStarts(queued, draft, starts.attempts);
     return true;
   }
 
   /**
-   * Chooses machines for a job's waiting tasks and adds the tasks to the machines' use.
+   * Chooses machines for a job's waiting tasks and adds the tasks to the machines' used
+   * resources.
    *
    * @returns the resources that the team uses with these starts, which are within its limit
    */
   #chooseStarts(
     placement: JobPlacement,
     team: Team,
-    useBefore: Resources,
+    usedBefore: Resources,
     maxStarts: number | undefined,
   ): Resources {
     const { starts, zones } = placement;
     const { id, job } = placement.queued;
     const { spec } = job;
-    const maxUse = this.state.ctx.quotas.maxUsageOf(team);
+    const maxUsage = this.state.ctx.quotas.maxUsageOf(team);
     const openIndexes = new Set(job.open.map((attempt) => attempt.index));
-    let use = useBefore;
+    let used = usedBefore;
     for (const index of rangesMissing(job.done, spec.taskCount, openIndexes)) {
       if (starts.attempts.length === maxStarts) break;
-      const useWithTask = add(use, spec.resources);
-      if (useWithTask.cpus > maxUse.cpus || useWithTask.gpus > maxUse.gpus) break;
+      const usedWithTask = add(used, spec.resources);
+      if (usedWithTask.cpus > maxUsage.cpus || usedWithTask.gpus > maxUsage.gpus) break;
       const task = taskId(id, index);
       const outcome = this.#machineChooser.choose(task, placement);
       if (outcome.kind === "no_capacity") break;
@@ -138,10 +139,10 @@
       const { machine } = outcome;
       this.state.reservations.delete(task);
       if (!starts.tryAdd(index, machine)) break;
-      use = useWithTask;
+      used = usedWithTask;
       zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
     }
-    return use;
+    return used;
   }
 
   /**
