--- a/src/coordination/rounds/round-cycle.ts
+++ b/src/coordination/rounds/round-cycle.ts
@@ -99,7 +99,7 @@
       return { pauseMs: coalesceDelayMs };
     }
     const transaction = decision.batch.transaction();
-    if (!store.mayWriteBatch(transaction.ops.length, MIN_WRITE_BUDGET_OPS)) {
+    if (!store.tryTakeBatchWriteBudget(transaction.ops.length, MIN_WRITE_BUDGET_OPS)) {
       this.#discard(decision);
       return { pauseMs: store.writeWaitMs(MIN_WRITE_BUDGET_OPS) };
     }
@@ -215,7 +215,7 @@
         finishCompletedJobs(state, newShardRound(shard, batch, monotonicNow()));
       if (batch.isEmpty) return;
       const transaction = batch.transaction();
-      if (!store.mayWriteBatch(transaction.ops.length, MIN_WRITE_BUDGET_OPS)) return;
+      if (!store.tryTakeBatchWriteBudget(transaction.ops.length, MIN_WRITE_BUDGET_OPS)) return;
       if (!(await this.commit.commit(transaction))) return;
     }
   }
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -136,7 +136,7 @@
     const transaction = buildTransaction();
     if (transaction === undefined) return false;
     const operations = transaction.ops.length;
-    if (!this.ctx.store.mayWriteBatch(operations, operations)) return false;
+    if (!this.ctx.store.tryTakeBatchWriteBudget(operations, operations)) return false;
     this.#isCommitting = true;
     try {
       return await this.#commit.commit(transaction);
--- a/src/service/job-cancellation.ts
+++ b/src/service/job-cancellation.ts
@@ -30,7 +30,7 @@
       const found = (attempt === 0 && this.#fromReplica(id)) || (await jobs.read(id));
       if (found.kind !== "live") return answers.about(id, found);
       if (found.job.cancelledAt !== null) return answers.about(id, found);
-      if (!ctx.store.mayWriteNow(1)) return tryAgain(429);
+      if (!ctx.store.tryTakeUrgentWriteBudget(1)) return tryAgain(429);
       const key = keys.live(id);
       const cancelled = { ...found.job, cancelledAt: wallClockNow() };
       const operations = [{ kind: "put", key, value: encodeAcceptedJob(cancelled) }] as const;
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -66,7 +66,8 @@
       if (found.kind !== "none") return answers.about(spec.id, found);
       return neverRuns(runnability.reason);
     }
-    if (this.#pending >= this.#maxPending() || !ctx.store.mayWriteNow(1)) return tryAgain(429);
+    if (this.#pending >= this.#maxPending() || !ctx.store.tryTakeUrgentWriteBudget(1))
+      return tryAgain(429);
     this.#pending++;
     const startedAt = monotonicNow();
     try {
--- a/src/storage/job-reader.ts
+++ b/src/storage/job-reader.ts
@@ -149,7 +149,7 @@
   /** Waits for the request budget and takes one request; false if the wait timed out. */
   async #waitForBudget(): Promise<boolean> {
     const deadline = monotonicNow() + BUDGET_TIMEOUT_MS;
-    while (!this.store.mayRead()) {
+    while (!this.store.tryTakeRequestBudget()) {
       if (monotonicNow() >= deadline) return false;
       await sleep(BUDGET_POLL_INTERVAL_MS);
     }
@@ -179,11 +179,11 @@
     if (this.#isBatchScheduled || this.#inFlightCount >= MAX_IN_FLIGHT_COMPARISONS) return;
     this.#isBatchScheduled = true;
     await sleep(BATCH_DELAY_MS);
-    const mayRead = await this.#waitForBudget();
+    const hasBudget = await this.#waitForBudget();
     this.#isBatchScheduled = false;
     const checks = this.#takeBatch();
     if (checks.length === 0) return;
-    if (!mayRead) {
+    if (!hasBudget) {
       this.counters.refused += checks.length;
       for (const { lookup } of checks) resolveAll(lookup, UNAVAILABLE);
     } else {
--- a/src/storage/request-budget.ts
+++ b/src/storage/request-budget.ts
@@ -71,7 +71,7 @@
   }
 
   /** Takes one request from the budget; false if none is left. */
-  tryTakeRequest(): boolean {
+  tryTakeRequestBudget(): boolean {
     return this.#requests.take(1, monotonicNow());
   }
 
@@ -80,7 +80,7 @@
    * limit; false if it has too few. The same changes are also taken from the write budget, where a
    * debt delays later batches.
    */
-  tryTakeUrgentWrites(changes: number): boolean {
+  tryTakeUrgentWriteBudget(changes: number): boolean {
     const now = monotonicNow();
     if (!this.#urgentWrites.take(changes, now)) return false;
     this.#writes.forceTake(changes, now);
@@ -91,7 +91,7 @@
    * Takes the changes of a batch if the write budget has at least `minChanges`; false if it has
    * fewer. A batch larger than the budget leaves a debt, which delays the next batch.
    */
-  tryTakeBatchWrites(changes: number, minChanges: number): boolean {
+  tryTakeBatchWriteBudget(changes: number, minChanges: number): boolean {
     return this.#writes.takeWithDebt(changes, minChanges, monotonicNow());
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** How full the write budget is, from 0 to 1. */
-  writeFillFraction(): number {
+  writeBudgetFraction(): number {
     return this.#writes.fillFraction(monotonicNow());
   }
 
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -78,22 +78,22 @@
     this.#budget.updateShares(controllerCount, peerWritesPerS);
   }
 
-  /** Whether a read may be sent now; if so, takes one request from the budget. */
-  mayRead(): boolean {
-    return this.#budget.tryTakeRequest();
+  /** Takes one request from the budget, for a read; false if none is left. */
+  tryTakeRequestBudget(): boolean {
+    return this.#budget.tryTakeRequestBudget();
   }
 
-  /** Whether changes that a user waits for may be sent now; if so, takes them from the budget. */
-  mayWriteNow(changes: number): boolean {
-    return this.#budget.tryTakeUrgentWrites(changes);
+  /** Takes budget for changes that a user waits for; false if too little is left. */
+  tryTakeUrgentWriteBudget(changes: number): boolean {
+    return this.#budget.tryTakeUrgentWriteBudget(changes);
   }
 
   /**
-   * Whether a batch of `changes` may be sent now: the budget must hold at least `minChanges`. If
-   * so, takes `changes` from the budget, which may leave a debt.
+   * Takes the changes of a batch if the budget has at least `minChanges`; false if it has fewer. A
+   * batch larger than the budget leaves a debt, which delays the next batch.
    */
-  mayWriteBatch(changes: number, minChanges: number): boolean {
-    return this.#budget.tryTakeBatchWrites(changes, minChanges);
+  tryTakeBatchWriteBudget(changes: number, minChanges: number): boolean {
+    return this.#budget.tryTakeBatchWriteBudget(changes, minChanges);
   }
 
   /** Time until the budget holds this many changes, in milliseconds. */
@@ -103,7 +103,7 @@
 
   /** The available fraction of the budget for changes, from 0 to 1. */
   writeBudgetFraction(): number {
-    return this.#budget.writeFillFraction();
+    return this.#budget.writeBudgetFraction();
   }
 
   /** Whether the latest call was refused with 503 or got no answer. */
