--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -53,11 +53,14 @@
   /**
    * Handles a worker's heartbeat and answers it with commands.
    *
-   * @param adoptUnknown called on the leader with the status of a machine that has no record
+   * @param handleUnknownMachine called on the leader with the status of a machine that has no record
    */
-  handleHeartbeat(body: unknown, adoptUnknown: (status: WorkerStatus) => void): HttpResponse {
+  handleHeartbeat(
+    body: unknown,
+    handleUnknownMachine: (status: WorkerStatus) => void,
+  ): HttpResponse {
     this.detectPause();
-    const answer = this.channel.handleHeartbeat(body, adoptUnknown);
+    const answer = this.channel.handleHeartbeat(body, handleUnknownMachine);
     this.#countHeartbeat(answer.status);
     return answer;
   }
--- a/src/coordination/workers/heartbeat-handler.ts
+++ b/src/coordination/workers/heartbeat-handler.ts
@@ -49,23 +49,23 @@
    * Answers one heartbeat.
    *
    * @param body the decoded request
-   * @param adoptUnknownMachine called, if this controller is the leader, with the status of a
+   * @param handleUnknownMachine called, if this controller is the leader, with the status of a
    *   machine of which no record exists
    */
-  handle(body: unknown, adoptUnknownMachine: (status: WorkerStatus) => void): HttpResponse {
+  handle(body: unknown, handleUnknownMachine: (status: WorkerStatus) => void): HttpResponse {
     const { state } = this;
     const status = parseWorkerStatus(body);
     if (status === undefined) {
       state.ctx.log.info("malformed heartbeat", {});
       return { status: 400, body: { error: "malformed report" } };
     }
-    const admission = this.#admit(status, adoptUnknownMachine);
+    const admission = this.#admit(status, handleUnknownMachine);
     return admission.kind === "refused"
       ? admission.response
       : this.#accept(status, admission.token);
   }
 
-  #admit(status: WorkerStatus, adoptUnknownMachine: (status: WorkerStatus) => void): Admission {
+  #admit(status: WorkerStatus, handleUnknownMachine: (status: WorkerStatus) => void): Admission {
     const { state } = this;
     const { ctx, membership } = state;
     const { replica, self } = ctx;
@@ -76,7 +76,7 @@
     const machine = replica.machines.get(status.machine);
     if (machine === undefined) {
       const leader = replica.leader?.value.label;
-      if (membership.isLeader()) adoptUnknownMachine(status);
+      if (membership.isLeader()) handleUnknownMachine(status);
       return refused(redirectTo(leader === self.label ? undefined : leader));
     }
     if (!membership.ownsShard(machine.shard)) {
--- a/src/coordination/workers/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -61,13 +61,13 @@
 
   /**
    * Answers `POST /agent/beat`. If this controller is the leader and no record of the machine
-   * exists, its status is passed to `adoptUnknownMachine`.
+   * exists, its status is passed to `handleUnknownMachine`.
    */
   handleHeartbeat(
     body: unknown,
-    adoptUnknownMachine: (status: WorkerStatus) => void,
+    handleUnknownMachine: (status: WorkerStatus) => void,
   ): HttpResponse {
-    return this.#heartbeatHandler.handle(body, adoptUnknownMachine);
+    return this.#heartbeatHandler.handle(body, handleUnknownMachine);
   }
 
   /** Queues a direct call that sends a machine its commands; at the front if `urgent`. */
