--- a/src/coordination/load-spread/load-spread.ts
+++ b/src/coordination/load-spread/load-spread.ts
@@ -51,7 +51,7 @@
   /** Does the leader's work if this controller leads, and then that of a shard owner. */
   async tick(): Promise<void> {
     if (!this.ctx.isReplicaSynced) return;
-    if (this.#spans.writable && this.ctx.replica.teams !== undefined) await this.#leader.lead();
+    if (this.#spans.canWrite && this.ctx.replica.teams !== undefined) await this.#leader.lead();
     else this.#leader.stopLeading();
     await this.#transfers.transferSurplus();
   }
--- a/src/coordination/load-spread/span-records.ts
+++ b/src/coordination/load-spread/span-records.ts
@@ -50,7 +50,7 @@
   ) {}
 
   /** Whether this controller leads and its replica is synced. */
-  get writable(): boolean {
+  get canWrite(): boolean {
     return this.records.canWrite;
   }
 
--- a/src/coordination/workers/direct-command-sender.ts
+++ b/src/coordination/workers/direct-command-sender.ts
@@ -93,9 +93,9 @@
    * Queues a call to a machine, at the front if it is urgent. If one is queued or in flight, the
    * next is queued after it has ended.
    */
-  requestCall(id: MachineId, urgent: boolean): void {
+  requestCall(id: MachineId, isUrgent: boolean): void {
     if (!this.state.machineState(id).call.requestCall(monotonicNow())) return;
-    if (urgent) this.#queue.unshift(id);
+    if (isUrgent) this.#queue.unshift(id);
     else this.#queue.push(id);
     this.#sendQueued();
   }
--- a/src/coordination/workers/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -70,9 +70,9 @@
     return this.#heartbeatHandler.handle(body, handleUnknownMachine);
   }
 
-  /** Queues a direct call that sends a machine its commands; at the front if `urgent`. */
-  callMachine(id: MachineId, urgent = false): void {
-    this.#commandSender.requestCall(id, urgent);
+  /** Queues a direct call that sends a machine its commands; at the front if `isUrgent`. */
+  callMachine(id: MachineId, isUrgent = false): void {
+    this.#commandSender.requestCall(id, isUrgent);
   }
 
   /** Calls machines with overdue heartbeats and handles failed ones. Cheap to call often. */
