--- a/src/coordination/rounds/fair-queue.ts
+++ b/src/coordination/rounds/fair-queue.ts
@@ -30,7 +30,7 @@
  * Fair task batches are computed for at most this many tasks: about as many as one transaction can
  * start.
  */
-const MAX_FAIR_TURN_TASKS = 256;
+const MAX_TASKS_IN_FAIR_BATCHES = 256;
 
 /** The dominant share: the largest fraction of the capacity used among CPUs, GPUs and memory. */
 const dominantShare = (resources: Resources, capacity: Resources): number =>
@@ -95,7 +95,7 @@
     for (const { id, taskCount } of fairTaskBatches({
       jobs,
       dominantShares: shares,
-      maxTasks: MAX_FAIR_TURN_TASKS,
+      maxTasks: MAX_TASKS_IN_FAIR_BATCHES,
     })) {
       const queued = byId.get(id);
       if (queued !== undefined) this.#remaining.push({ queued, tasks: taskCount });
--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -53,7 +53,8 @@
   /**
    * Handles a worker's heartbeat and answers it with commands.
    *
-   * @param handleUnknownMachine called on the leader with the status of a machine that has no record
+   * @param handleUnknownMachine called, if this controller is the leader, with the status of a
+   *   machine that has no record
    */
   handleHeartbeat(
     body: unknown,
--- a/src/coordination/rounds/swarm-phase.ts
+++ b/src/coordination/rounds/swarm-phase.ts
@@ -58,8 +58,8 @@
 };
 
 /**
- * A machine as input of the swarm algorithm: its tasks that may move, and its use without the tasks
- * that are leaving and with those that are expected (n - Q + R in the paper).
+ * A machine as input of the swarm algorithm: its tasks that may move, and its used resources
+ * without the tasks that are leaving and with those that are expected (n - Q + R in the paper).
  */
 const toSwarmMachine = (
   state: ShardState,
@@ -75,8 +75,8 @@
     const job = shardJobs.jobs.get(attempt.job);
     if (job === undefined) continue;
     const attemptState = state.attemptStates.get(attempt.key);
-    // The tasks of a failing job are left out of the use (n in the paper): a job that fails on
-    // every machine would otherwise cause other tasks to be moved back and forth.
+    // The tasks of a failing job are not counted as used resources (n in the paper): a job
+    // that fails on every machine would otherwise cause other tasks to be moved back and forth.
     const isFailing = (state.jobBackoffs.get(attempt.job)?.failureCount ?? 0) > 0;
     if (attemptState?.stopRequest != null || isFailing || job.cancelledAt !== null) {
       usedResources = subtract(usedResources, job.spec.resources);
