--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -3,7 +3,7 @@
  *
  * Owns the reserve step of placement: each attempt is added to its machine's use at once, so that
  * later choices in the round take it into account. If the job record doesn't fit into the round's
- * transaction, `undo` restores the use of all these machines.
+ * transaction, `undo` restores the used resources of all these machines.
  */
 import { attemptNumber, type MachineId } from "@umberfold/ids";
 import type { Settings } from "../../config/settings.js";
