--- a/src/coordination/rounds/job-starts.ts
+++ b/src/coordination/rounds/job-starts.ts
@@ -1,7 +1,7 @@
 /**
  * The attempts that one round opens for one job, and the job record that lists them.
  *
- * Owns the reserve step of placement: each attempt is added to its machine's use at once, so that
+ * Owns the reserve step of placement: each attempt is added to its machine's used resources at once, so that
  * later choices in the round take it into account. If the job record doesn't fit into the round's
  * transaction, `undo` restores the used resources of all these machines.
  */
