--- a/src/config/field-reader.ts
+++ b/src/config/field-reader.ts
@@ -1,14 +1,15 @@
 /**
- * Reads fields of an untrusted map and gathers every fault instead of stopping at the first.
+ * Reads fields of an untrusted map and collects all faults instead of stopping at the first.
  *
- * Each method returns a value in any case, and adds a line to `faults` if it isn't the file's: the
- * field, what is allowed, and what is there instead. Readers of inner maps share the list.
+ * Each method always returns a value. If the field is missing without a fallback, or is invalid, it
+ * adds a line to `faults` that names the field, the allowed values and the actual value. Readers of
+ * nested maps share the list.
  */
 import { isMap } from "../protocol/cbor.js";
 
 const MAX_SHOWN_LENGTH = 60;
 
-/** A value as it is shown in a fault: enough to find it in the file. */
+/** A value as shown in a fault, shortened but recognizable. */
 export const describeValue = (value: unknown): string => {
   if (value === undefined || value === null) return "nothing";
   if (typeof value === "string") return JSON.stringify(value.slice(0, MAX_SHOWN_LENGTH));
@@ -16,117 +17,117 @@
   return isMap(value) ? "a table" : String(value);
 };
 
-/** The fields of one map: a section, a block or a row of a file. */
+/** Reads the fields of one map: a section, a block or an element of a list of tables. */
 export class FieldReader {
   constructor(
     private readonly source: Readonly<Record<string, unknown>>,
-    /** The map's own place in its file; empty for the file itself. */
-    readonly where: string,
+    /** The map's path in its file; empty for the file itself. */
+    readonly path: string,
     /** A line for each fault found so far. */
     readonly faults: string[],
   ) {}
 
-  /** The same fields, with faults gathered apart. */
+  /** A reader of the same fields that adds its faults to another list. */
   withFaults(faults: string[]): FieldReader {
-    return new FieldReader(this.source, this.where, faults);
+    return new FieldReader(this.source, this.path, faults);
   }
 
-  /** Whether a field is there, whatever its value. */
+  /** Whether a field is present with any value but null. */
   has(name: string): boolean {
     return this.source[name] !== undefined && this.source[name] !== null;
   }
 
-  /** A text that isn't empty. */
-  text(name: string, fallback?: string): string {
+  /** A non-empty string. */
+  string(name: string, fallback?: string): string {
     const value = this.source[name];
     if (typeof value === "string" && value !== "") return value;
     if (!this.has(name) && fallback !== undefined) return fallback;
-    this.#refuse(name, "must be a non-empty text");
+    this.#addFault(name, "must be a non-empty string");
     return "";
   }
 
-  /** Host and port, of which the host is a number, so that no name has to be looked up. */
+  /** Host and port; the host must be an IPv4 address, so that no DNS lookup is needed. */
   address(name: string): string {
-    const address = this.text(name, "");
+    const address = this.string(name, "");
     if (/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(address)) return address;
-    this.#refuse(name, "must be an IPv4 address with a port, such as 10.0.0.1:80");
+    this.#addFault(name, "must be an IPv4 address with a port, such as 10.0.0.1:80");
     return "0.0.0.0:0";
   }
 
-  /** A number within bounds, both included; `max` may be infinite. */
+  /** A number within inclusive bounds; `max` may be infinite. */
   number(name: string, min: number, max: number, fallback?: number): number {
     const value = this.source[name];
     if (value === undefined && fallback !== undefined) return fallback;
     if (typeof value === "number" && Number.isFinite(value) && value >= min && value <= max)
       return value;
     const range = max === Number.POSITIVE_INFINITY ? `at least ${min}` : `${min} to ${max}`;
-    this.#refuse(name, `must be a number, ${range}`);
+    this.#addFault(name, `must be a number, ${range}`);
     return min;
   }
 
-  /** The same for a whole number. */
-  whole(name: string, min: number, max: number, fallback?: number): number {
+  /** An integer within inclusive bounds. */
+  integer(name: string, min: number, max: number, fallback?: number): number {
     const number = this.number(name, min, max, fallback);
     if (Number.isInteger(number)) return number;
-    this.#refuse(name, "must be a whole number");
+    this.#addFault(name, "must be a whole number");
     return min;
   }
 
-  /** A switch. */
-  flag(name: string, fallback: boolean): boolean {
+  /** A boolean. */
+  boolean(name: string, fallback: boolean): boolean {
     const value = this.source[name];
     if (value === undefined) return fallback;
     if (typeof value === "boolean") return value;
-    this.#refuse(name, "must be true or false");
+    this.#addFault(name, "must be true or false");
     return fallback;
   }
 
-  /** An inner map that must be there. Of a missing one only that is a fault, not each field. */
+  /** A required nested map. If it is missing, this is one fault; its fields add no others. */
   section(name: string): FieldReader {
     const value = this.source[name];
-    if (isMap(value)) return new FieldReader(value, this.#path(name), this.faults);
-    this.faults.push(`${this.#path(name)}: section is missing`);
-    return new FieldReader({}, this.#path(name), []);
+    if (isMap(value)) return new FieldReader(value, this.#pathOf(name), this.faults);
+    this.faults.push(`${this.#pathOf(name)}: section is missing`);
+    return new FieldReader({}, this.#pathOf(name), []);
   }
 
-  /** A list of inner maps; none if it is missing. */
-  rows(name: string): readonly FieldReader[] {
+  /** A list of nested maps; empty if it is missing. */
+  tables(name: string): readonly FieldReader[] {
     const value = this.source[name];
     if (value === undefined) return [];
     if (!Array.isArray(value)) {
-      this.#refuse(name, "must be a list");
+      this.#addFault(name, "must be a list");
       return [];
     }
     return value.map((row, index) => {
-      const where = `${this.#path(name)}[${index}]`;
+      const where = `${this.#pathOf(name)}[${index}]`;
       if (isMap(row)) return new FieldReader(row, where, this.faults);
       this.faults.push(`${where}: must be a table, not ${describeValue(row)}`);
       return new FieldReader({}, where, []);
     });
   }
 
-  /** A list of texts; empty if it is missing. */
-  texts(name: string): readonly string[] {
+  /** A list of strings; empty if it is missing. */
+  strings(name: string): readonly string[] {
     const value = this.source[name];
     if (value === undefined) return [];
     if (Array.isArray(value) && value.every((item) => typeof item === "string"))
       return value as string[];
-    this.#refuse(name, "must be a list of texts");
+    this.#addFault(name, "must be a list of strings");
     return [];
   }
 
-  /** Refuses all other fields: a misspelt setting must not pass for a set one. */
-  only(names: readonly string[]): void {
+  /** Adds a fault for each field not in `names`, so that a misspelt setting isn't ignored. */
+  refuseUnknown(names: readonly string[]): void {
     for (const name of Object.keys(this.source))
       if (!names.includes(name))
-        this.faults.push(`${this.#path(name)}: is not a known setting (${names.join(", ")})`);
+        this.faults.push(`${this.#pathOf(name)}: is not a known setting (${names.join(", ")})`);
   }
 
-  #path(name: string): string {
-    return this.where === "" ? name : `${this.where}.${name}`;
+  #pathOf(name: string): string {
+    return this.path === "" ? name : `${this.path}.${name}`;
   }
 
-  #refuse(name: string, allowed: string): void {
-    this.faults.push(`${this.#path(name)}: ${allowed}, not ${describeValue(this.source[name])}`);
+  #addFault(name: string, allowed: string): void {
+    this.faults.push(`${this.#pathOf(name)}: ${allowed}, not ${describeValue(this.source[name])}`);
   }
 }
--- a/src/coordination/fleet/machine-view.ts
+++ b/src/coordination/fleet/machine-view.ts
@@ -115,7 +115,7 @@
   /** Seconds from its rental after which a machine without a heartbeat counts as never booted. */
   #maxBootS(type: MachineType): number {
     const { operators, settings } = this.ctx;
-    return type.bootS * operators.bootPatience + settings.workers.reportS;
+    return type.bootS * operators.bootTimeoutFactor + settings.workers.heartbeatPeriodS;
   }
 
   #openAttempts(id: MachineId, { shard }: MachineRecord) {
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -1,8 +1,8 @@
 /**
- * Which part answers which request, on the front address (users, workers, the load balancer) and on
- * the internal one (the other controllers).
+ * Routes requests to the components: those on the front address (from users, workers and the load
+ * balancer) and those on the internal address (from the other controllers).
  *
- * Nothing here has state. A path with another method is answered 405, an unknown path 404.
+ * Stateless. A known path with a wrong method gets status 405, an unknown path 404.
  */
 import type { Cancellations } from "../coordination/cancellation/cancellations.js";
 import type { ControllerContext } from "../coordination/context.js";
@@ -27,34 +27,34 @@
 import type { UserApi } from "./user-api.js";
 import { NOT_CBOR } from "./user-responses.js";
 
-/** Whether the state store serves the controller that is asked. */
-export const SERVED_PATH = STORE_AVAILABILITY_PATH;
-/** Whether the controller that is asked receives its machines' heartbeats. */
-export const HEARTBEATS_PATH = HEARTBEAT_RECEPTION_PATH;
+/** Path of the question whether the state store serves the controller that receives it. */
+export const PEER_STORE_AVAILABILITY_PATH = STORE_AVAILABILITY_PATH;
+/** Path of the question whether the controller that receives it gets its machines' heartbeats. */
+export const PEER_HEARTBEAT_RECEPTION_PATH = HEARTBEAT_RECEPTION_PATH;
 
-/** The parts of a controller that requests are handed to. */
-export interface Parts {
+/** The components of a controller that handle requests. */
+export interface ControllerComponents {
   readonly ctx: ControllerContext;
   readonly membership: Membership;
   readonly owner: ShardOwner;
   readonly leader: Leader;
-  readonly cancels: Cancellations;
+  readonly cancellations: Cancellations;
   readonly users: UserApi;
-  /** Has a round run soon. */
+  /** Makes a scheduling round run soon. */
   readonly wake: () => void;
 }
 
 const METHOD_NOT_ALLOWED: HttpResponse = { status: 405 };
 const UNKNOWN_PATH: HttpResponse = { status: 404, body: { error: "unknown path" } };
 
-const handleHeartbeat = ({ owner, leader }: Parts, bytes: Buffer): HttpResponse => {
+const handleHeartbeat = ({ owner, leader }: ControllerComponents, bytes: Buffer): HttpResponse => {
   const body = decodeBody(bytes);
   if (!body.ok) return NOT_CBOR;
   return owner.handleHeartbeat(body.value, (status) => leader.handleUnknownMachine(status));
 };
 
-/** The one method of each path of a user's request. */
-const METHODS = {
+/** The HTTP method that each kind of user request must have. */
+const METHOD_BY_TARGET = {
   readiness: "GET",
   submission: "POST",
   status: "GET",
@@ -67,7 +67,7 @@
 ): HttpResponse | Promise<HttpResponse> => {
   const target = parseUserPath(path);
   if (target.kind === "unknown") return UNKNOWN_PATH;
-  if (method !== METHODS[target.kind]) return METHOD_NOT_ALLOWED;
+  if (method !== METHOD_BY_TARGET[target.kind]) return METHOD_NOT_ALLOWED;
   switch (target.kind) {
     case "readiness":
       return users.readiness();
@@ -80,42 +80,56 @@
   }
 };
 
-/** Requests of users, workers and the load balancer. */
+/** Handles requests from users, workers and the load balancer. */
 export const frontHandler =
-  (parts: Parts): RequestHandler =>
+  (components: ControllerComponents): RequestHandler =>
   (request) => {
-    // First, since nearly all requests are heartbeats.
-    if (request.path !== HEARTBEAT_PATH) return handleUserRequest(parts.users, request);
-    return request.method === "POST" ? handleHeartbeat(parts, request.bytes) : METHOD_NOT_ALLOWED;
+    // Checked first because nearly all requests are heartbeats.
+    if (request.path !== HEARTBEAT_PATH) return handleUserRequest(components.users, request);
+    return request.method === "POST"
+      ? handleHeartbeat(components, request.bytes)
+      : METHOD_NOT_ALLOWED;
   };
 
-/** Requests of the other controllers. */
-export const peerHandler = (parts: Parts): RequestHandler => {
-  const { ctx } = parts;
+/** Handles requests from the other controllers. */
+export const peerHandler = (components: ControllerComponents): RequestHandler => {
+  const { ctx } = components;
   return (request) => {
     switch (request.path) {
-      case SERVED_PATH:
+      case PEER_STORE_AVAILABILITY_PATH:
         return { status: ctx.isReplicaSynced && !ctx.store.isFailing() ? 204 : 503 };
-      case HEARTBEATS_PATH:
-        return heartbeatReception(parts);
+      case PEER_HEARTBEAT_RECEPTION_PATH:
+        return answerHeartbeatReception(components);
       case PEER_MESSAGE_PATH:
-        return request.method === "POST" ? handlePeerMessage(parts, request) : METHOD_NOT_ALLOWED;
+        return request.method === "POST"
+          ? handlePeerMessage(components, request)
+          : METHOD_NOT_ALLOWED;
       default:
         return { status: 404 };
     }
   };
 };
 
-/** 404 where it can't be told: nothing is owned, or it isn't known what. */
-const heartbeatReception = ({ ctx, membership, owner }: Parts): HttpResponse => {
+/**
+ * 204 if heartbeats are received, 503 if not, and 404 if this is unknown: the controller owns no
+ * machines that should send any, or doesn't know yet which ones it owns.
+ */
+const answerHeartbeatReception = ({
+  ctx,
+  membership,
+  owner,
+}: ControllerComponents): HttpResponse => {
   const isOwner = ctx.isReplicaSynced && membership.holdsValidLease();
   const received = isOwner ? owner.channel.receivesHeartbeats() : undefined;
   if (received === undefined) return { status: 404 };
   return { status: received ? 204 : 503 };
 };
 
-const handlePeerMessage = (parts: Parts, { bytes }: HttpRequest): HttpResponse => {
-  const { ctx, owner, leader, cancels, wake } = parts;
+const handlePeerMessage = (
+  components: ControllerComponents,
+  { bytes }: HttpRequest,
+): HttpResponse => {
+  const { ctx, owner, leader, cancellations, wake } = components;
   let message: PeerMessage;
   try {
     message = decodePeerMessage(bytes);
@@ -125,9 +139,10 @@
   }
   for (const transfer of message.moves) owner.requestTransfer(transfer);
   for (const machine of message.retire) owner.requestDecommission(machine, message.reason);
-  // Before the first scan it isn't known what is owned here: it can't promise to see to it.
+  // Before the first scan this controller doesn't know which jobs it owns, so it can't confirm that
+  // it will enforce a cancellation.
   if (message.cancelled.length > 0 && !ctx.isReplicaSynced) return { status: 503 };
-  cancels.receiveNotices(message.cancelled);
+  cancellations.receiveNotices(message.cancelled);
   leader.recordFailingJobs(message.failing);
   wake();
   return { status: 204 };
