--- a/src/coordination/rounds/shard-owner.ts
+++ b/src/coordination/rounds/shard-owner.ts
@@ -53,11 +53,15 @@
   /**
    * Handles a worker's heartbeat and answers it with commands.
    *
-   * @param adoptUnknown called on the leader with the status of a machine that has no record
+   * @param handleUnknownMachine called, if this controller is the leader, with the status of a
+   *   machine that has no record
    */
-  handleHeartbeat(body: unknown, adoptUnknown: (status: WorkerStatus) => void): HttpResponse {
+  handleHeartbeat(
+    body: unknown,
+    handleUnknownMachine: (status: WorkerStatus) => void,
+  ): HttpResponse {
     this.detectPause();
-    const answer = this.channel.handleHeartbeat(body, adoptUnknown);
+    const answer = this.channel.handleHeartbeat(body, handleUnknownMachine);
     this.#countHeartbeat(answer.status);
     return answer;
   }
@@ -136,7 +140,7 @@
     const transaction = buildTransaction();
     if (transaction === undefined) return false;
     const operations = transaction.ops.length;
-    if (!this.ctx.store.mayWriteBatch(operations, operations)) return false;
+    if (!this.ctx.store.tryTakeBatchWriteBudget(operations, operations)) return false;
     this.#isCommitting = true;
     try {
       return await this.#commit.commit(transaction);
--- a/src/coordination/workers/worker-channel.ts
+++ b/src/coordination/workers/worker-channel.ts
@@ -61,18 +61,18 @@
 
   /**
    * Answers `POST /agent/beat`. If this controller is the leader and no record of the machine
-   * exists, its status is passed to `adoptUnknownMachine`.
+   * exists, its status is passed to `handleUnknownMachine`.
    */
   handleHeartbeat(
     body: unknown,
-    adoptUnknownMachine: (status: WorkerStatus) => void,
+    handleUnknownMachine: (status: WorkerStatus) => void,
   ): HttpResponse {
-    return this.#heartbeatHandler.handle(body, adoptUnknownMachine);
+    return this.#heartbeatHandler.handle(body, handleUnknownMachine);
   }
 
-  /** Queues a direct call that sends a machine its commands; at the front if `urgent`. */
-  callMachine(id: MachineId, urgent = false): void {
-    this.#commandSender.requestCall(id, urgent);
+  /** Queues a direct call that sends a machine its commands; at the front if `isUrgent`. */
+  callMachine(id: MachineId, isUrgent = false): void {
+    this.#commandSender.requestCall(id, isUrgent);
   }
 
   /** Calls machines with overdue heartbeats and handles failed ones. Cheap to call often. */
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -73,7 +73,8 @@
       if (found.kind !== "none") return answers.answer(spec.id, found);
       return neverRuns(runnability.reason);
     }
-    if (this.#pendingCount >= this.#maxPending() || !ctx.store.mayWriteNow(1)) return tryAgain(429);
+    if (this.#pendingCount >= this.#maxPending() || !ctx.store.tryTakeUrgentWriteBudget(1))
+      return tryAgain(429);
     this.#pendingCount++;
     const startedAt = monotonicNow();
     try {
