--- a/src/coordination/fleet/unknown-machines.ts
+++ b/src/coordination/fleet/unknown-machines.ts
@@ -15,7 +15,7 @@
   type ShardId,
   shardId,
 } from "@umberfold/ids";
-import { type ListedMachine, listPath, parseMachineList } from "../../protocol/cloud.js";
+import { type ListedMachine, machineListPath, parseMachineList } from "../../protocol/cloud.js";
 import { parseWorkerStatus, type WorkerStatus } from "../../protocol/workers.js";
 import type { HttpClient } from "../../transport/client.js";
 import { monotonicNow, wallClockNow } from "../../transport/clock.js";
@@ -152,11 +152,11 @@
     const failed: MachineId[] = [];
     let after: string | undefined;
     for (;;) {
-      const response = await this.cloud.call("GET", listPath(after));
+      const response = await this.cloud.call("GET", machineListPath(after));
       const page = response?.status === 200 ? parseMachineList(response.body) : undefined;
       if (page === undefined) return failed;
       failed.push(...this.#scanPage(page.machines));
-      if (!page.more || page.machines.length === 0) return failed;
+      if (!page.hasMore || page.machines.length === 0) return failed;
       after = page.machines[page.machines.length - 1]?.id;
     }
   }
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,31 +1,34 @@
 /**
  * Messages to and from the cloud: machine types, the list of machines, scale-out and scale-in.
  *
- * Maps the wire's names (`frame`, `mill`, `loom`, `remnant`, `stage`) to the glossary's terms. Each
- * message has one reader or one writer here. Rows that can't be read are left out of a list; a body
- * that can't be read at all gives undefined.
+ * Maps field names on the wire to the terms of this code: `frame` is a machine type, `mill` a zone,
+ * `loom` a machine, `remnant` a spot machine and `stage` a phase. Each message has one parser or
+ * one function that builds it. Malformed rows are left out of a list; for a malformed body, a
+ * parser returns undefined.
  */
 import { type MachineId, machineId } from "@umberfold/ids";
 import { amount, type Fields, isMap, list, text } from "./cbor.js";
 import type { Resources } from "./jobs.js";
 
-/** A kind of machine that can be rented. Prices are per hour, from the rental until it is gone. */
+/**
+ * A type of machine to rent. Prices are per hour, from the rental until the machine is returned.
+ */
 export interface MachineType {
   readonly name: string;
   readonly capacity: Resources;
-  /** Room for images, in GB. */
+  /** Capacity of the image cache, in GB. */
   readonly cacheGb: number;
-  /** How fast images are fetched; those fetched at the same time may share it. */
+  /** Bandwidth for fetching images; concurrent fetches may share it. */
   readonly fetchGbPerS: number;
   readonly price: number;
-  /** The present price as a spot machine; as `price` where the cloud names none. */
+  /** The current price as a spot machine; equals `price` if the cloud gives none. */
   readonly spotPrice: number;
-  /** Seconds from the rental until its worker is up, as a rule; some take much longer. */
+  /** Typical seconds from the rental until its worker is up; some machines take much longer. */
   readonly bootS: number;
   readonly zones: readonly string[];
 }
 
-/** One call to scale out. The name makes it idempotent: a repetition rents nothing more. */
+/** A scale-out request. Its name makes it idempotent: a repeated request rents no more machines. */
 export interface RentalRequest {
   readonly name: string;
   readonly type: string;
@@ -34,33 +37,36 @@
   readonly count: number;
 }
 
-/** What a machine does, as the cloud sees it. The wire's words are the same. */
+/** The phase of a machine in the cloud's list; the values are the same on the wire. */
 export type CloudMachinePhase = "starting" | "running" | "failed";
 
 const MACHINE_PHASES: readonly CloudMachinePhase[] = ["starting", "running", "failed"];
 
-/** A machine in the cloud's list. */
+/** A machine in the cloud's list of machines. */
 export interface ListedMachine {
   readonly id: MachineId;
-  /** Host and port of its worker; empty as long as it has none. */
+  /** Host and port of its worker; empty while it has none. */
   readonly endpoint: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly phase: CloudMachinePhase;
-  /** Seconds from the rental request to the moment that the list describes. */
+  /** Seconds from the rental request to the time at which the list was valid. */
   readonly ageS: number;
 }
 
-/** The cloud's own bound on the machines of one scale-out. */
+/** The cloud's limit on the machines of one scale-out. */
 export const MAX_RENTALS_PER_CALL = 50;
-/** The cloud's own bound on the machines of one scale-in. */
+/** The cloud's limit on the machines of one scale-in. */
 export const MAX_RETURNS_PER_CALL = 100;
-/** The cloud's own bound on one page of its list. */
-export const MAX_MACHINES_PER_LIST = 500;
+/** The cloud's limit on the machines of one page of its list. */
+export const MAX_MACHINES_PER_PAGE = 500;
 
-/** `label`, `cpus`, `ramGb` and `mills` are needed; what else is missing counts as 0. */
-const parseType = (row: unknown): MachineType | undefined => {
+/**
+ * Requires `label`, `cpus`, `ramGb` and `mills`. A missing `spotPrice` defaults to `price`, other
+ * missing numbers to 0.
+ */
+const parseMachineType = (row: unknown): MachineType | undefined => {
   if (!isMap(row)) return undefined;
   const name = text(row.label);
   const cpus = amount(row.cpus);
@@ -80,15 +86,15 @@
   };
 };
 
-/** Reads the answer to the question for machine types. */
+/** Parses the response to a request for the machine types. */
 export const parseMachineTypes = (body: unknown): readonly MachineType[] | undefined => {
   if (!isMap(body)) return undefined;
-  const rows = list(body.frames)?.map(parseType);
+  const rows = list(body.frames)?.map(parseMachineType);
   return rows?.filter((type): type is MachineType => type !== undefined);
 };
 
-/** `uid` and a known `stage` are needed. */
-const parseListed = (row: unknown): ListedMachine | undefined => {
+/** Requires `uid` and a known `stage`. */
+const parseListedMachine = (row: unknown): ListedMachine | undefined => {
   if (!isMap(row)) return undefined;
   const id = text(row.uid);
   const phase = MACHINE_PHASES.find((known) => known === row.stage);
@@ -104,24 +110,24 @@
   };
 };
 
-/** One page of the cloud's list; `more`: there are machines after its last. */
+/** One page of the cloud's list; `hasMore`: another page follows. */
 export interface MachineListPage {
   readonly machines: readonly ListedMachine[];
-  readonly more: boolean;
+  readonly hasMore: boolean;
 }
 
-/** Where a page of the list is asked for: the machines after the given one. */
-export const listPath = (after: string | undefined): string =>
-  `/machines?limit=${MAX_MACHINES_PER_LIST}${after === undefined ? "" : `&from=${after}`}`;
+/** The path of a page of the list: the machines after the given ID, or the first page. */
+export const machineListPath = (after: string | undefined): string =>
+  `/machines?limit=${MAX_MACHINES_PER_PAGE}${after === undefined ? "" : `&from=${after}`}`;
 
-/** Reads a page of the list. */
+/** Parses a page of the list. */
 export const parseMachineList = (body: unknown): MachineListPage | undefined => {
   if (!isMap(body)) return undefined;
-  const rows = list(body.looms)?.map(parseListed);
+  const rows = list(body.looms)?.map(parseListedMachine);
   if (rows === undefined) return undefined;
   return {
     machines: rows.filter((machine): machine is ListedMachine => machine !== undefined),
-    more: body.hasNext === true,
+    hasMore: body.hasNext === true,
   };
 };
 
@@ -134,7 +140,7 @@
   count: request.count,
 });
 
-/** Reads the answer to a scale-out: the machines that were rented under its name. */
+/** Parses the response to a scale-out: the machines rented under the name of the request. */
 export const parseRentedMachines = (body: unknown): readonly MachineId[] | undefined => {
   if (!isMap(body)) return undefined;
   return list(body.looms)
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -1,9 +1,9 @@
 /**
- * The one message that controllers send each other, in protocol buffers.
+ * The single message type that controllers send each other, encoded with protocol buffers.
  *
- * The schema below is the wire's: field numbers and types must not change, and a field that an
- * older controller doesn't send reads as its default. Its names are already the glossary's, but for
- * `retire` (machines to be decommissioned) and `moves` (transfers).
+ * The schema below is the wire format: field numbers and types must not change, and a field that an
+ * older controller doesn't send has its default value. In it, `retire` means machines to be
+ * decommissioned and `moves` machine transfers; the other names are the terms of this code.
  */
 import {
   type JobId,
@@ -20,17 +20,17 @@
 import protobuf from "protobufjs/light.js";
 import { isJobId } from "./jobs.js";
 
-/** Where controllers send each other messages. */
+/** The path for peer messages. */
 export const PEER_MESSAGE_PATH = "/peer";
-/** Whether the state store serves the controller that is asked: 204 or 503. */
+/** Asks a controller whether the state store is available to it: 204 if so, else 503. */
 export const STORE_AVAILABILITY_PATH = "/served";
-/** Whether the controller that is asked receives its machines' heartbeats: 204, 503 or 404. */
+/** Asks a controller whether it receives heartbeats from its machines: 204, 503 or 404. */
 export const HEARTBEAT_RECEPTION_PATH = "/hears";
 
 /**
- * Asks a shard's owner to transfer a machine. `drain`: stop tasks of lower priority there first.
- * `whenEmpty`: start nothing more there, and transfer it once what runs has ended. Neither: only if
- * it is empty now.
+ * Asks a shard's owner to transfer a machine. With `drain`, the owner first stops tasks of lower
+ * priority on it. With `whenEmpty`, it starts no more tasks on it and transfers it once the running
+ * tasks have ended. With neither, it transfers the machine only if it is empty now.
  */
 export interface MachineTransferRequest {
   readonly machine: MachineId;
@@ -39,7 +39,7 @@
   readonly whenEmpty?: boolean;
 }
 
-/** A cancellation that is known to be written: its record's revision, and the time in the record. */
+/** A committed cancellation: the revision of its record, and the time stored in the record. */
 export interface CancellationNotice {
   readonly job: JobId;
   readonly rev: Revision;
@@ -47,9 +47,9 @@
 }
 
 /**
- * What controllers tell one another. What the leader asks of a shard's owner is a hint only: all
- * that must hold is in the state store. So is a cancellation, but the sender may have read it where
- * the receiver can't.
+ * A message between controllers. Requests of the leader to a shard's owner are only hints: all
+ * authoritative state is in the state store. Cancellations are stored there too, but are also sent
+ * because the receiver may be unable to read them from the state store.
  */
 export interface PeerMessage {
   /** The sender's label. */
@@ -57,14 +57,14 @@
   readonly moves: readonly MachineTransferRequest[];
   /** Machines to be decommissioned. */
   readonly retire: readonly MachineId[];
-  /** Why they are to be decommissioned at once; empty: they are surplus. */
+  /** Why they are to be decommissioned immediately; empty if they are surplus. */
   readonly reason: string;
   readonly cancelled: readonly CancellationNotice[];
-  /** Jobs of the sender's shards that fail wherever they are started. */
+  /** Jobs of the sender's shards whose tasks fail on every machine. */
   readonly failing: readonly JobId[];
 }
 
-/** A message that says nothing, to be filled in. */
+/** The default values of all fields except the sender. */
 export const EMPTY_PEER_MESSAGE: Omit<PeerMessage, "from"> = {
   moves: [],
   retire: [],
@@ -73,7 +73,7 @@
   failing: [],
 };
 
-const root = protobuf.Root.fromJSON({
+const schema = protobuf.Root.fromJSON({
   nested: {
     Move: {
       fields: {
@@ -102,9 +102,9 @@
     },
   },
 });
-const peerMessageType = root.lookupType("PeerMessage");
+const peerMessageType = schema.lookupType("PeerMessage");
 
-/** The message as protobufjs reads it: all fields there, and none of them checked. */
+/** The message as decoded by protobufjs: all fields are present, and none is validated. */
 interface WireMessage {
   readonly from: string;
   readonly moves: readonly WireMove[];
@@ -134,8 +134,8 @@
   ...(move.whenEmpty ? { whenEmpty: true } : {}),
 });
 
-/** Whether a notice can be one; any other is ignored, and the rest of its message counts. */
-const isPossibleNotice = ({ job, rev, at }: WireCancelled): boolean =>
+/** Whether a notice is valid. Invalid notices are ignored, the rest of the message is used. */
+const isValidNotice = ({ job, rev, at }: WireCancelled): boolean =>
   isJobId(job) && Number.isSafeInteger(rev) && rev > 0 && Number.isFinite(at);
 
 const cancellationNotice = ({ job, rev, at }: WireCancelled): CancellationNotice => ({
@@ -144,11 +144,11 @@
   at: wallClockMs(at),
 });
 
-/** The bytes of a message. */
+/** Encodes a message. */
 export const encodePeerMessage = (message: PeerMessage): Uint8Array =>
   peerMessageType.encode(peerMessageType.fromObject(message)).finish();
 
-/** Throws on bytes that are no such message. */
+/** Decodes a message. Throws if the bytes are not a valid peer message. */
 export const decodePeerMessage = (bytes: Uint8Array): PeerMessage => {
   const wire = peerMessageType.toObject(peerMessageType.decode(bytes), {
     defaults: true,
@@ -161,6 +161,6 @@
     retire: wire.retire.map(machineId),
     reason: wire.reason,
     failing: wire.failing.filter(isJobId).map(jobId),
-    cancelled: wire.cancelled.filter(isPossibleNotice).map(cancellationNotice),
+    cancelled: wire.cancelled.filter(isValidNotice).map(cancellationNotice),
   };
 };
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,22 +1,22 @@
 /**
  * Messages to and from the state store: transactions, reads, scans, the watch and leases.
  *
- * Maps the wire's names (`ledger`, `mark`, `path`, `write`, `drop`, `tenure`) to the glossary's
- * terms. `ledger` is the store's own revision at the time of an answer, `mark` that of one key.
- * Revisions and leases are integers that may exceed 32 bits. Keys and values mean nothing here:
- * their layout is that of `src/storage`.
+ * Maps field names on the wire to the terms of this code: `ledger` is the store's revision at the
+ * time of a response, `mark` the revision of a key, `path` a key, `write` a key to be put, `drop` a
+ * key to be deleted and `tenure` a lease. Revisions and leases are integers that may exceed 32
+ * bits. Keys and values are opaque here; `src/storage` defines their layout.
  */
 import { type LeaseId, leaseId, type Revision, revision } from "@umberfold/ids";
-import { count, type Fields, isMap, list, text, wide } from "./cbor.js";
+import { count, type Fields, isMap, list, text, toCborInteger } from "./cbor.js";
 
-/** A key's value, and the revision of its last change. */
+/** A key with its value and the revision of its last change. */
 export interface KeyValue {
   readonly key: string;
   readonly value: unknown;
   readonly rev: Revision;
 }
 
-/** A change that the watch reports; of a deleted key, `rev` is the revision of the deletion. */
+/** A change reported by the watch; for a deleted key, `rev` is the revision of the deletion. */
 export type StoreChange =
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly rev: Revision }
   | { readonly kind: "delete"; readonly key: string; readonly rev: Revision };
@@ -31,17 +31,19 @@
     }
   | { readonly kind: "delete"; readonly key: string };
 
-/** What a transaction compares: the key was last changed at just this revision, or is absent. */
+/**
+ * A condition of a transaction: the key was last changed at exactly this revision, or is absent.
+ */
 export interface Condition {
   readonly key: string;
   /** `KEY_ABSENT` for a key that must not exist. */
   readonly rev: Revision;
 }
 
-/** A transaction takes this many conditions for each change that it may make. */
-export const CONDITIONS_PER_OP = 4;
+/** The store allows this many times as many conditions as operations in one transaction. */
+export const CONDITION_LIMIT_RATIO = 4;
 
-/** An atomic compare-and-swap: if all conditions hold, all changes are made, else none. */
+/** An atomic compare-and-swap: if all conditions hold, all operations are applied, else none. */
 export interface Transaction {
   readonly conditions: readonly Condition[];
   readonly ops: readonly WriteOperation[];
@@ -52,15 +54,15 @@
   const { key, value, lease } = operation;
   return lease === undefined
     ? { write: key, v: value }
-    : { write: key, v: value, tenure: wide(lease) };
+    : { write: key, v: value, tenure: toCborInteger(lease) };
 };
 
 const conditionBody = (condition: Condition): Fields => ({
   path: condition.key,
-  mark: wide(condition.rev),
+  mark: toCborInteger(condition.rev),
 });
 
-/** The body of a transaction that only compares. */
+/** The body of a transaction with conditions but no operations. */
 export const compareBody = (conditions: readonly Condition[]): Fields => ({
   if: conditions.map(conditionBody),
 });
@@ -71,19 +73,19 @@
   apply: transaction.ops.map(operationBody),
 });
 
-/** The store's revision at the time of an answer; undefined if the answer names none. */
+/** Parses the store's revision at the time of a response; undefined if there is none. */
 export const parseRevision = (body: unknown): Revision | undefined => {
   const ledger = isMap(body) ? count(body.ledger) : undefined;
   return ledger === undefined ? undefined : revision(ledger);
 };
 
-/** The keys whose conditions did not hold, of the answer to a refused transaction; empty if unread. */
+/** Parses the keys whose conditions failed in a refused transaction; empty if malformed. */
 export const parseFailedKeys = (body: unknown): readonly string[] =>
   (isMap(body) ? list(body.failed) : undefined)?.filter(
     (key): key is string => typeof key === "string",
   ) ?? [];
 
-/** Reads one key with its value, of an answer to a read or of a scan. */
+/** Parses one key with its value, in the response to a read or a scan. */
 export const parseKeyValue = (row: unknown): KeyValue | undefined => {
   if (!isMap(row)) return undefined;
   const key = text(row.path);
@@ -93,20 +95,23 @@
     : { key, value: row.v, rev: revision(rev) };
 };
 
-/** One page of a scan, as of one revision; `more`: there are keys after its last. */
+/** One page of a scan, a snapshot at one revision; `hasMore`: another page follows. */
 export interface ScanPage {
   readonly items: readonly KeyValue[];
-  readonly more: boolean;
+  readonly hasMore: boolean;
   readonly rev: Revision;
 }
 
-/** Reads a page of a scan. One item that can't be read spoils it: a key would seem to be absent. */
+/**
+ * Parses a page of a scan. Refuses the page if one of its items is malformed: without that item,
+ * its key would seem to be absent.
+ */
 export const parseScanPage = (body: unknown): ScanPage | undefined => {
   const rev = parseRevision(body);
   if (!isMap(body) || rev === undefined) return undefined;
   const items = list(body.items)?.map(parseKeyValue);
   if (items === undefined || items.some((item) => item === undefined)) return undefined;
-  return { items: items as KeyValue[], more: body.hasNext === true, rev };
+  return { items: items as KeyValue[], hasMore: body.hasNext === true, rev };
 };
 
 const parseChange = (row: unknown): StoreChange | undefined => {
@@ -121,39 +126,39 @@
     : { kind: "delete", key: deletedKey, rev: revision(rev) };
 };
 
-/** What the watch reports: all changes up to a revision, in their order. */
+/** A response of the watch: all changes up to a revision, in order. */
 export interface WatchedChanges {
   readonly rev: Revision;
   readonly changes: readonly StoreChange[];
 }
 
-/** Reads an answer of the watch; no `log` means that nothing changed. */
+/** Parses a response of the watch; without `log`, nothing changed. */
 export const parseChanges = (body: unknown): WatchedChanges | undefined => {
   const rev = parseRevision(body);
   if (!isMap(body) || rev === undefined) return undefined;
   const rows = list(body.log)?.map(parseChange) ?? [];
-  // One unreadable change would leave a hole in the replica: the caller reads all keys again.
+  // Skipping a malformed change would make the replica stale: the caller reads all keys again.
   if (rows.some((change) => change === undefined)) return undefined;
   return { rev, changes: rows as StoreChange[] };
 };
 
-/** The body of a request for a lease that expires after so many ms without a renewal. */
-export const grantBody = (ttlMs: number): Fields => ({ ttlMs });
+/** The body of a request for a lease that expires `ttlMs` after its grant or last renewal. */
+export const leaseRequestBody = (ttlMs: number): Fields => ({ ttlMs });
 
-/** Reads the answer to a request for a lease. */
+/** Parses the response to a request for a lease. */
 export const parseLease = (body: unknown): LeaseId | undefined => {
   const tenure = isMap(body) ? count(body.tenure) : undefined;
   return tenure === undefined ? undefined : leaseId(tenure);
 };
 
-/** Where each call of the state store goes. `after` is exclusive in scans and in the watch. */
+/** The paths of all calls to the state store. `after` is exclusive in scans and in the watch. */
 export const storePaths = {
   key: (key: string): string => `/store/${key}`,
   scan: (prefix: string, after: string | undefined, limit: number): string =>
     `/store?starts=${prefix}&limit=${limit}${after === undefined ? "" : `&from=${after}`}`,
-  txn: "/txn",
-  grants: "/grants",
-  renew: (lease: LeaseId): string => `/grants/${lease}/touch`,
+  transaction: "/txn",
+  leases: "/grants",
+  renewLease: (lease: LeaseId): string => `/grants/${lease}/touch`,
   lease: (lease: LeaseId): string => `/grants/${lease}`,
   watch: (prefix: string, after: Revision, waitMs: number): string =>
     `/follow?starts=${prefix}&from=${after}&blockMs=${waitMs}`,
--- a/src/protocol/user-paths.ts
+++ b/src/protocol/user-paths.ts
@@ -1,10 +1,10 @@
 /**
- * The paths of users' requests and of the load balancer's, by what they ask for.
+ * Parses the paths of requests from users and from the load balancer.
  *
- * A path says nothing of the method: whoever serves it checks that. Ids are as they came.
+ * The HTTP method is checked by the request handler. IDs are not validated here.
  */
 
-/** What a path asks for. */
+/** The target of a request. */
 export type UserRequestTarget =
   | { readonly kind: "readiness" }
   | { readonly kind: "submission" }
@@ -16,7 +16,7 @@
 const SUBMISSION: UserRequestTarget = { kind: "submission" };
 const UNKNOWN: UserRequestTarget = { kind: "unknown" };
 
-/** Reads `/ready`, `/work`, `/work/ID` and `/work/ID/withdraw`. */
+/** Parses `/ready`, `/work`, `/work/ID` and `/work/ID/withdraw`. */
 export const parseUserPath = (path: string): UserRequestTarget => {
   if (path === "/ready") return READINESS;
   if (path === "/work") return SUBMISSION;
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,9 +1,10 @@
 /**
- * Messages to and from workers: the status in a heartbeat or in answer to a command, commands, and
- * the redirection to the owner.
+ * Messages to and from workers: the status in a heartbeat or in the response to a command,
+ * commands, and the redirection to the owner.
  *
- * Maps the wire's names (`loom`, `shift`, `tally`, `baton`, `thread`, `verb`, `foreman`) to the
- * glossary's terms, in the order in which the wire has them.
+ * Maps field names on the wire to the terms of this code: `loom` is a machine, `shift` an epoch,
+ * `tally` a sequence number, `baton` a fencing token, `thread` a task, `verb` the operation of a
+ * command and `foreman` the owner. Fields are written in the order of the wire format.
  */
 import {
   type AttemptNumber,
@@ -15,31 +16,33 @@
   machineId,
   type TaskId,
 } from "@umberfold/ids";
-import { amount, count, type Fields, isMap, list, text, wide } from "./cbor.js";
+import { amount, count, type Fields, isMap, list, text, toCborInteger } from "./cbor.js";
 
-/** Where workers send their heartbeats. */
+/** The path to which workers send heartbeats. */
 export const HEARTBEAT_PATH = "/agent/beat";
 
-/** `other`: a phase of a later version; the task is there, which is what counts. */
+/** `other`: a phase introduced by a later version; the task is still known to be on the machine. */
 export type TaskPhase = "fetching" | "running" | "saving" | "ended" | "other";
-/** Why an attempt ended. `other`: none was given, or one of a later version. */
+/**
+ * Why an attempt ended. `other`: the worker gave no cause, or one introduced by a later version.
+ */
 export type EndCause = "done" | "halted" | "error" | "no_room" | "in_use" | "unknown" | "other";
 
-/** What a worker says of one attempt. */
+/** A worker's report on one attempt. */
 export interface TaskStatus {
   readonly task: TaskId;
   readonly attempt: AttemptNumber;
   readonly phase: TaskPhase;
-  /** Always there once the phase is `ended`. */
+  /** Always present if the phase is `ended`. */
   readonly cause?: EndCause;
-  /** Whether its progress was saved when it was stopped. */
+  /** Whether a checkpoint of its progress was saved when it was stopped. */
   readonly saved: boolean;
 }
 
-/** What a worker says of itself and of all its tasks: one that is missing here isn't on it. */
+/** A worker's report on itself and all its tasks: a task that is not listed is not on it. */
 export interface WorkerStatus {
   readonly machine: MachineId;
-  /** Host and port at which it takes commands. */
+  /** Host and port at which it accepts commands. */
   readonly endpoint: string;
   readonly type: string;
   readonly zone: string;
@@ -47,14 +50,17 @@
   readonly epoch: number;
   /** Orders the statuses of one epoch. */
   readonly sequence: number;
-  /** The highest fencing token that it has seen; 0 before the first. */
+  /** The highest fencing token that it has received; 0 before the first. */
   readonly token: FencingToken;
-  /** Seconds until the cloud takes the machine, or null. */
+  /** Seconds until the cloud preempts the machine; null without a preemption notice. */
   readonly preemptionNoticeS: number | null;
   readonly tasks: readonly TaskStatus[];
 }
 
-/** A command for one attempt. `graceS`: seconds that a task gets to save; one that needs more ends at once. */
+/**
+ * A command for one attempt. `graceS` is the time in seconds that a stopped task has for saving a
+ * checkpoint; a task that needs longer ends immediately.
+ */
 export type WorkerCommand =
   | { readonly op: "start"; readonly task: TaskId; readonly attempt: AttemptNumber }
   | {
@@ -65,25 +71,39 @@
     }
   | { readonly op: "forget"; readonly task: TaskId; readonly attempt: AttemptNumber };
 
-const PHASES: Readonly<Record<string, TaskPhase>> = {
+const TASK_PHASES_BY_WIRE_NAME: Readonly<Record<string, TaskPhase>> = {
   pulling: "fetching",
   running: "running",
   saving: "saving",
   ended: "ended",
 };
-const CAUSES: readonly EndCause[] = ["done", "halted", "error", "no_room", "in_use", "unknown"];
-const VERBS = { start: "run", stop: "kill", forget: "forget" } as const;
-const TASK_ID = /^wk-[0-9]{1,18}\/[0-9]{1,6}$/;
+const KNOWN_END_CAUSES: readonly EndCause[] = [
+  "done",
+  "halted",
+  "error",
+  "no_room",
+  "in_use",
+  "unknown",
+];
+const WIRE_VERBS = { start: "run", stop: "kill", forget: "forget" } as const;
+const TASK_ID_PATTERN = /^wk-[0-9]{1,18}\/[0-9]{1,6}$/;
 
-const parseTask = (row: unknown): TaskStatus | undefined => {
+const parseTaskStatus = (row: unknown): TaskStatus | undefined => {
   if (!isMap(row)) return undefined;
   const task = text(row.thread);
   const attempt = count(row.try);
-  const phase = typeof row.stage === "string" ? (PHASES[row.stage] ?? "other") : undefined;
-  if (task === undefined || !TASK_ID.test(task) || attempt === undefined || phase === undefined)
+  const phase =
+    typeof row.stage === "string" ? (TASK_PHASES_BY_WIRE_NAME[row.stage] ?? "other") : undefined;
+  if (
+    task === undefined ||
+    !TASK_ID_PATTERN.test(task) ||
+    attempt === undefined ||
+    phase === undefined
+  )
     return undefined;
   const cause =
-    CAUSES.find((known) => known === row.cause) ?? (phase === "ended" ? "other" : undefined);
+    KNOWN_END_CAUSES.find((known) => known === row.cause) ??
+    (phase === "ended" ? "other" : undefined);
   return {
     task: task as TaskId,
     attempt: attemptNumber(attempt),
@@ -93,7 +113,10 @@
   };
 };
 
-/** Reads a status. A malformed one is refused whole: half a task list would prove an absence. */
+/**
+ * Parses a status. Refuses it if one of its tasks is malformed: an incomplete list of tasks would
+ * wrongly show that a task is absent.
+ */
 export const parseWorkerStatus = (body: unknown): WorkerStatus | undefined => {
   if (!isMap(body)) return undefined;
   const machine = text(body.loom);
@@ -103,7 +126,7 @@
   const epoch = count(body.shift);
   const sequence = count(body.tally);
   const token = body.baton === undefined || body.baton === null ? 0 : count(body.baton);
-  const tasks = body.threads === undefined ? [] : list(body.threads)?.map(parseTask);
+  const tasks = body.threads === undefined ? [] : list(body.threads)?.map(parseTaskStatus);
   if (!machine || !endpoint || !type || zone === undefined) return undefined;
   if (epoch === undefined || sequence === undefined || token === undefined) return undefined;
   if (tasks === undefined || tasks.some((task) => task === undefined)) return undefined;
@@ -123,29 +146,29 @@
 
 const commandBody = (command: WorkerCommand): Fields =>
   command.op === "stop"
-    ? { verb: VERBS.stop, thread: command.task, try: command.attempt, easeS: command.graceS }
-    : { verb: VERBS[command.op], thread: command.task, try: command.attempt };
+    ? { verb: WIRE_VERBS.stop, thread: command.task, try: command.attempt, easeS: command.graceS }
+    : { verb: WIRE_VERBS[command.op], thread: command.task, try: command.attempt };
 
-/** The answer to a heartbeat, which carries commands for the epoch that it reported. */
+/** The body of the response to a heartbeat, with commands for the epoch that it reported. */
 export const heartbeatResponseBody = (
   token: FencingToken,
   commands: readonly WorkerCommand[],
 ): Fields => ({
-  baton: wide(token),
+  baton: toCborInteger(token),
   orders: commands.map(commandBody),
 });
 
-/** The body of a direct call with commands; a worker in another epoch refuses it. */
+/** The body of a direct call with commands; a worker in another epoch refuses them. */
 export const commandsBody = (
   token: FencingToken,
   epoch: number,
   commands: readonly WorkerCommand[],
 ): Fields => ({
-  baton: wide(token),
+  baton: toCborInteger(token),
   shift: epoch,
   orders: commands.map(commandBody),
 });
 
-/** The answer to a worker whose shard another controller owns; empty if the owner isn't known. */
+/** The body of a redirection to the shard's owner; empty if the owner is unknown. */
 export const redirectBody = (owner: ControllerLabel | undefined): Fields =>
   owner === undefined ? {} : { foreman: owner };
--- a/src/service/job-submission.ts
+++ b/src/service/job-submission.ts
@@ -7,7 +7,7 @@
  */
 import { type JobId, KEY_ABSENT } from "@umberfold/ids";
 import { applyCommitted } from "../coordination/context.js";
-import { acceptedBody, type JobSpec, parseSubmission, submissionId } from "../protocol/jobs.js";
+import { acceptedBody, type JobSpec, parseSubmission, parseSubmissionId } from "../protocol/jobs.js";
 import { fits } from "../scheduling/resources.js";
 import { encodeAcceptedJob, keys, newJob } from "../storage/records.js";
 import { monotonicNow, wallClockNow } from "../transport/clock.js";
@@ -40,7 +40,7 @@
     const parsed = parseSubmission(decoded.value);
     return parsed.ok
       ? this.#submitParsed(parsed.value)
-      : this.#refuse(submissionId(decoded.value), parsed.reason);
+      : this.#refuse(parseSubmissionId(decoded.value), parsed.reason);
   }
 
   /** A known job is answered before any check of what else a repetition says. */
--- a/src/service/user-api.ts
+++ b/src/service/user-api.ts
@@ -9,7 +9,7 @@
 import type { Membership } from "../coordination/membership/membership.js";
 import { isJobId } from "../protocol/jobs.js";
 import type { CancellationNotice } from "../protocol/peer.js";
-import { CONDITIONS_PER_OP } from "../protocol/store.js";
+import { CONDITION_LIMIT_RATIO } from "../protocol/store.js";
 import { GroupCommit } from "../storage/group-commit.js";
 import { JobReader } from "../storage/job-reader.js";
 import { monotonicNow } from "../transport/clock.js";
@@ -38,7 +38,7 @@
     confirm: (notice: CancellationNotice) => Promise<boolean>,
   ) {
     const maxOps = ctx.settings.state.txnOps;
-    const maxConditions = maxOps * CONDITIONS_PER_OP;
+    const maxConditions = maxOps * CONDITION_LIMIT_RATIO;
     const jobs = new JobReader(ctx.store, ctx.replica, maxConditions);
     const writes = new GroupCommit(ctx.store, { maxOps, maxConditions });
     this.#jobs = jobs;
--- a/src/storage/state-store.ts
+++ b/src/storage/state-store.ts
@@ -10,8 +10,8 @@
 import {
   type Condition,
   compareBody,
-  grantBody,
   type KeyValue,
+  leaseRequestBody,
   parseLease,
   parseScanPage,
   storePaths,
@@ -138,7 +138,7 @@
   /** Sends a transaction once. */
   async transact(transaction: Transaction): Promise<TransactionResult> {
     return classifyTransaction(
-      await this.#call("POST", storePaths.txn, transactionBody(transaction)),
+      await this.#call("POST", storePaths.transaction, transactionBody(transaction)),
     );
   }
 
@@ -172,7 +172,9 @@
 
   /** One request, and no write, that proves many revisions current. */
   async compare(conditions: readonly Condition[]): Promise<CompareResult> {
-    return classifyComparison(await this.#call("POST", storePaths.txn, compareBody(conditions)));
+    return classifyComparison(
+      await this.#call("POST", storePaths.transaction, compareBody(conditions)),
+    );
   }
 
   /** Reads one key. */
@@ -194,7 +196,7 @@
       // Later pages are newer; changes since the first page come again through the watch.
       firstRev ??= page.rev;
       items.push(...page.items);
-      if (!page.more || page.items.length === 0) return { items, rev: firstRev };
+      if (!page.hasMore || page.items.length === 0) return { items, rev: firstRev };
       afterKey = page.items[page.items.length - 1]?.key;
     }
   }
@@ -207,7 +209,7 @@
 
   /** Asks for a new lease; undefined if none was granted, or the answer did not come. */
   async grant(ttlMs: number): Promise<LeaseId | undefined> {
-    const outcome = await this.#call("POST", storePaths.grants, grantBody(ttlMs));
+    const outcome = await this.#call("POST", storePaths.leases, leaseRequestBody(ttlMs));
     return outcome.kind === "answer" && outcome.status === 200
       ? parseLease(outcome.body)
       : undefined;
@@ -215,7 +217,7 @@
 
   /** Renews a lease. `lapsed`: it has expired, and its keys are gone. */
   async renew(lease: LeaseId): Promise<"renewed" | "lapsed" | "unavailable"> {
-    const outcome = await this.#call("POST", storePaths.renew(lease), {});
+    const outcome = await this.#call("POST", storePaths.renewLease(lease), {});
     if (outcome.kind !== "answer") return "unavailable";
     if (outcome.status === 404) return "lapsed";
     return outcome.status === 200 ? "renewed" : "unavailable";
--- a/src/storage/transaction-batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -15,7 +15,7 @@
   type ShardId,
 } from "@umberfold/ids";
 import {
-  CONDITIONS_PER_OP,
+  CONDITION_LIMIT_RATIO,
   type Condition,
   type Transaction,
   type WriteOperation,
@@ -103,7 +103,7 @@
     return (
       this.#ops + ops <= txnOps &&
       this.#bytes + bytes <= MAX_TRANSACTION_BYTES &&
-      this.#conditions.size + conditions + shardCount <= txnOps * CONDITIONS_PER_OP
+      this.#conditions.size + conditions + shardCount <= txnOps * CONDITION_LIMIT_RATIO
     );
   }
 
